--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -12,9 +12,9 @@
 use crate::additions::{decode_datagram, encode_datagram};
 
 /// The builds that have landed, oldest first.
-const BUILDS: [&str; 5] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735"];
+const BUILDS: [&str; 6] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
 /// Those of them that tell of the store's era, behind the message.
-const BUILDS_WITH_ERAS: [&str; 4] = ["75577d2", "89549fe", "d0d2fa6", "efa0735"];
+const BUILDS_WITH_ERAS: [&str; 5] = ["75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
 
 fn address(last: u8, port: u16) -> SocketAddr {
     ([10, 0, 0, last], port).into()
--- a/components/settings/src/settings/tests.rs
+++ b/components/settings/src/settings/tests.rs
@@ -29,6 +29,30 @@
     }
 }
 
+/// Each settings file of the build that landed last is read, as the same settings as this build's example.
+#[test]
+fn can_read_the_settings_of_the_landed_build() {
+    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/");
+    let read = |path: String| {
+        let text = std::fs::read_to_string(&path).unwrap();
+        Settings::parse(&text).unwrap_or_else(|it| panic!("{path}: {it}"))
+    };
+    let files = [
+        "entry",
+        "agent",
+        "mizani/entry",
+        "mizani/ledger",
+        "mizani/runner",
+        "authority/entry",
+        "authority/register",
+        "authority/runner",
+    ];
+    for file in files {
+        let landed = read(format!("{root}samples/3667619/{}.ini", file.replace('/', "-")));
+        assert_eq!(landed, read(format!("{root}../../examples/settings/{file}.ini")), "{file}");
+    }
+}
+
 #[test]
 fn errors_on_every_fault_at_once() {
     let text = AGENT
--- a/components/settings/tests/deployment.rs
+++ b/components/settings/tests/deployment.rs
@@ -5,6 +5,9 @@
 
 const GATEWAY: &str = include_str!("../../../platform/gateway.ini");
 const SIDECAR: &str = include_str!("../../../platform/sidecar.ini");
+/// The templates of the build that landed last.
+const LANDED_GATEWAY: &str = include_str!("../samples/3667619/gateway.ini");
+const LANDED_SIDECAR: &str = include_str!("../samples/3667619/sidecar.ini");
 
 /// Fills a template with a few fields as the platform would.
 fn fill(template: &str) -> String {
@@ -53,6 +56,41 @@
     assert!(matches!(sidecar.role, DeploymentRole::Sidecar(_)));
 }
 
+/// Each key of the landed build's templates is still read, with the same value.
+#[test]
+fn the_templates_of_the_landed_build_are_read_as_it_read_them() {
+    let text = fill(LANDED_GATEWAY)
+        .replace("evacuate_ms =", "evacuate_ms = 5000")
+        .replace("cold_overrun =", "cold_overrun = 1.5")
+        .replace("cold_slack =", "cold_slack = 5");
+    let gateway = DeploymentSettings::parse(&text).unwrap();
+    let node = &gateway.node;
+    assert_eq!(
+        (node.name.to_string().as_str(), node.address.to_string().as_str()),
+        ("m-1", "10.1.0.40")
+    );
+    assert_eq!((&node.place.region, &node.place.hall), (&Region::from("north"), &Hall::from("a")));
+    assert_eq!(node.halls.get(&Hall::from("b")), Some(&Region::from("south")));
+    assert_eq!((node.first_port, node.last_port), (7700, 7715));
+    assert_eq!((node.memory_mb, node.link_bytes_per_s), (128, 950_000));
+    let role = gateway.gateway().unwrap();
+    assert_eq!(role.callers.to_string(), "10.1.0.40:8005");
+    assert_eq!(role.readiness.to_string(), "10.1.0.40:8002");
+    let store = &gateway.store;
+    assert_eq!(store.address.to_string(), "10.200.1.7:8007");
+    assert_eq!((store.writes_per_s, store.reads_per_s), (400, 2000));
+    let bounds = &gateway.bounds;
+    assert_eq!((bounds.contact_ms, bounds.drain_ms), (3000, 2000));
+    assert_eq!((bounds.configuration_ms, bounds.version_ms), (2000, 8000));
+    assert_eq!((bounds.repeat_ratio, bounds.repeat_allowance), (0.2, 106.0));
+    assert_eq!(bounds.evacuate_ms, Some(5000));
+    assert_eq!(bounds.cold, Some(ColdSettings { overrun: 1.5, slack: 5.0 }));
+    let sidecar = DeploymentSettings::parse(&fill(LANDED_SIDECAR)).unwrap();
+    let role = sidecar.sidecar().unwrap();
+    assert_eq!((role.runner.to_string().as_str(), &role.service), ("10.1.0.40:8001", &"s1".into()));
+    assert_eq!(sidecar.bounds.evacuate_ms, None);
+}
+
 #[test]
 fn a_gap_that_the_platform_left_empty_is_a_fault() {
     let text = fill(GATEWAY).replace("callers = 10.1.0.40:8005", "callers = ");
--- a/components/wire/tests/samples.rs
+++ b/components/wire/tests/samples.rs
@@ -16,7 +16,7 @@
 };
 
 /// The builds that have landed, oldest first.
-const BUILDS: [&str; 5] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735"];
+const BUILDS: [&str; 6] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
 const VERSION: VersionId = VersionId([7; 32]);
 
 fn request() -> RequestId {
