--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -1,41 +1,43 @@
-//! Whether runners crash under a request, and what that makes of it.
+//! Detects crashes of runners and attributes them to requests.
 //!
-//! An attempt that breaks off is a suspicion against the request as well as against the runner. It becomes a crash where
-//! the runner shows no sign of life afterwards. See `CrashLedger` for how gateways add these up.
+//! An attempt that fails midway makes both the request and the runner suspect. The suspicion is confirmed as
+//! a crash if no heartbeat of the runner is received afterwards. `CrashLedger` describes how gateways combine
+//! their observations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use fleet::{InstanceId, Millis};
 
 use crate::digest::RequestDigest;
-use crate::ledger::{CrashChange, CrashLedger, RequestStatus, SUCCESS_COUNTS_FOR};
+use crate::ledger::{CrashChange, CrashLedger, RequestStatus, SUCCESS_GRACE_MS};
 use crate::life::LifeDigest;
 use crate::told::CrashList;
 
-/// How long a runner has to show that it lives, in milliseconds: longer than the pause between two reports
-/// to other halls.
-const CONFIRM_AFTER: u64 = 600;
-/// What arrives so soon may have left the runner before it ended, in milliseconds.
-const WAY: u64 = 60;
-/// When callers come back where a probe is due that is for another gateway, in milliseconds.
-const PROBE_ELSEWHERE: u64 = 1000;
-/// When they do where none is to come, in milliseconds.
-const NO_PROBE: u64 = 3_600_000;
+/// How long to wait for a heartbeat of the runner before a suspicion is confirmed as a crash. Longer than the
+/// interval between two reports to other halls.
+const CRASH_CONFIRM_DELAY_MS: u64 = 600;
+/// Transit time of a heartbeat: one received within this time after the attempt failed may have been sent
+/// before the runner terminated.
+const HEARTBEAT_TRANSIT_MS: u64 = 60;
+/// Shortest retry delay returned to callers while a probe is due at another gateway.
+const PROBE_ELSEWHERE_RETRY_MS: u64 = 1000;
+/// Retry delay returned to callers when no further probe is planned.
+const NO_PROBE_RETRY_MS: u64 = 3_600_000;
 
-/// The most successes that are remembered, of 16 bytes each: more than a gateway hands on within their time. What finds
-/// no room has to be told apart without.
-const MOST_SUCCESSES: usize = 8192;
+/// Most successes that are kept, 16 bytes each: more than a gateway forwards within `SUCCESS_GRACE_MS`. A
+/// success beyond this limit is not recorded and does not clear the request of later crashes.
+const MAX_SUCCESSES: usize = 8192;
 
-/// What is seen of the life of a runner.
+/// Whether a runner is still running, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// It is listed, and was last heard of then.
+    /// The runner is listed; its last heartbeat was received at this time.
     Heard(Millis),
-    /// It is listed no more, or has started anew.
+    /// The runner is no longer listed, or has restarted.
     Over,
 }
 
-/// An attempt that broke off.
+/// An attempt that failed midway and may have crashed its runner.
 #[derive(Clone, Debug)]
 struct Suspicion {
     digest: RequestDigest,
@@ -44,29 +46,29 @@
     at: Millis,
 }
 
-/// Something to tell of requests and crashes.
+/// A change in what is known of requests and crashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CrashNews {
-    /// A runner crashed while this gateway's attempt ran there.
+    /// A runner crashed while it processed an attempt of this gateway.
     Crashed {
         /// The request.
         digest: RequestDigest,
         /// The runner.
         runner: InstanceId,
-        /// How many have crashed under the request, as far as known.
+        /// The number of known crashes under the request.
         crashes: usize,
     },
     /// The status of a request has changed.
     Changed {
-        /// How.
+        /// The new status.
         change: CrashChange,
-        /// Whether this gateway saw it itself; others told it otherwise.
+        /// Whether this process detected the change itself, rather than receiving it from another one.
         is_own: bool,
     },
 }
 
 impl CrashNews {
-    /// Whether this process found it itself, so that others should hear of it at once.
+    /// Whether this process detected the change itself, so that others should be informed at once.
     pub fn is_own(&self) -> bool {
         match self {
             Self::Crashed { .. } => true,
@@ -75,30 +77,32 @@
     }
 }
 
-/// What becomes of a request by what is known of it.
+/// Whether a request may be sent, given the known crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent. A suspect is kept apart from others.
+    /// The request may be sent. A suspect request is kept apart from others.
     Admitted {
-        /// Whether runners crashed under it.
+        /// Whether runners have crashed under the request.
         is_suspect: bool,
     },
-    /// It is refused.
+    /// The request is refused.
     Barred {
-        /// When its caller may come back, in milliseconds.
+        /// When the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// The requests that runners crashed under, as one who sends requests knows them. `K` is the key of a request there.
+/// The requests that runners crashed under, as known to a process that sends requests. `K` identifies a
+/// request in that process.
 #[derive(Debug)]
 pub struct Crashes<K> {
-    /// What is known of requests.
+    /// The crashes and successes of requests.
     pub ledger: CrashLedger,
-    open: Vec<Suspicion>,
-    /// When requests last ended well here, as long as that speaks for them.
+    pending: Vec<Suspicion>,
+    /// When requests last succeeded here. Entries are removed once older than `SUCCESS_GRACE_MS` if space
+    /// is needed.
     successes: BTreeMap<RequestDigest, Millis>,
-    /// Requests in quarantine that are tried once more here now.
+    /// Quarantined requests that this process is currently probing, with the key of the probing request.
     probes: BTreeMap<RequestDigest, K>,
 }
 
@@ -106,7 +110,7 @@
     fn default() -> Self {
         Self {
             ledger: CrashLedger::default(),
-            open: Vec::new(),
+            pending: Vec::new(),
             successes: BTreeMap::new(),
             probes: BTreeMap::new(),
         }
@@ -114,7 +118,7 @@
 }
 
 impl<K: Copy + PartialEq> Crashes<K> {
-    /// An attempt that may have run broke off.
+    /// Records that an attempt which may have run failed midway.
     pub fn suspect(
         &mut self,
         now: Millis,
@@ -122,28 +126,29 @@
         runner: InstanceId,
         life: LifeDigest,
     ) {
-        self.open.push(Suspicion { digest, runner, life, at: now });
+        self.pending.push(Suspicion { digest, runner, life, at: now });
     }
 
-    /// Decides on suspicions by what was seen of their runners meanwhile.
+    /// Confirms or drops pending suspicions according to the state of their runners. `sign` returns that
+    /// state.
     pub fn settle(
         &mut self,
         now: Millis,
         sign: impl Fn(&InstanceId, LifeDigest) -> Sign,
     ) -> Vec<CrashNews> {
         let mut news = Vec::new();
-        for suspicion in std::mem::take(&mut self.open) {
-            let is_due = now.since(suspicion.at).0 >= CONFIRM_AFTER;
+        for suspicion in std::mem::take(&mut self.pending) {
+            let is_due = now.since(suspicion.at).0 >= CRASH_CONFIRM_DELAY_MS;
             match sign(&suspicion.runner, suspicion.life) {
-                Sign::Heard(at) if at >= suspicion.at.plus(WAY) => {}
-                Sign::Heard(_) if !is_due => self.open.push(suspicion),
+                Sign::Heard(at) if at >= suspicion.at.plus(HEARTBEAT_TRANSIT_MS) => {}
+                Sign::Heard(_) if !is_due => self.pending.push(suspicion),
                 Sign::Heard(_) | Sign::Over => news.extend(self.confirm(now, suspicion)),
             }
         }
         news
     }
 
-    /// Notes a crash that needs no other sign.
+    /// Records a crash that needs no confirmation.
     pub fn note_crash(
         &mut self,
         now: Millis,
@@ -156,7 +161,7 @@
 
     fn confirm(&mut self, now: Millis, suspicion: Suspicion) -> Vec<CrashNews> {
         let Suspicion { digest, runner, life, at } = suspicion;
-        if self.has_just_succeeded(digest, at) {
+        if self.has_recent_success(digest, at) {
             return Vec::new();
         }
         let change = self.ledger.note_crash(now, digest, life, at);
@@ -166,30 +171,30 @@
         std::iter::once(crashed).chain(changed).collect()
     }
 
-    /// A request ended well.
+    /// Records that a request succeeded.
     pub fn note_success(&mut self, now: Millis, digest: RequestDigest) -> Option<CrashNews> {
-        self.open.retain(|it| it.digest != digest);
-        if self.successes.len() >= MOST_SUCCESSES {
-            self.successes.retain(|_, at| now.since(*at).0 <= SUCCESS_COUNTS_FOR);
+        self.pending.retain(|it| it.digest != digest);
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.retain(|_, at| now.since(*at).0 <= SUCCESS_GRACE_MS);
         }
-        if self.successes.len() < MOST_SUCCESSES {
+        if self.successes.len() < MAX_SUCCESSES {
             self.successes.insert(digest, now);
         }
         let change = self.ledger.note_success(now, digest, now)?;
         Some(CrashNews::Changed { change, is_own: true })
     }
 
-    /// Whether a request had ended well here shortly before a moment, or has since.
-    fn has_just_succeeded(&self, digest: RequestDigest, moment: Millis) -> bool {
-        self.successes.get(&digest).is_some_and(|at| moment <= at.plus(SUCCESS_COUNTS_FOR))
+    /// Whether a request succeeded here at most `SUCCESS_GRACE_MS` before `moment`, or after it.
+    fn has_recent_success(&self, digest: RequestDigest, moment: Millis) -> bool {
+        self.successes.get(&digest).is_some_and(|at| moment <= at.plus(SUCCESS_GRACE_MS))
     }
 
-    /// Takes in what a sidecar or the platform's store tells.
+    /// Merges a crash list from a sidecar or from the platform's store.
     pub fn take(&mut self, now: Millis, list: &CrashList) -> Vec<CrashNews> {
         let changes = self.ledger.take(now, list).into_iter();
         let mut news: Vec<CrashNews> =
             changes.map(|change| CrashNews::Changed { change, is_own: false }).collect();
-        // What others blame may have just ended well here.
+        // A request that others report may have succeeded here recently.
         for told in &list.0 {
             if let Some(at) = self.successes.get(&told.digest).copied() {
                 let change = self.ledger.note_success(now, told.digest, at);
@@ -199,8 +204,8 @@
         news
     }
 
-    /// Whether a request that arrives may be sent. `may_try` tells whether it is up to this process to try a request in
-    /// quarantine once more.
+    /// Whether an arriving request may be sent. `may_try` tells whether this process is the one to probe a
+    /// quarantined request.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -218,18 +223,18 @@
         admission
     }
 
-    /// Whether a request that was admitted may still be sent.
+    /// Whether a request that was admitted before may still be sent.
     pub fn admits(&self, now: Millis, key: K, digest: RequestDigest) -> Admission {
         let is_probe = self.probes.get(&digest) == Some(&key);
         match self.admission(now, digest) {
-            // Its attempt has broken off as well: no second one.
-            barred @ Admission::Barred { .. } if !is_probe || self.has_open(digest) => barred,
+            // The attempt of the probe failed as well; the request does not get a second one.
+            barred @ Admission::Barred { .. } if !is_probe || self.has_pending(digest) => barred,
             Admission::Barred { .. } => Admission::Admitted { is_suspect: true },
             admitted => admitted,
         }
     }
 
-    /// A request has ended.
+    /// Removes the state of a request that has ended.
     pub fn end(&mut self, key: K, digest: RequestDigest) {
         if self.probes.get(&digest) == Some(&key) {
             self.probes.remove(&digest);
@@ -241,25 +246,26 @@
             RequestStatus::Clear => Admission::Admitted { is_suspect: false },
             RequestStatus::Suspect => Admission::Admitted { is_suspect: true },
             RequestStatus::Quarantined { probe_in_ms } => Admission::Barred {
-                retry_after_ms: probe_in_ms.map_or(NO_PROBE, |it| it.max(PROBE_ELSEWHERE)),
+                retry_after_ms: probe_in_ms
+                    .map_or(NO_PROBE_RETRY_MS, |it| it.max(PROBE_ELSEWHERE_RETRY_MS)),
             },
         }
     }
 
-    /// The status with the suspicions that are still open: a caller that comes back at once is not sent to more
-    /// runners than it takes.
+    /// The status of a request, counting pending suspicions as crashes: a caller that retries immediately
+    /// cannot reach more runners than the quarantine threshold.
     fn status(&self, now: Millis, digest: RequestDigest) -> RequestStatus {
-        let open = self.open.iter().filter(|it| it.digest == digest);
-        let lives: BTreeSet<LifeDigest> = open.map(|it| it.life).collect();
+        let pending = self.pending.iter().filter(|it| it.digest == digest);
+        let lives: BTreeSet<LifeDigest> = pending.map(|it| it.life).collect();
         self.ledger.status(now, digest, &lives)
     }
 
     fn is_probe_due(&self, now: Millis, digest: RequestDigest) -> bool {
         let status = self.ledger.status(now, digest, &BTreeSet::new());
-        status == RequestStatus::Quarantined { probe_in_ms: Some(0) } && !self.has_open(digest)
+        status == RequestStatus::Quarantined { probe_in_ms: Some(0) } && !self.has_pending(digest)
     }
 
-    fn has_open(&self, digest: RequestDigest) -> bool {
-        self.open.iter().any(|it| it.digest == digest)
+    fn has_pending(&self, digest: RequestDigest) -> bool {
+        self.pending.iter().any(|it| it.digest == digest)
     }
 }
--- a/components/quarantine/src/digest.rs
+++ b/components/quarantine/src/digest.rs
@@ -1,12 +1,13 @@
-//! What makes two requests the same, whatever ids their callers gave them.
+//! Identifies requests by their content, independently of the ids that callers give them.
 
 use std::fmt;
 
 use fleet::WorkspaceId;
 use serde::{Deserialize, Serialize};
 
-/// A digest of what a request is made of. A caller that tries again sends another id, mostly to another gateway; the
-/// digest stays. The same in every process and build: gateways compare theirs.
+/// A digest of the content of a request. A caller that retries sends a new id, usually to another gateway,
+/// but the digest stays the same. It is the same in every process and build, because gateways compare their
+/// digests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,12 +15,13 @@
 pub struct RequestDigest(pub u64);
 
 impl RequestDigest {
-    /// The digest of a request: its method, its path with the query, whose it is, and its body.
+    /// Computes the digest from the method, the path with its query, the workspace and the body.
     pub fn of(method: &str, path: &str, workspace: Option<&WorkspaceId>, body: &[u8]) -> Self {
         let workspace = workspace.map_or("", |it| it.0.as_str());
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), path.as_bytes(), workspace.as_bytes(), body] {
-            // The length before each part: no two requests run together into the same bytes.
+            // Each part is prefixed with its length, so that different requests cannot produce the same
+            // bytes.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/components/quarantine/src/ledger.rs
+++ b/components/quarantine/src/ledger.rs
@@ -1,8 +1,8 @@
-//! Which requests runners crashed under, added up over processes.
+//! Combines the crashes under each request over all processes.
 //!
-//! A request that crashes each runner that begins it comes again at any gateway. Every process keeps a ledger; ledgers
-//! are united by what processes tell each other, in any order and as often as they like. So only those runners end under
-//! such a request that begin it before the third crash is known everywhere.
+//! A request that crashes every runner that starts it is retried at any gateway. Every process keeps a ledger
+//! and merges the lists that other processes send, in any order and any number of times. A request can
+//! therefore crash only those runners that start it before the third crash is known everywhere.
 
 mod entry;
 
@@ -10,53 +10,53 @@
 
 use fleet::Millis;
 
-pub(crate) use self::entry::SUCCESS_COUNTS_FOR;
-use self::entry::{Entry, QUARANTINE_AT};
+pub(crate) use self::entry::SUCCESS_GRACE_MS;
+use self::entry::{Entry, QUARANTINE_THRESHOLD};
 use crate::digest::RequestDigest;
 use crate::life::LifeDigest;
 use crate::told::{CrashList, Told, ToldRequest};
 
-/// The most requests that are kept, a few hundred bytes each.
-const MOST_REQUESTS: usize = 1024;
-/// The most crashes in one list, of about 20 bytes with their request: half of a datagram.
-const MOST_TOLD: usize = 32;
+/// Most requests that are kept, a few hundred bytes each.
+const MAX_REQUESTS: usize = 1024;
+/// Most crashes in one list, of about 20 bytes each including the request: half of a datagram.
+const MAX_CRASHES_PER_LIST: usize = 32;
 
-/// What a ledger says of a request.
+/// The status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// No runner crashed under it.
+    /// No runner is known to have crashed under it.
     Clear,
-    /// Some did, fewer than it takes.
+    /// Runners crashed under it, fewer than the quarantine threshold.
     Suspect,
     /// It is refused.
     Quarantined {
-        /// In how many milliseconds it may be tried once more. `None` where it is not.
+        /// When the request may be probed, in milliseconds. `None` if it may not.
         probe_in_ms: Option<u64>,
     },
 }
 
-/// What a change made of a request.
+/// A change of the status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashChange {
-    /// It is in quarantine now.
+    /// The request is in quarantine now.
     Quarantined(RequestDigest),
-    /// It ended well and is not suspected any more.
+    /// The request succeeded and is no longer suspect.
     Cleared {
         /// The request.
         digest: RequestDigest,
-        /// Whether it was in quarantine.
+        /// Whether the request was in quarantine.
         was_quarantined: bool,
     },
 }
 
-/// The requests that runners crashed under, as one process knows them.
+/// The requests that runners crashed under, as known to one process.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     requests: BTreeMap<RequestDigest, Entry>,
 }
 
 impl CrashLedger {
-    /// Notes that a runner crashed under a request.
+    /// Records that a runner crashed under a request.
     pub fn note_crash(
         &mut self,
         now: Millis,
@@ -67,8 +67,7 @@
         self.change(now, digest, |entry| entry.add(life, at))
     }
 
-    /// Notes that a request ended well. Only of requests that a runner crashed under: of the others there is nothing
-    /// to take back.
+    /// Records that a request succeeded. Has no effect unless a runner crashed under the request.
     pub fn note_success(
         &mut self,
         now: Millis,
@@ -81,14 +80,15 @@
         self.change(now, digest, |entry| entry.clear(at))
     }
 
-    /// Takes in what another process tells.
+    /// Merges a list from another process.
     pub fn take(&mut self, now: Millis, list: &CrashList) -> Vec<CrashChange> {
         let take =
             |told: &ToldRequest| self.change(now, told.digest, |entry| entry.merge(now, told));
         list.0.iter().filter_map(take).collect()
     }
 
-    /// Changes what is kept of a request. `change` tells whether there is news.
+    /// Applies `change` to the entry of a request. `change` returns whether the entry has to be sent to other
+    /// processes.
     fn change(
         &mut self,
         now: Millis,
@@ -105,7 +105,7 @@
             entry.is_recorded = false;
         }
         let is_quarantined = entry.is_quarantined() && !was_quarantined;
-        self.bound(now);
+        self.enforce_limit(now);
         match (is_quarantined, is_cleared) {
             (true, _) => Some(CrashChange::Quarantined(digest)),
             (false, true) => Some(CrashChange::Cleared { digest, was_quarantined }),
@@ -113,27 +113,29 @@
         }
     }
 
-    /// Forgets what is too old, and of too many entries those that matter least.
-    fn bound(&mut self, now: Millis) {
-        if self.requests.len() <= MOST_REQUESTS {
+    /// Removes expired entries and, if there are still too many, those with the fewest crashes and, among
+    /// these, the oldest.
+    fn enforce_limit(&mut self, now: Millis) {
+        if self.requests.len() <= MAX_REQUESTS {
             return;
         }
         self.forget_old(now);
-        while self.requests.len() > MOST_REQUESTS {
-            let least = self.requests.iter().min_by_key(|it| (it.1.crashes.len(), it.1.changed_at));
-            let Some(digest) = least.map(|it| *it.0) else {
+        while self.requests.len() > MAX_REQUESTS {
+            let least_relevant =
+                self.requests.iter().min_by_key(|it| (it.1.crashes.len(), it.1.changed_at));
+            let Some(digest) = least_relevant.map(|it| *it.0) else {
                 return;
             };
             self.requests.remove(&digest);
         }
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired entries.
     pub fn forget_old(&mut self, now: Millis) {
-        self.requests.retain(|_, it| now < it.kept_until());
+        self.requests.retain(|_, it| now < it.expires_at());
     }
 
-    /// What is known of a request that somebody asks for.
+    /// The status of a request for which a caller asks. Extends the time for which the request is kept.
     pub fn ask(&mut self, now: Millis, digest: RequestDigest) -> RequestStatus {
         if let Some(entry) = self.requests.get_mut(&digest) {
             entry.asked_at = now;
@@ -141,7 +143,8 @@
         self.status(now, digest, &BTreeSet::new())
     }
 
-    /// What would be known of a request if these lives had ended under it as well.
+    /// The status that a request would have if the `suspected` runner incarnations had crashed under it as
+    /// well.
     pub fn status(
         &self,
         now: Millis,
@@ -153,7 +156,7 @@
         let crashes = known.map_or(0, |it| it.crashes.len());
         match crashes + suspected.iter().filter(is_new).count() {
             0 => RequestStatus::Clear,
-            sum if sum < QUARANTINE_AT => RequestStatus::Suspect,
+            sum if sum < QUARANTINE_THRESHOLD => RequestStatus::Suspect,
             _ => {
                 let probe_at = known.filter(|it| it.is_quarantined()).and_then(Entry::probe_at);
                 RequestStatus::Quarantined { probe_in_ms: probe_at.map(|at| at.since(now).0) }
@@ -161,17 +164,17 @@
         }
     }
 
-    /// How many runners crashed under a request since it last ended well.
+    /// The number of runners that crashed under a request since it last succeeded.
     pub fn crashes(&self, digest: RequestDigest) -> usize {
         self.requests.get(&digest).map_or(0, |it| it.crashes.len())
     }
 
-    /// The lives that ended under a request, where it is in quarantine; with `unrecorded` only where the platform's store
-    /// is not known to hold that.
+    /// The runner incarnations that crashed under a quarantined request. With `unrecorded`, only if the
+    /// platform's store is not known to contain the quarantine.
     pub fn lives_under(&self, digest: RequestDigest, unrecorded: bool) -> Option<Vec<LifeDigest>> {
         let entry = self.requests.get(&digest).filter(|it| it.is_quarantined())?;
-        let is_asked = !unrecorded || !entry.is_recorded;
-        is_asked.then(|| entry.crashes.keys().copied().collect())
+        let is_selected = !unrecorded || !entry.is_recorded;
+        is_selected.then(|| entry.crashes.keys().copied().collect())
     }
 
     /// The requests in quarantine.
@@ -180,7 +183,7 @@
         quarantined.map(|it| *it.0).collect()
     }
 
-    /// Notes that the platform's store holds that a request is in quarantine.
+    /// Records that the platform's store contains the quarantine of a request.
     pub fn note_recorded(&mut self, now: Millis, digest: RequestDigest) {
         if let Some(entry) = self.requests.get_mut(&digest) {
             entry.is_recorded = true;
@@ -188,37 +191,39 @@
         }
     }
 
-    /// How many requests are suspected, and how many of these are in quarantine.
+    /// The number of suspect requests and, among these, of quarantined ones.
     pub fn count(&self) -> (usize, usize) {
         let suspects = self.requests.values().filter(|it| !it.crashes.is_empty());
         let quarantined = self.requests.values().filter(|it| it.is_quarantined());
         (suspects.count(), quarantined.count())
     }
 
-    /// What another process is told. Where there is too much for one list, that with the most crashes, and of these
-    /// the newest; `draw` adds one of the rest, another one each time.
+    /// The list for another process. If the entries exceed one list, those with the most crashes are included
+    /// first and, among these, the most recent. With `Told::Fresh`, one older quarantine is added, selected
+    /// by `draw`.
     pub fn list(&self, now: Millis, part: Told, draw: u64) -> CrashList {
-        let is_told = |entry: &Entry| match part {
+        let is_included = |entry: &Entry| match part {
             Told::Fresh => entry.is_fresh(now),
             Told::FreshSuspects => entry.is_fresh(now) && entry.crashes.len() != 1,
             Told::Suspects => entry.crashes.len() > 1 || entry.is_fresh(now),
         };
-        let mut told: Vec<_> = self.requests.iter().filter(|it| is_told(it.1)).collect();
-        told.sort_by_key(|(_, it)| std::cmp::Reverse((it.crashes.len(), it.changed_at)));
+        let mut entries: Vec<_> = self.requests.iter().filter(|it| is_included(it.1)).collect();
+        entries.sort_by_key(|(_, it)| std::cmp::Reverse((it.crashes.len(), it.changed_at)));
         let mut size = 0;
-        told.retain(|(_, it)| {
+        entries.retain(|(_, it)| {
             size += it.crashes.len().max(1);
-            size <= MOST_TOLD
+            size <= MAX_CRASHES_PER_LIST
         });
-        let mut list: Vec<_> = told.iter().map(|(digest, it)| it.told(now, **digest)).collect();
+        let mut list: Vec<_> = entries.iter().map(|(digest, it)| it.told(now, **digest)).collect();
         if part == Told::Fresh {
-            list.extend(self.one_more(now, draw));
+            list.extend(self.older_quarantine(now, draw));
         }
         CrashList(list)
     }
 
-    /// One request in quarantine that is not news: whoever has forgotten it hears of it again.
-    fn one_more(&self, now: Millis, draw: u64) -> Option<ToldRequest> {
+    /// One quarantined request that has not changed recently, so that processes that lost it receive it
+    /// again.
+    fn older_quarantine(&self, now: Millis, draw: u64) -> Option<ToldRequest> {
         let is_older =
             |it: &&(&RequestDigest, &Entry)| it.1.is_quarantined() && !it.1.is_fresh(now);
         let older: Vec<_> = self.requests.iter().filter(|it| is_older(&it)).collect();
--- a/components/quarantine/src/ledger/entry.rs
+++ b/components/quarantine/src/ledger/entry.rs
@@ -1,4 +1,4 @@
-//! What a ledger keeps of one request.
+//! The entry of one request in the ledger.
 
 use std::collections::BTreeMap;
 
@@ -8,41 +8,42 @@
 use crate::life::LifeDigest;
 use crate::told::{ToldCrash, ToldRequest};
 
-/// Runners that a request has ended, without a success since, when it is in quarantine. One or two may end under
-/// anybody's: whoever shares a runner with the cause is cut as well.
-pub(super) const QUARANTINE_AT: usize = 3;
-/// The most crashes that are kept of one request: more say nothing new.
-const MOST_CRASHES: usize = 8;
-/// How long a change is told on, in milliseconds: gateways and sidecars speak to each other each second, and one
-/// datagram or two may be lost.
-const FRESH: u64 = 3000;
-/// How long one or two crashes are remembered, in milliseconds. A request that comes again less often does little harm.
-const SUSPECT_MEMORY: u64 = 600_000;
-/// How long a request stays in quarantine after anybody last asked for it, in milliseconds.
-const QUARANTINE_MEMORY: u64 = 3_600_000;
-/// How long a success is remembered, in milliseconds: as long as crashes before it may still be told.
-const SUCCESS_MEMORY: u64 = 10_000;
-/// How long after a success crashes are not blamed on a request, in milliseconds. What crashes each runner
-/// that begins it has no success; what many callers ask for is on every runner that crashes, and would come
-/// into quarantine beside the request that crashes them.
-pub(crate) const SUCCESS_COUNTS_FOR: u64 = 3000;
-/// The first pause after which a request in quarantine may be tried once more, in milliseconds; it doubles
-/// twice with each crash. It is longer than the shortages that its crashes make.
-const PROBE_PAUSE: u64 = 10_000;
-/// The most crashes after which there is a probe. At most two, so a request that was tried at both times has ended five
-/// runners.
-const LAST_PROBE: usize = QUARANTINE_AT + 1;
+/// Number of runners that must crash under a request, with no success in between, to quarantine it. One or
+/// two may crash under a harmless request, because every request on a runner fails when another one crashes
+/// it.
+pub(super) const QUARANTINE_THRESHOLD: usize = 3;
+/// Most crashes that are kept of one request; more would not change its status.
+const MAX_CRASHES_PER_REQUEST: usize = 8;
+/// How long a change is sent to other processes. Gateways and sidecars exchange messages every second, and
+/// one or two datagrams may be lost.
+const FRESH_MS: u64 = 3000;
+/// How long one or two crashes are kept. A request that is retried less often does little harm.
+const SUSPECT_TTL_MS: u64 = 600_000;
+/// How long a request stays in quarantine after a caller last asked for it.
+const QUARANTINE_TTL_MS: u64 = 3_600_000;
+/// How long a success is kept: as long as earlier crashes may still be reported.
+const SUCCESS_TTL_MS: u64 = 10_000;
+/// How long after a success crashes are not attributed to the request. A request that crashes every runner
+/// that starts it never succeeds. A request that many callers send runs on every runner that crashes, and
+/// would otherwise be quarantined along with the request that causes the crashes.
+pub(crate) const SUCCESS_GRACE_MS: u64 = 3000;
+/// Delay before a quarantined request may be probed for the first time; it is multiplied by four with each
+/// further crash. Longer than the capacity shortage that the crashes cause.
+const FIRST_PROBE_DELAY_MS: u64 = 10_000;
+/// Largest number of crashes after which a probe is allowed. There are at most two probes, so a request that
+/// was probed twice has crashed five runners.
+const MAX_CRASHES_FOR_PROBE: usize = QUARANTINE_THRESHOLD + 1;
 
-/// What is kept of a request.
+/// The crashes and the last success of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) crashes: BTreeMap<LifeDigest, Millis>,
     succeeded_at: Option<Millis>,
-    /// When anything about it last changed.
+    /// When the entry last changed.
     pub(super) changed_at: Millis,
-    /// When anybody last asked for it.
+    /// When a caller last asked for the request.
     pub(super) asked_at: Millis,
-    /// Whether the platform's store holds that it is in quarantine.
+    /// Whether the platform's store contains the quarantine of the request.
     pub(super) is_recorded: bool,
 }
 
@@ -58,72 +59,72 @@
     }
 
     pub(super) fn is_quarantined(&self) -> bool {
-        self.crashes.len() >= QUARANTINE_AT
+        self.crashes.len() >= QUARANTINE_THRESHOLD
     }
 
     pub(super) fn is_fresh(&self, now: Millis) -> bool {
-        now.since(self.changed_at).0 <= FRESH
+        now.since(self.changed_at).0 <= FRESH_MS
     }
 
-    /// Until when it is kept.
-    pub(super) fn kept_until(&self) -> Millis {
+    /// When the entry expires.
+    pub(super) fn expires_at(&self) -> Millis {
         let memory = match self.crashes.len() {
-            0 => SUCCESS_MEMORY,
-            crashes if crashes < QUARANTINE_AT => SUSPECT_MEMORY,
-            _ => QUARANTINE_MEMORY,
+            0 => SUCCESS_TTL_MS,
+            crashes if crashes < QUARANTINE_THRESHOLD => SUSPECT_TTL_MS,
+            _ => QUARANTINE_TTL_MS,
         };
         self.changed_at.max(self.asked_at).plus(memory)
     }
 
-    /// Adds a crash. Whether it is news.
+    /// Adds a crash. Returns whether the entry changed.
     pub(super) fn add(&mut self, life: LifeDigest, at: Millis) -> bool {
-        if self.succeeded_at.is_some_and(|it| at <= it.plus(SUCCESS_COUNTS_FOR)) {
+        if self.succeeded_at.is_some_and(|it| at <= it.plus(SUCCESS_GRACE_MS)) {
             return false;
         }
         if let Some(known) = self.crashes.get_mut(&life) {
-            // The latest word counts, so that all processes end up with the same one.
+            // The latest report counts, so that all processes converge on the same time.
             *known = (*known).max(at);
             return false;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES_PER_REQUEST {
             return false;
         }
         self.crashes.insert(life, at);
         true
     }
 
-    /// Takes all suspicion from before a success. Whether it is news.
+    /// Records a success and removes the crashes that it makes void. Returns whether crashes were removed.
     pub(super) fn clear(&mut self, at: Millis) -> bool {
         if self.succeeded_at.is_some_and(|it| at <= it) {
             return false;
         }
         self.succeeded_at = Some(at);
         let before = self.crashes.len();
-        self.crashes.retain(|_, crashed_at| *crashed_at > at.plus(SUCCESS_COUNTS_FOR));
+        self.crashes.retain(|_, crashed_at| *crashed_at > at.plus(SUCCESS_GRACE_MS));
         self.crashes.len() < before
     }
 
-    /// Takes in what another process tells of it. Whether there is news.
+    /// Merges what another process reports of the request. Returns whether the entry changed.
     pub(super) fn merge(&mut self, now: Millis, told: &ToldRequest) -> bool {
         let is_recorded = told.is_recorded && !self.is_recorded;
         self.is_recorded |= told.is_recorded;
         let success = told.success_age_ms.map(|age| now.minus(u64::from(age)));
         let is_cleared = success.is_some_and(|at| self.clear(at));
-        let mut is_news = is_cleared || is_recorded;
+        let mut is_changed = is_cleared || is_recorded;
         for crash in &told.crashes {
-            is_news |= self.add(crash.life, now.minus(u64::from(crash.age_ms)));
+            is_changed |= self.add(crash.life, now.minus(u64::from(crash.age_ms)));
         }
-        is_news
+        is_changed
     }
 
-    /// When it may be tried once more, if it may.
+    /// When the request may be probed, if it may.
     pub(super) fn probe_at(&self) -> Option<Millis> {
         let last = self.crashes.values().max()?;
-        let pause = PROBE_PAUSE << (2 * (self.crashes.len() - QUARANTINE_AT));
-        (self.crashes.len() <= LAST_PROBE).then(|| last.plus(pause))
+        let pause = FIRST_PROBE_DELAY_MS << (2 * (self.crashes.len() - QUARANTINE_THRESHOLD));
+        (self.crashes.len() <= MAX_CRASHES_FOR_PROBE).then(|| last.plus(pause))
     }
 
-    /// It as other processes are told of it.
+    /// The entry in the form that is sent to other processes.
     pub(super) fn told(&self, now: Millis, digest: RequestDigest) -> ToldRequest {
         let age = |at: Millis| u32::try_from(now.since(at).0).unwrap_or(u32::MAX);
         let crash =
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,6 +1,8 @@
-//! Requests that crash the runners that begin them: found, remembered by all processes together, and refused.
+//! Detection of requests that crash the runners that process them. The processes of a fleet share what they
+//! observe, and refuse such requests.
 //!
-//! Pure: times come with the calls, and drivers carry lists between processes and rows to the store.
+//! The crate performs no I/O and reads no clock: callers pass the time, and drivers send lists between
+//! processes and store rows.
 
 mod crashes;
 mod digest;
--- a/components/quarantine/src/life.rs
+++ b/components/quarantine/src/life.rs
@@ -1,15 +1,15 @@
-//! One life of a runner, as crashes are counted by.
+//! Identifies one incarnation of a runner. Crashes are counted by incarnation.
 
 use fleet::InstanceId;
 use serde::{Deserialize, Serialize};
 
-/// One life of a runner, in short.
+/// A short digest of one incarnation of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LifeDigest(u32);
 
 impl LifeDigest {
-    /// The life of a runner that goes by this id, and says that it was born then.
+    /// Computes the digest from the id of a runner and the start time that it reports.
     pub fn of(id: &InstanceId, born: Option<u64>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&born.unwrap_or(0).to_le_bytes());
--- a/components/quarantine/src/record.rs
+++ b/components/quarantine/src/record.rs
@@ -1,6 +1,7 @@
-//! The record of requests in quarantine in the platform's store: it outlasts every process.
+//! The rows of quarantined requests in the platform's store, which persist when every process has stopped.
 //!
-//! A gateway that starts reads it once; while the fleet lives, gateways hear of each other's quarantines through sidecars.
+//! A gateway reads the rows once, at its start. While the fleet is running, gateways learn of each other's
+//! quarantines through sidecars.
 
 use std::collections::BTreeMap;
 
@@ -12,81 +13,84 @@
 use crate::life::LifeDigest;
 use crate::told::CrashList;
 
-/// How long the gateway that put a request into quarantine has to write the row before others try, in
-/// milliseconds: a call and another one. The others come apart over the same time, so that the row is there
-/// well before all must have heard, also where none found it alone.
-const OTHERS_AFTER: u64 = 700;
-/// The pause after the first call that failed, in milliseconds; it doubles with each.
-const FIRST_PAUSE: u64 = 250;
-/// How often the pause is doubled at most.
-const MOST_DOUBLINGS: u32 = 4;
-
-/// A call that is due.
+/// Delay before a gateway writes the row of a request that another gateway quarantined: time for two calls by
+/// that gateway. The other gateways are spread at random over a further period of the same length. The row is
+/// thus stored well before every gateway must know of the quarantine, also if the crashes were observed by
+/// different gateways.
+const OTHERS_WRITE_DELAY_MS: u64 = 700;
+/// Delay after the first failed call; it doubles with each further failure.
+const FIRST_RETRY_DELAY_MS: u64 = 250;
+/// Most doublings of the delay.
+const MAX_DOUBLINGS: u32 = 4;
+
+/// A call to the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuarantineCall {
     /// Read every row.
     Read,
-    /// Write the row of a request, with the lives that ended under it. Doing it twice is doing it once.
+    /// Write the row of a request, with the runner incarnations that crashed under it. The call is
+    /// idempotent.
     Write(RequestDigest, Vec<LifeDigest>),
-    /// Remove the row of a request that ended well.
+    /// Remove the row of a request that succeeded.
     Remove(RequestDigest),
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuarantineAnswer {
     /// The rows.
     Rows(CrashList),
-    /// It is written or removed.
+    /// The row was written or removed.
     Done,
-    /// Nothing was done, or nobody knows.
+    /// The call failed, or its outcome is unknown.
     Failed,
 }
 
-/// Over how many milliseconds rows are written again that the store may have lost.
-const AGAIN_WITHIN: u64 = 2000;
-/// How long after it was removed a row may come back with an older copy of the store, in milliseconds: far
-/// longer than copies are old.
-const OLDEST_COPY: u64 = 60_000;
+/// Period over which rows that the store may have lost are written again.
+const REWRITE_SPREAD_MS: u64 = 2000;
+/// How long after its removal a row may reappear because the store was restored from an older copy. Copies
+/// are much younger than this.
+const MAX_STORE_COPY_AGE_MS: u64 = 60_000;
 
-/// What is to be done about a row.
+/// The target state of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wanted {
-    There,
-    /// It was there, and the store may have lost it.
-    ThereAgain,
-    Gone,
+enum TargetState {
+    Present,
+    /// The row was stored before, but the store may have lost it.
+    PresentAgain,
+    Absent,
 }
 
-/// What is to be read and written.
+/// Schedules the reads and writes of the rows.
 #[derive(Clone, Debug)]
 pub struct QuarantineRecord {
-    /// When the record is to be read. `None` once it was.
+    /// When the rows are to be read. `None` once they have been.
     read_at: Option<Millis>,
-    rows: BTreeMap<RequestDigest, (Wanted, Millis)>,
+    rows: BTreeMap<RequestDigest, (TargetState, Millis)>,
     /// Rows that this process removed, and when.
     removed: BTreeMap<RequestDigest, Millis>,
     failures: u32,
 }
 
 impl QuarantineRecord {
-    /// Starts with everything to read.
+    /// Creates a schedule that starts with reading all rows.
     pub fn new(now: Millis) -> Self {
         Self { read_at: Some(now), rows: BTreeMap::new(), removed: BTreeMap::new(), failures: 0 }
     }
 
-    /// Takes in that the status of a request has changed.
+    /// Schedules the write or removal that follows from a change of status.
     pub fn hear(&mut self, now: Millis, seed: u64, news: &CrashNews) {
         let CrashNews::Changed { change, is_own } = news else {
             return;
         };
         match change {
             CrashChange::Quarantined(digest) => {
-                let wait = if *is_own { 0 } else { OTHERS_AFTER + seed % OTHERS_AFTER };
-                self.rows.insert(*digest, (Wanted::There, now.plus(wait)));
+                let delay =
+                    if *is_own { 0 } else { OTHERS_WRITE_DELAY_MS + seed % OTHERS_WRITE_DELAY_MS };
+                self.rows.insert(*digest, (TargetState::Present, now.plus(delay)));
             }
             CrashChange::Cleared { digest, was_quarantined } if *is_own && *was_quarantined => {
-                self.rows.insert(*digest, (Wanted::Gone, now));
+                self.rows.insert(*digest, (TargetState::Absent, now));
             }
             CrashChange::Cleared { digest, .. } => {
                 self.rows.remove(digest);
@@ -94,26 +98,27 @@
         }
     }
 
-    /// The store came back from an older copy. The rows of these requests in quarantine are written again, and those that
-    /// were removed lately are removed again: the copy may have them.
+    /// Handles that the store was restored from an older copy. The rows of the `quarantined` requests are
+    /// written again, and those that were removed recently are removed again, because the copy may contain
+    /// them.
     pub fn note_went_back(
         &mut self,
         now: Millis,
         seed: u64,
         quarantined: impl IntoIterator<Item = RequestDigest>,
     ) {
-        let at = now.plus(seed % AGAIN_WITHIN);
+        let at = now.plus(seed % REWRITE_SPREAD_MS);
         for digest in quarantined {
-            self.rows.entry(digest).or_insert((Wanted::ThereAgain, at));
+            self.rows.entry(digest).or_insert((TargetState::PresentAgain, at));
         }
-        self.removed.retain(|_, removed_at| now.since(*removed_at).0 <= OLDEST_COPY);
+        self.removed.retain(|_, removed_at| now.since(*removed_at).0 <= MAX_STORE_COPY_AGE_MS);
         for digest in self.removed.keys() {
-            self.rows.entry(*digest).or_insert((Wanted::Gone, at));
+            self.rows.entry(*digest).or_insert((TargetState::Absent, at));
         }
     }
 
-    /// The call that is due. `lives` gives the lives that ended under a request in quarantine; where it is told so, only of
-    /// one whose row is not known to be written.
+    /// The call that is due. `lives` returns the runner incarnations that crashed under a quarantined
+    /// request; if its second argument is true, only for a request whose row is not known to be stored.
     pub fn due(
         &mut self,
         now: Millis,
@@ -122,19 +127,19 @@
         if self.read_at.is_some_and(|at| at <= now) {
             return Some(QuarantineCall::Read);
         }
-        let written = |digest: &RequestDigest, wanted: &Wanted| match wanted {
-            Wanted::There => lives(*digest, true),
-            Wanted::ThereAgain => lives(*digest, false),
-            Wanted::Gone => None,
+        let written = |digest: &RequestDigest, target: &TargetState| match target {
+            TargetState::Present => lives(*digest, true),
+            TargetState::PresentAgain => lives(*digest, false),
+            TargetState::Absent => None,
         };
-        self.rows.retain(|digest, (wanted, _)| {
-            *wanted == Wanted::Gone || written(digest, wanted).is_some()
+        self.rows.retain(|digest, (target, _)| {
+            *target == TargetState::Absent || written(digest, target).is_some()
         });
-        let (digest, (wanted, _)) = self.rows.iter().find(|(_, (_, at))| *at <= now)?;
-        match wanted {
-            Wanted::Gone => Some(QuarantineCall::Remove(*digest)),
-            Wanted::There | Wanted::ThereAgain => {
-                written(digest, wanted).map(|lives| QuarantineCall::Write(*digest, lives))
+        let (digest, (target, _)) = self.rows.iter().find(|(_, (_, at))| *at <= now)?;
+        match target {
+            TargetState::Absent => Some(QuarantineCall::Remove(*digest)),
+            TargetState::Present | TargetState::PresentAgain => {
+                written(digest, target).map(|lives| QuarantineCall::Write(*digest, lives))
             }
         }
     }
@@ -144,7 +149,7 @@
         self.rows.values().map(|it| it.1).chain(self.read_at).min()
     }
 
-    /// Takes in what became of a call. Gives the request whose row is written.
+    /// Handles the result of a call. Returns the request whose row was written.
     pub fn take(
         &mut self,
         now: Millis,
@@ -159,40 +164,40 @@
                 None
             }
             (QuarantineCall::Write(digest, _), QuarantineAnswer::Done) => {
-                self.settle(*digest, &[Wanted::There, Wanted::ThereAgain]);
+                self.settle(*digest, &[TargetState::Present, TargetState::PresentAgain]);
                 Some(*digest)
             }
             (QuarantineCall::Remove(digest), QuarantineAnswer::Done) => {
-                self.settle(*digest, &[Wanted::Gone]);
+                self.settle(*digest, &[TargetState::Absent]);
                 self.removed.insert(*digest, now);
                 None
             }
             (call, _) => {
-                self.wait(now, seed, call);
+                self.back_off(now, seed, call);
                 None
             }
         }
     }
 
-    /// A row is as it was wanted, unless something else is wanted by now.
-    fn settle(&mut self, digest: RequestDigest, done: &[Wanted]) {
+    /// Unschedules a row that is in its target state, unless the target has changed since.
+    fn settle(&mut self, digest: RequestDigest, done: &[TargetState]) {
         self.failures = 0;
         if self.rows.get(&digest).is_some_and(|it| done.contains(&it.0)) {
             self.rows.remove(&digest);
         }
     }
 
-    /// Puts a call that failed off, for longer each time.
-    fn wait(&mut self, now: Millis, seed: u64, call: &QuarantineCall) {
-        let pause = FIRST_PAUSE << self.failures.min(MOST_DOUBLINGS);
+    /// Schedules a failed call again, with exponential backoff.
+    fn back_off(&mut self, now: Millis, seed: u64, call: &QuarantineCall) {
+        let delay = FIRST_RETRY_DELAY_MS << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        // Those that failed together come apart.
-        let again = now.plus(pause / 2 + seed % pause);
+        // The jitter separates processes whose calls failed at the same time.
+        let retry_at = now.plus(delay / 2 + seed % delay);
         match call {
-            QuarantineCall::Read => self.read_at = Some(again),
+            QuarantineCall::Read => self.read_at = Some(retry_at),
             QuarantineCall::Write(digest, _) | QuarantineCall::Remove(digest) => {
                 if let Some((_, at)) = self.rows.get_mut(digest) {
-                    *at = again;
+                    *at = retry_at;
                 }
             }
         }
--- a/components/quarantine/src/told.rs
+++ b/components/quarantine/src/told.rs
@@ -1,16 +1,16 @@
-//! What processes tell each other of the requests that runners crashed under.
+//! The messages in which processes report crashes to each other.
 
 use serde::{Deserialize, Serialize};
 
 use crate::digest::RequestDigest;
 use crate::life::LifeDigest;
 
-/// A crash, as processes tell each other of it.
+/// A crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldCrash {
-    /// The life that ended.
+    /// The runner incarnation that crashed.
     pub life: LifeDigest,
-    /// How long ago, in milliseconds.
+    /// How long ago the crash was, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -19,26 +19,27 @@
 pub struct ToldRequest {
     /// The request.
     pub digest: RequestDigest,
-    /// The runners that crashed under it.
+    /// The crashes under the request.
     pub crashes: Vec<ToldCrash>,
-    /// How long ago it last ended well, in milliseconds, where that takes suspicion from it.
+    /// How long ago the request last succeeded, in milliseconds, if that success is still kept.
     pub success_age_ms: Option<u32>,
-    /// Whether the platform's store holds that it is in quarantine.
+    /// Whether the platform's store contains the quarantine of the request.
     pub is_recorded: bool,
 }
 
-/// A part of a ledger, as processes tell each other of it.
+/// A part of a ledger, in the form that is sent to other processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CrashList(pub Vec<ToldRequest>);
 
-/// Which part of a ledger is told.
+/// Which part of a ledger is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// What changed lately.
+    /// The entries that changed recently.
     Fresh,
-    /// What changed lately of requests that two runners or more crashed under: the next one may be the third.
+    /// The recently changed entries of requests that at least two runners crashed under, whose next crash may
+    /// be the third, and of requests that succeeded.
     FreshSuspects,
-    /// All requests that two runners or more crashed under, and what changed lately.
+    /// The entries of all requests that at least two runners crashed under, and all that changed recently.
     Suspects,
 }
--- a/components/quarantine/tests/digest.rs
+++ b/components/quarantine/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same.
+//! Tests of which requests get the same digest.
 
 use fleet::WorkspaceId;
 use quarantine::RequestDigest;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_request_that_comes_again_has_the_same_digest() {
+fn a_repeated_request_has_the_same_digest() {
     assert_eq!(digest("POST", "/a/b?c", "w", b"body"), digest("POST", "/a/b?c", "w", b"body"));
 }
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn every_part_of_a_request_tells_it_apart() {
+fn every_part_of_a_request_changes_the_digest() {
     let request = digest("POST", "/a", "w", b"body");
     assert_ne!(request, digest("PUT", "/a", "w", b"body"));
     assert_ne!(request, digest("POST", "/b", "w", b"body"));
@@ -28,6 +28,6 @@
 }
 
 #[test]
-fn parts_that_run_together_are_told_apart() {
+fn moving_bytes_between_parts_changes_the_digest() {
     assert_ne!(digest("POST", "/ab", "c", b""), digest("POST", "/a", "bc", b""));
 }
--- a/components/quarantine/tests/ledger.rs
+++ b/components/quarantine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Crashes under requests, added up over processes.
+//! Tests of the crash ledger and of merging it between processes.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
     ledger.note_crash(at(ms), REQUEST, life(number), at(ms))
 }
 
-/// A ledger in which runners crashed under the request, one a second.
+/// A ledger in which `runners` runners crashed under the request, one each second.
 fn crashed(runners: u8) -> CrashLedger {
     let mut ledger = CrashLedger::default();
     (0..runners).for_each(|it| {
@@ -34,12 +34,12 @@
     ledger.ask(at(ms), REQUEST)
 }
 
-fn is_quarantined(decision: RequestStatus) -> bool {
-    matches!(decision, RequestStatus::Quarantined { .. })
+fn is_quarantined(status_of_request: RequestStatus) -> bool {
+    matches!(status_of_request, RequestStatus::Quarantined { .. })
 }
 
 #[test]
-fn three_runners_bring_a_request_into_quarantine() {
+fn three_crashes_quarantine_a_request() {
     let mut ledger = crashed(2);
     assert_eq!(status(&mut ledger, 2000), RequestStatus::Suspect);
     assert_eq!(crash(&mut ledger, 2000, 2), Some(CrashChange::Quarantined(REQUEST)));
@@ -47,18 +47,18 @@
 }
 
 #[test]
-fn one_life_of_a_runner_counts_once_and_the_next_one_again() {
+fn each_incarnation_of_a_runner_counts_once() {
     let mut ledger = crashed(2);
     assert_eq!(crash(&mut ledger, 2000, 1), None);
     assert_eq!(status(&mut ledger, 2000), RequestStatus::Suspect);
-    let reborn = LifeDigest::of(&"i-1".into(), Some(1));
-    assert_ne!(reborn, life(1));
-    ledger.note_crash(at(2000), REQUEST, reborn, at(2000));
+    let restarted = LifeDigest::of(&"i-1".into(), Some(1));
+    assert_ne!(restarted, life(1));
+    ledger.note_crash(at(2000), REQUEST, restarted, at(2000));
     assert!(is_quarantined(status(&mut ledger, 2000)));
 }
 
 #[test]
-fn suspicions_that_are_still_open_count_with_the_crashes() {
+fn pending_suspicions_count_as_crashes() {
     let ledger = crashed(2);
     let open = |numbers: &[u8]| numbers.iter().map(|it| life(*it)).collect::<BTreeSet<_>>();
     assert_eq!(ledger.status(at(2000), REQUEST, &open(&[1])), RequestStatus::Suspect);
@@ -66,20 +66,20 @@
 }
 
 #[test]
-fn a_success_takes_all_suspicion_and_older_news_does_not_bring_it_back() {
+fn a_success_clears_a_request_and_older_reports_do_not_restore_its_crashes() {
     let mut ledger = crashed(3);
     let older = ledger.list(at(2500), Told::Suspects, 0);
     let cleared = ledger.note_success(at(3000), REQUEST, at(3000));
     let change = CrashChange::Cleared { digest: REQUEST, was_quarantined: true };
     assert_eq!(cleared, Some(change));
     assert_eq!(status(&mut ledger, 3000), RequestStatus::Clear);
-    // It was on its way for 900 ms: the ages that it tells are as they were when it left.
+    // The list was in transit for 900 ms; its ages are as of when it was sent.
     assert_eq!(ledger.take(at(2900), &older), []);
     assert_eq!(status(&mut ledger, 3400), RequestStatus::Clear);
 }
 
 #[test]
-fn a_success_is_told_to_those_who_know_of_crashes() {
+fn a_success_is_reported_to_processes_that_know_of_the_crashes() {
     let mut ledger = crashed(3);
     let mut other = CrashLedger::default();
     other.take(at(2500), &ledger.list(at(2500), Told::FreshSuspects, 0));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_success_speaks_for_a_request_for_three_seconds() {
+fn crashes_within_three_seconds_of_a_success_are_ignored() {
     let mut ledger = crashed(2);
     ledger.note_success(at(2500), REQUEST, at(2500));
     for number in 3..6 {
@@ -105,14 +105,14 @@
 }
 
 #[test]
-fn a_request_that_nobody_suspects_is_not_kept() {
+fn a_success_of_an_unsuspected_request_is_not_kept() {
     let mut ledger = CrashLedger::default();
     assert_eq!(ledger.note_success(at(0), REQUEST, at(0)), None);
     assert_eq!(ledger.list(at(0), Told::Fresh, 0).0, []);
 }
 
 #[test]
-fn a_request_in_quarantine_may_be_tried_after_ten_seconds_and_after_forty_more_and_then_no_more() {
+fn a_quarantined_request_is_probed_after_ten_seconds_then_after_forty_more_and_never_again() {
     let probe = |ledger: &mut CrashLedger, ms| match status(ledger, ms) {
         RequestStatus::Quarantined { probe_in_ms } => probe_in_ms,
         other => panic!("{other:?}"),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn quarantine_lasts_as_long_as_anybody_asks_and_an_hour_more() {
+fn quarantine_ends_an_hour_after_the_last_request() {
     let mut ledger = crashed(3);
     let hour = 3600 * SECOND;
     assert!(is_quarantined(status(&mut ledger, hour)));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_is_kept_and_told_is_bounded_and_those_with_most_crashes_go_first() {
+fn ledger_and_lists_are_bounded_and_requests_with_most_crashes_come_first() {
     let mut ledger = crashed(3);
     for number in 100..5000 {
         ledger.note_crash(at(4000), RequestDigest(number), life(9), at(4000));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn whoever_has_forgotten_hears_of_old_quarantines_one_by_one() {
+fn older_quarantines_are_sent_one_per_list() {
     let mut ledger = CrashLedger::default();
     for digest in [1, 2, 3].map(RequestDigest) {
         for number in 0..3 {
@@ -167,46 +167,46 @@
     assert_eq!(other.count(), (3, 3));
 }
 
-/// What one process sees of a request.
+/// What one process observes of a request.
 #[derive(Clone, Debug)]
-enum Seen {
+enum Observation {
     Crash(u8),
     Success,
 }
 
 proptest! {
-    /// Processes tell each other at random moments, lists are told twice or not at all. When all have told all, they
-    /// know the same, and it is what one that had seen everything would know.
+    /// Processes exchange lists at random times; a list may be sent twice or not at all. Once every process
+    /// has sent its list to all others, all ledgers agree with one that recorded every observation.
     #[test]
-    fn ledgers_that_were_united_agree(
-        seen in prop::collection::vec(
-            (0..4usize, prop_oneof![4 => (0..6u8).prop_map(Seen::Crash), 1 => Just(Seen::Success)]),
+    fn merged_ledgers_agree(
+        observations in prop::collection::vec(
+            (0..4usize, prop_oneof![4 => (0..6u8).prop_map(Observation::Crash), 1 => Just(Observation::Success)]),
             1..24,
         ),
-        talks in prop::collection::vec((0..4usize, 0..4usize, 0..24usize), 0..40),
+        exchanges in prop::collection::vec((0..4usize, 0..4usize, 0..24usize), 0..40),
     ) {
         let mut ledgers = vec![CrashLedger::default(); 4];
-        let mut whole = CrashLedger::default();
-        for (step, (process, what)) in seen.iter().enumerate() {
+        let mut reference = CrashLedger::default();
+        for (step, (process, observation)) in observations.iter().enumerate() {
             let now = step as u64 * 100;
-            match what {
-                Seen::Crash(number) => {
+            match observation {
+                Observation::Crash(number) => {
                     ledgers[*process].note_crash(at(now), REQUEST, life(*number), at(now));
-                    whole.note_crash(at(now), REQUEST, life(*number), at(now));
+                    reference.note_crash(at(now), REQUEST, life(*number), at(now));
                 }
-                // Who does not know of a crash has no reason to tell of a success.
-                Seen::Success if ledgers[*process].crashes(REQUEST) > 0 => {
+                // A process that knows of no crash does not report a success.
+                Observation::Success if ledgers[*process].crashes(REQUEST) > 0 => {
                     ledgers[*process].note_success(at(now), REQUEST, at(now));
-                    whole.note_success(at(now), REQUEST, at(now));
+                    reference.note_success(at(now), REQUEST, at(now));
                 }
-                Seen::Success => {}
+                Observation::Success => {}
             }
-            for (from, to, _) in talks.iter().filter(|it| it.2 == step) {
+            for (from, to, _) in exchanges.iter().filter(|it| it.2 == step) {
                 let told = ledgers[*from].list(at(now), Told::Fresh, 0);
                 ledgers[*to].take(at(now), &told);
             }
         }
-        let end = seen.len() as u64 * 100;
+        let end = observations.len() as u64 * 100;
         for _ in 0..2 {
             for from in 0..4 {
                 let told = ledgers[from].list(at(end), Told::Fresh, 0);
@@ -214,6 +214,6 @@
             }
         }
         let crashes: BTreeSet<usize> = ledgers.iter().map(|it| it.crashes(REQUEST)).collect();
-        prop_assert_eq!(crashes, BTreeSet::from([whole.crashes(REQUEST)]));
+        prop_assert_eq!(crashes, BTreeSet::from([reference.crashes(REQUEST)]));
     }
 }
