--- a/components/reducer/src/admission.rs
+++ b/components/reducer/src/admission.rs
@@ -1,4 +1,4 @@
-//! The last gate before an upstream.
+//! Admission control of an agent, the last check before a request is sent to the upstream.
 
 use std::collections::BTreeSet;
 
@@ -6,47 +6,47 @@
 use fleet::{Millis, RequestId, Rest, VersionId};
 use wire::{Call, Load, Serving};
 
-/// How an agent admits requests.
+/// Admits or rejects requests according to the limit and the state of the upstream.
 pub struct Admission {
     limit: u32,
     running: BTreeSet<RequestId>,
-    /// The rest that the upstream asked for.
+    /// The pause that the upstream has requested.
     rest: Rest<RequestId>,
-    /// Set once; an agent that stops never takes work again.
+    /// Never reset: an agent that stops does not admit work again.
     stopping: bool,
 }
 
-/// What the gate looks at besides its own count.
-pub struct Standing<'a> {
-    /// Whether the instance is leaving, by whichever route that became known.
+/// The state of the instance that decides on admission, besides the number of running requests.
+pub struct InstanceState<'a> {
+    /// Whether the instance is leaving, according to the configuration or the platform's list.
     pub leaving: bool,
-    /// What the engine serves; `None` beside a plain service.
+    /// What the engine serves; `None` for a plain service.
     pub serving: Option<&'a [Serving]>,
-    /// Whether this agent knows that its configuration is not behind.
+    /// Whether this agent knows that its configuration is up to date.
     pub current: bool,
 }
 
 impl Admission {
-    /// A gate that lets `limit` requests run at once.
+    /// Creates an admission control that lets `limit` requests run at once.
     pub fn new(limit: u32) -> Self {
         Self { limit, running: BTreeSet::new(), rest: Rest::default(), stopping: false }
     }
 
-    /// Takes a request in, or says why not. A refused request has certainly not run.
+    /// Admits a request, or returns the reason for rejecting it. A rejected request has not run.
     pub fn admit(
         &mut self,
         now: Millis,
         arrived: Millis,
         call: &Call,
-        standing: &Standing<'_>,
+        state: &InstanceState<'_>,
     ) -> Result<Option<VersionId>, Code> {
         if self.stopping {
             return Err(Code::Stopping);
         }
-        if standing.leaving {
+        if state.leaving {
             return Err(Code::Leaving);
         }
-        if !standing.current {
+        if !state.current {
             return Err(Code::NotReady);
         }
         if now.since(arrived).0 >= call.budget_ms {
@@ -55,9 +55,9 @@
         if self.running.contains(&call.request) {
             return Err(Code::AlreadyRun);
         }
-        let version = find_version(call, standing.serving)?;
-        let has_room = (self.running.len() as u32) < self.limit;
-        if !has_room || !self.rest.admit(now, call.request) {
+        let version = find_version(call, state.serving)?;
+        let has_free_slot = (self.running.len() as u32) < self.limit;
+        if !has_free_slot || !self.rest.admit(now, call.request) {
             return Err(Code::Overloaded);
         }
         self.running.insert(call.request);
@@ -65,15 +65,16 @@
         Ok(version)
     }
 
-    /// Gives the place of a request back.
+    /// Frees the slot of a request.
     pub fn end(&mut self, request: RequestId) {
         self.running.remove(&request);
         self.rest.note_end(request);
     }
 
-    /// Takes in that the upstream began to answer a request, or turned it away and wants to be left alone
-    /// for so many milliseconds. Otherwise requests would go on to an upstream that has asked for rest.
-    pub fn take_answer(&mut self, now: Millis, request: RequestId, rest_ms: u64) {
+    /// Handles that the upstream began to answer a request (`rest_ms` is zero) or rejected it and requested a
+    /// pause of `rest_ms`. Without this, requests would still be sent to an upstream that has requested a
+    /// pause.
+    pub fn handle_answer(&mut self, now: Millis, request: RequestId, rest_ms: u64) {
         if rest_ms > 0 {
             self.rest.begin(now, rest_ms);
         } else {
@@ -81,17 +82,17 @@
         }
     }
 
-    /// How much longer the upstream wants to be left alone, in milliseconds.
+    /// The remaining pause that the upstream has requested, in milliseconds.
     pub fn rest_left_ms(&self, now: Millis) -> u64 {
         self.rest.left_ms(now)
     }
 
-    /// Takes no new work from now on.
+    /// Rejects all further requests.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether a stop was asked for and nothing runs any more.
+    /// Whether the agent is stopping and no request is running.
     pub fn is_drained(&self) -> bool {
         self.stopping && self.running.is_empty()
     }
@@ -102,7 +103,7 @@
     }
 }
 
-/// The version that answers the call, `None` beside a plain service.
+/// The version that will answer the call; `None` for a plain service.
 fn find_version(call: &Call, serving: Option<&[Serving]>) -> Result<Option<VersionId>, Code> {
     let Some(serving) = serving else {
         return if call.model.is_none() { Ok(None) } else { Err(Code::NotServing) };
--- a/components/reducer/src/admission/tests.rs
+++ b/components/reducer/src/admission/tests.rs
@@ -19,46 +19,46 @@
     }
 }
 
-const OPEN: Standing<'_> = Standing { leaving: false, serving: None, current: true };
+const AVAILABLE: InstanceState<'_> = InstanceState { leaving: false, serving: None, current: true };
 
 #[test]
-fn can_admit_up_to_the_limit_and_again_after_an_end() {
-    let mut gate = Admission::new(1);
+fn admits_up_to_the_limit_and_again_after_a_request_has_ended() {
+    let mut admission = Admission::new(1);
     let now = Millis(0);
-    assert!(gate.admit(now, now, &call(1), &OPEN).is_ok());
-    assert_eq!(gate.admit(now, now, &call(2), &OPEN), Err(Code::Overloaded));
-    gate.end(call(1).request);
-    assert!(gate.admit(now, now, &call(2), &OPEN).is_ok());
+    assert!(admission.admit(now, now, &call(1), &AVAILABLE).is_ok());
+    assert_eq!(admission.admit(now, now, &call(2), &AVAILABLE), Err(Code::Overloaded));
+    admission.end(call(1).request);
+    assert!(admission.admit(now, now, &call(2), &AVAILABLE).is_ok());
 }
 
 #[test]
-fn refuses_new_work_when_leaving_or_stopping() {
-    let mut gate = Admission::new(4);
+fn rejects_new_work_when_leaving_or_stopping() {
+    let mut admission = Admission::new(4);
     let now = Millis(0);
-    let leaving = Standing { leaving: true, ..OPEN };
-    assert_eq!(gate.admit(now, now, &call(1), &leaving), Err(Code::Leaving));
-    gate.stop();
-    assert_eq!(gate.admit(now, now, &call(1), &OPEN), Err(Code::Stopping));
-    assert!(gate.is_drained());
+    let leaving = InstanceState { leaving: true, ..AVAILABLE };
+    assert_eq!(admission.admit(now, now, &call(1), &leaving), Err(Code::Leaving));
+    admission.stop();
+    assert_eq!(admission.admit(now, now, &call(1), &AVAILABLE), Err(Code::Stopping));
+    assert!(admission.is_drained());
 }
 
 #[test]
-fn refuses_a_call_whose_time_ran_out_while_it_waited() {
-    let mut gate = Admission::new(4);
-    let late = gate.admit(Millis(5000), Millis(3000), &call(1), &OPEN);
+fn rejects_a_call_whose_deadline_passed_while_it_waited() {
+    let mut admission = Admission::new(4);
+    let late = admission.admit(Millis(5000), Millis(3000), &call(1), &AVAILABLE);
     assert_eq!(late, Err(Code::TooLate));
 }
 
 #[test]
-fn refuses_a_version_that_is_not_loaded() {
+fn rejects_a_version_that_is_not_loaded() {
     let serving =
         [Serving { model: "tips".into(), version: VersionId([1; 32]), role: fleet::Role::Serve }];
-    let standing = Standing { serving: Some(&serving), ..OPEN };
-    let mut gate = Admission::new(4);
+    let state = InstanceState { serving: Some(&serving), ..AVAILABLE };
+    let mut admission = Admission::new(4);
     let mut wanted = call(1);
     wanted.model = Some("tips".into());
     wanted.version = Some(VersionId([2; 32]));
-    assert_eq!(gate.admit(Millis(0), Millis(0), &wanted, &standing), Err(Code::NotServing));
+    assert_eq!(admission.admit(Millis(0), Millis(0), &wanted, &state), Err(Code::NotServing));
     wanted.version = Some(VersionId([1; 32]));
-    assert!(gate.admit(Millis(0), Millis(0), &wanted, &standing).is_ok());
+    assert!(admission.admit(Millis(0), Millis(0), &wanted, &state).is_ok());
 }
--- a/components/reducer/src/agent/mod.rs
+++ b/components/reducer/src/agent/mod.rs
@@ -12,7 +12,7 @@
 use wire::{Call, DatagramBody, Load, MemberRecord, Serving};
 
 pub use self::event::{AgentEffect, AgentEvent, AgentOptions, Order};
-use crate::admission::{Admission, Standing};
+use crate::admission::{Admission, InstanceState};
 use crate::control::{Control, ControlEffect, ControlEvent};
 use crate::spread::Spread;
 use crate::Seed;
@@ -104,7 +104,7 @@
                 vec![self.admit(now, call, arrived, &request)]
             }
             AgentEvent::UpstreamAnswered { request, rest_ms } => {
-                self.admission.take_answer(now, request, rest_ms);
+                self.admission.handle_answer(now, request, rest_ms);
                 Vec::new()
             }
             AgentEvent::CallEnded(request) => {
@@ -152,12 +152,12 @@
 
     fn admit(&mut self, now: Millis, call: u64, arrived: Millis, request: &Call) -> AgentEffect {
         let me = &self.control.members.me().id;
-        let standing = Standing {
+        let state = InstanceState {
             leaving: self.control.is_leaving(me),
             serving: self.is_engine.then_some(self.serving.as_slice()),
             current: self.control.is_current(),
         };
-        match self.admission.admit(now, arrived, request, &standing) {
+        match self.admission.admit(now, arrived, request, &state) {
             Ok(version) => {
                 let switching =
                     request.model.as_ref().is_some_and(|model| self.orders.contains_key(model));
--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -97,7 +97,7 @@
             spread.set_participants(now, &participants);
         }
         if strangers {
-            self.control.hasten_list(now);
+            self.control.schedule_list_read(now);
         }
     }
 
--- a/components/reducer/src/changes.rs
+++ b/components/reducer/src/changes.rs
@@ -1,61 +1,61 @@
-//! How a plan is made, saved, confirmed and settled. Every change is a compare-and-set on one row
-//! of the table, so two operators cannot both win, and a lost answer is settled by reading back.
+//! Creates, saves and confirms plans. Every change is a compare-and-set on one row of the table, so that only
+//! one of two concurrent operators succeeds. If the answer to a write is lost, the row is read again to
+//! determine the outcome.
 
 use std::collections::BTreeMap;
 
 use errors::{Code, Error};
 use fleet::{Configuration, Intent, Millis, Plan, Release, Revision};
 
-/// How often the head row is written or read again for one confirmation before the operator is told
-/// that the outcome is unknown.
-const SETTLE_TRIES: u32 = 5;
+/// Most reads and writes of the head row for one confirmation before its outcome is reported as unknown.
+const MAX_SETTLE_ATTEMPTS: u32 = 5;
 
-/// The head row: the configuration and the tag a write must be based on.
+/// The head row: the configuration, and the tag that the next write must name.
 pub type Head = Option<(Box<Configuration>, String)>;
 
-/// What happens to a change.
+/// An event concerning a change.
 #[derive(Clone, Debug)]
 pub enum ChangeEvent {
     /// An operator declares an intent.
     Ask {
-        /// Names the operator's call.
+        /// Identifies the operator's call.
         call: u64,
         /// The intent.
         intent: Box<Intent>,
-        /// What the intent's version is, if it names one that exists.
+        /// The release that the intent names, if it exists.
         release: Option<Release>,
     },
     /// An operator confirms a plan that was read from the table.
     Confirm {
-        /// Names the operator's call.
+        /// Identifies the operator's call.
         call: u64,
         /// The plan.
         plan: Box<Plan>,
     },
-    /// The plan was saved, or not.
+    /// The table answered the request to save a plan.
     PlanSaved {
         /// The call.
         call: u64,
-        /// What the table said.
+        /// The result from the table.
         result: Result<(), Error>,
     },
-    /// The head row was read, or not.
+    /// The table answered the read of the head row.
     HeadRead {
         /// The call.
         call: u64,
-        /// What the table said.
+        /// The result from the table.
         result: Result<Head, Error>,
     },
-    /// The head row was written, or not.
+    /// The table answered the write of the head row.
     HeadWritten {
         /// The call.
         call: u64,
-        /// What the table said.
+        /// The result from the table.
         result: Result<(), Error>,
     },
 }
 
-/// What is to be done for a change.
+/// An action to perform for a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeEffect {
     /// Read the head row.
@@ -63,13 +63,13 @@
         /// The call.
         call: u64,
     },
-    /// Make a plan on this configuration.
+    /// Create a plan based on this configuration.
     MakePlan {
         /// The call.
         call: u64,
         /// The intent.
         intent: Box<Intent>,
-        /// The release it names.
+        /// The release that the intent names.
         release: Option<Release>,
         /// The configuration the table holds.
         base: Box<Configuration>,
@@ -87,10 +87,10 @@
         call: u64,
         /// The new configuration.
         configuration: Box<Configuration>,
-        /// The tag the row must have; none for a row that must not exist.
+        /// The tag that the row must have; `None` if the row must not exist.
         tag: Option<String>,
     },
-    /// Put a configuration that the table accepted in force here.
+    /// Apply a configuration that the table has accepted.
     Adopt(Box<Configuration>),
     /// Answer the operator.
     Reply {
@@ -101,50 +101,50 @@
     },
 }
 
-/// What an operator is told.
+/// The answer to an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A plan.
     Planned(Box<Plan>),
     /// The plan is in force as of this revision.
     Accepted(Revision),
-    /// Neither.
+    /// The call failed.
     Failed(Error),
 }
 
-/// A call that waits for the table.
+/// The state of a call that waits for the table.
 enum Pending {
-    Asked { intent: Box<Intent>, release: Option<Release> },
+    Planning { intent: Box<Intent>, release: Option<Release> },
     Saving { plan: Box<Plan> },
-    Confirming { plan: Box<Plan>, written: Option<Box<Configuration>>, tries: u32 },
+    Confirming { plan: Box<Plan>, written: Option<Box<Configuration>>, attempts: u32 },
 }
 
-/// The changes that are under way at this entry.
+/// The changes in progress at this entry.
 #[derive(Default)]
 pub struct Changes {
     pending: BTreeMap<u64, Pending>,
 }
 
 impl Changes {
-    /// Takes in an event.
+    /// Handles an event.
     pub fn reduce(&mut self, now: Millis, event: ChangeEvent) -> Vec<ChangeEffect> {
         match event {
             ChangeEvent::Ask { call, intent, release } => {
-                self.pending.insert(call, Pending::Asked { intent, release });
+                self.pending.insert(call, Pending::Planning { intent, release });
                 vec![ChangeEffect::ReadHead { call }]
             }
             ChangeEvent::Confirm { call, plan } => {
-                self.pending.insert(call, Pending::Confirming { plan, written: None, tries: 0 });
+                self.pending.insert(call, Pending::Confirming { plan, written: None, attempts: 0 });
                 vec![ChangeEffect::ReadHead { call }]
             }
-            ChangeEvent::PlanSaved { call, result } => self.take_saved(call, result),
-            ChangeEvent::HeadRead { call, result } => self.take_head(now, call, result),
-            ChangeEvent::HeadWritten { call, result } => self.take_written(call, result),
+            ChangeEvent::PlanSaved { call, result } => self.handle_plan_saved(call, result),
+            ChangeEvent::HeadRead { call, result } => self.handle_head_read(now, call, result),
+            ChangeEvent::HeadWritten { call, result } => self.handle_head_written(call, result),
         }
     }
 
-    /// Takes in the plan that was made for a call.
-    pub fn take_plan(&mut self, call: u64, result: Result<Plan, Error>) -> Vec<ChangeEffect> {
+    /// Handles the plan that was created for a call.
+    pub fn handle_plan(&mut self, call: u64, result: Result<Plan, Error>) -> Vec<ChangeEffect> {
         match result {
             Ok(plan) => {
                 let plan = Box::new(plan);
@@ -155,7 +155,7 @@
         }
     }
 
-    fn take_saved(&mut self, call: u64, result: Result<(), Error>) -> Vec<ChangeEffect> {
+    fn handle_plan_saved(&mut self, call: u64, result: Result<(), Error>) -> Vec<ChangeEffect> {
         let Some(Pending::Saving { plan }) = self.pending.remove(&call) else {
             return Vec::new();
         };
@@ -166,29 +166,29 @@
         self.reply(call, outcome)
     }
 
-    fn take_head(
+    fn handle_head_read(
         &mut self,
         now: Millis,
         call: u64,
         result: Result<Head, Error>,
     ) -> Vec<ChangeEffect> {
         match (self.pending.remove(&call), result) {
-            (Some(Pending::Asked { intent, release }), Ok(head)) => {
+            (Some(Pending::Planning { intent, release }), Ok(head)) => {
                 let base = head.map(|(configuration, _)| configuration).unwrap_or_default();
                 vec![ChangeEffect::MakePlan { call, intent, release, base }]
             }
-            (Some(Pending::Confirming { plan, written, tries }), Ok(head)) => {
-                self.settle(now, call, plan, written, tries, head)
+            (Some(Pending::Confirming { plan, written, attempts }), Ok(head)) => {
+                self.settle(now, call, plan, written, attempts, head)
             }
-            (Some(Pending::Confirming { plan, written: Some(written), tries }), Err(_)) => {
-                // The write may have taken effect, so "nothing was written" would be a guess.
-                self.try_again(call, plan, written, tries, ChangeEffect::ReadHead { call })
+            (Some(Pending::Confirming { plan, written: Some(written), attempts }), Err(_)) => {
+                // The write may have taken effect, so the reply must not say that nothing was written.
+                self.retry(call, plan, written, attempts, ChangeEffect::ReadHead { call })
             }
             (Some(_), Err(error)) => {
                 let error = Error::new(Code::TableUnavailable, error.detail);
                 self.reply(call, Outcome::Failed(error))
             }
-            // A plan that is being saved waits for no head.
+            // A plan that is being saved does not wait for the head row.
             (Some(saving), Ok(_)) => {
                 self.pending.insert(call, saving);
                 Vec::new()
@@ -197,14 +197,15 @@
         }
     }
 
-    /// Compares the head row with the plan: done, still to be written, or overtaken.
+    /// Compares the head row with the plan, which may be in force already, still to be written, or based on
+    /// an outdated revision.
     fn settle(
         &mut self,
         now: Millis,
         call: u64,
         plan: Box<Plan>,
         written: Option<Box<Configuration>>,
-        tries: u32,
+        attempts: u32,
         head: Head,
     ) -> Vec<ChangeEffect> {
         let (current, tag) = match head {
@@ -225,16 +226,16 @@
             return self.reply(call, Outcome::Failed(error));
         }
         if written.is_none() && now >= plan.expires {
-            let error = Error::new(Code::PlanExpired, "make a new plan");
+            let error = Error::new(Code::PlanExpired, "create a new plan");
             return self.reply(call, Outcome::Failed(error));
         }
         let next = Box::new(current.apply(&plan.id, &plan.change));
         let write = ChangeEffect::WriteHead { call, configuration: next.clone(), tag };
-        self.try_again(call, plan, next, tries, write)
+        self.retry(call, plan, next, attempts, write)
     }
 
-    fn take_written(&mut self, call: u64, result: Result<(), Error>) -> Vec<ChangeEffect> {
-        let Some(Pending::Confirming { plan, written: Some(written), tries }) =
+    fn handle_head_written(&mut self, call: u64, result: Result<(), Error>) -> Vec<ChangeEffect> {
+        let Some(Pending::Confirming { plan, written: Some(written), attempts }) =
             self.pending.remove(&call)
         else {
             return Vec::new();
@@ -246,30 +247,30 @@
                 effects.extend(self.reply(call, Outcome::Accepted(revision)));
                 effects
             }
-            // Only a first write that was surely refused lets us say that nothing was written.
-            Err(Code::PlatformBusy | Code::Unreachable) if tries <= 1 => {
-                let error = Error::new(Code::TableUnavailable, "the table took no write");
+            // Only if the first write was certainly rejected can the reply say that nothing was written.
+            Err(Code::PlatformBusy | Code::Unreachable) if attempts <= 1 => {
+                let error = Error::new(Code::TableUnavailable, "the table rejected the write");
                 self.reply(call, Outcome::Failed(error))
             }
-            Err(_) => self.try_again(call, plan, written, tries, ChangeEffect::ReadHead { call }),
+            Err(_) => self.retry(call, plan, written, attempts, ChangeEffect::ReadHead { call }),
         }
     }
 
-    /// Goes on with a confirmation, unless it has been tried too often.
-    fn try_again(
+    /// Continues a confirmation, unless it has reached `MAX_SETTLE_ATTEMPTS`.
+    fn retry(
         &mut self,
         call: u64,
         plan: Box<Plan>,
         written: Box<Configuration>,
-        tries: u32,
+        attempts: u32,
         effect: ChangeEffect,
     ) -> Vec<ChangeEffect> {
-        if tries >= SETTLE_TRIES {
+        if attempts >= MAX_SETTLE_ATTEMPTS {
             let error = Error::new(Code::OutcomeUnknown, "the table's answers were lost");
             return self.reply(call, Outcome::Failed(error));
         }
         let written = Some(written);
-        self.pending.insert(call, Pending::Confirming { plan, written, tries: tries + 1 });
+        self.pending.insert(call, Pending::Confirming { plan, written, attempts: attempts + 1 });
         vec![effect]
     }
 
--- a/components/reducer/src/changes/tests.rs
+++ b/components/reducer/src/changes/tests.rs
@@ -1,42 +1,42 @@
-//! Changes against a table that loses answers and applies writes late, with operators that race.
-//! The oracle is the table itself: one line of revisions.
+//! Runs changes against a table that loses answers and applies writes late, with concurrent operators. The
+//! table is the oracle: it holds a single sequence of revisions.
 
 use super::*;
 use fleet::{Change, InstanceId, PlanId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// How a call to the table ends.
+/// The outcome of a call to the table.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// It takes effect and is answered.
+enum CallResult {
+    /// The call takes effect and is answered.
     Answered,
-    /// It takes effect and the answer is lost.
-    LostAfter,
-    /// It never reaches the table.
-    LostBefore,
-    /// It takes effect only at the end of the test.
-    Late,
-    /// The table refuses it by its rate limit.
+    /// The call takes effect and the answer is lost.
+    AnswerLost,
+    /// The call does not reach the table.
+    RequestLost,
+    /// The call takes effect after the confirmation has ended.
+    Delayed,
+    /// The table rejects the call because of its rate limit.
     Busy,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn call_result() -> impl Strategy<Value = CallResult> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        2 => Just(Fate::LostAfter),
-        1 => Just(Fate::LostBefore),
-        1 => Just(Fate::Late),
-        1 => Just(Fate::Busy),
+        4 => Just(CallResult::Answered),
+        2 => Just(CallResult::AnswerLost),
+        1 => Just(CallResult::RequestLost),
+        1 => Just(CallResult::Delayed),
+        1 => Just(CallResult::Busy),
     ]
 }
 
-/// A table with the one row that matters, and every configuration it ever held.
+/// A table with only the head row, and every configuration that it has held.
 #[derive(Default)]
 struct Table {
     row: Option<(Configuration, u64)>,
     history: Vec<Configuration>,
-    late: Vec<(Configuration, Option<String>)>,
+    delayed: Vec<(Configuration, Option<String>)>,
 }
 
 impl Table {
@@ -61,37 +61,37 @@
     }
 }
 
-fn lost() -> Error {
+fn answer_lost() -> Error {
     Error::new(Code::PlatformUnavailable, "lost")
 }
 
-/// Carries a confirmation to its outcome; `fates` are used up call by call.
+/// Runs a confirmation to its outcome, with one element of `call_results` for each call.
 fn confirm(
     table: &mut Table,
     changes: &mut Changes,
     plan: &Plan,
-    fates: &mut impl Iterator<Item = Fate>,
+    call_results: &mut impl Iterator<Item = CallResult>,
 ) -> Outcome {
     let event = ChangeEvent::Confirm { call: 1, plan: Box::new(plan.clone()) };
     let mut effects = changes.reduce(Millis(0), event);
     loop {
         let effect = effects.pop().expect("every call ends with a reply");
-        let fate = fates.next().unwrap_or(Fate::Answered);
+        let call_result = call_results.next().unwrap_or(CallResult::Answered);
         let event = match effect {
             ChangeEffect::Reply { outcome, .. } => return *outcome,
             ChangeEffect::ReadHead { call } => {
-                let answered = matches!(fate, Fate::Answered | Fate::Late);
-                let result = if answered { Ok(table.read()) } else { Err(lost()) };
+                let answered = matches!(call_result, CallResult::Answered | CallResult::Delayed);
+                let result = if answered { Ok(table.read()) } else { Err(answer_lost()) };
                 ChangeEvent::HeadRead { call, result }
             }
             ChangeEffect::WriteHead { call, configuration, tag } => {
-                let result = write(table, *configuration, tag, fate);
+                let result = write(table, *configuration, tag, call_result);
                 ChangeEvent::HeadWritten { call, result }
             }
             _ => continue,
         };
         effects = changes.reduce(Millis(0), event);
-        // The reply stands last in the list of effects.
+        // The reply is the last effect in the list.
     }
 }
 
@@ -99,20 +99,20 @@
     table: &mut Table,
     configuration: Configuration,
     tag: Option<String>,
-    fate: Fate,
+    call_result: CallResult,
 ) -> Result<(), Error> {
-    match fate {
-        Fate::Answered => table.write(configuration, tag),
-        Fate::LostAfter => {
+    match call_result {
+        CallResult::Answered => table.write(configuration, tag),
+        CallResult::AnswerLost => {
             let _ = table.write(configuration, tag);
-            Err(lost())
+            Err(answer_lost())
         }
-        Fate::LostBefore => Err(lost()),
-        Fate::Late => {
-            table.late.push((configuration, tag));
-            Err(lost())
+        CallResult::RequestLost => Err(answer_lost()),
+        CallResult::Delayed => {
+            table.delayed.push((configuration, tag));
+            Err(answer_lost())
         }
-        Fate::Busy => Err(Error::new(Code::PlatformBusy, "busy")),
+        CallResult::Busy => Err(Error::new(Code::PlatformBusy, "busy")),
     }
 }
 
@@ -135,26 +135,26 @@
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Default::default() })]
 
     #[test]
-    fn tells_operators_only_what_is_true(
-        rounds in proptest::collection::vec((0u64..4, proptest::collection::vec(fate(), 0..8)), 1..12),
+    fn replies_to_operators_agree_with_the_table(
+        rounds in proptest::collection::vec((0u64..4, proptest::collection::vec(call_result(), 0..8)), 1..12),
     ) {
         let mut table = Table::default();
-        let mut told = Vec::new();
-        for (number, (behind, fates)) in rounds.iter().enumerate() {
+        let mut replies = Vec::new();
+        for (number, (behind, call_results)) in rounds.iter().enumerate() {
             let head = table.row.as_ref().map_or(0, |(it, _)| it.revision.0);
             let plan = make_plan(number, Revision(head.saturating_sub(*behind)));
-            let mut fates = fates.iter().copied();
-            let outcome = confirm(&mut table, &mut Changes::default(), &plan, &mut fates);
-            // Writes that were held up reach the table between two confirmations.
-            for (configuration, tag) in std::mem::take(&mut table.late) {
+            let mut call_results = call_results.iter().copied();
+            let outcome = confirm(&mut table, &mut Changes::default(), &plan, &mut call_results);
+            // Delayed writes reach the table between two confirmations.
+            for (configuration, tag) in std::mem::take(&mut table.delayed) {
                 let _ = table.write(configuration, tag);
             }
-            told.push((plan, outcome));
+            replies.push((plan, outcome));
         }
         for (index, configuration) in table.history.iter().enumerate() {
             prop_assert_eq!(configuration.revision, Revision(index as u64 + 1));
         }
-        for (plan, outcome) in told {
+        for (plan, outcome) in replies {
             match outcome {
                 Outcome::Accepted(_) => prop_assert!(table.holds(&plan.id)),
                 Outcome::Failed(error) if error.code != Code::OutcomeUnknown => {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn refuses_an_expired_plan() {
+fn rejects_an_expired_plan() {
     let mut changes = Changes::default();
     let plan = Box::new(make_plan(1, Revision(0)));
     changes.reduce(Millis(5000), ChangeEvent::Confirm { call: 1, plan });
--- a/components/reducer/src/claims.rs
+++ b/components/reducer/src/claims.rs
@@ -1,34 +1,34 @@
-//! Claims on idempotency keys: a request under a key is only run by the one who holds the claim, and
-//! its answer is kept for whoever repeats it.
+//! Claims on idempotency keys. A request with a key is run only by the holder of the claim, and its answer is
+//! kept for repeated requests.
 
 use errors::Code;
 use fleet::{RequestId, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
-/// The answer of a finished request.
+/// The stored answer of a completed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: String,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// The row that records who may run a request under a key.
+/// The table row that records which request may run under a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// This request holds the claim; it may be running or may have run.
+    /// This request holds the claim; it may be running or have run.
     Held(RequestId),
-    /// The request that held it was certainly not run, so the next one may take it.
+    /// The request that held the claim has certainly not run, so the next one may claim the key.
     Released,
-    /// The request ran and was answered.
+    /// The request ran; this is its answer.
     Answered(SavedAnswer),
 }
 
 impl Claim {
-    /// The name of the row for a key. Keys of different workspaces never meet.
+    /// The name of the row for a key. The rows of different workspaces are distinct.
     pub fn row(workspace: &WorkspaceId, key: &str) -> String {
         let digest = blake3::Hasher::new()
             .update(&(workspace.0.len() as u64).to_le_bytes())
@@ -39,21 +39,21 @@
     }
 }
 
-/// What became of an attempt to take a claim.
+/// The outcome of an attempt to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// The claim is ours.
+    /// This request holds the claim.
     Held,
     /// Another request holds it.
     Taken,
-    /// Another request ran under the key; this was its answer.
+    /// Another request ran under the key; this is its answer.
     Answered(Box<SavedAnswer>),
-    /// The table could not be asked, or its answer could not be settled.
+    /// The table could not be asked, or the outcome of the write could not be determined.
     Unavailable,
 }
 
 impl ClaimState {
-    /// The code for a request that neither holds its claim nor finds an answer.
+    /// The code for a request that gets neither the claim nor a stored answer.
     pub fn refusal(&self) -> Option<Code> {
         match self {
             ClaimState::Held | ClaimState::Answered(_) => None,
--- a/components/reducer/src/control.rs
+++ b/components/reducer/src/control.rs
@@ -1,4 +1,4 @@
-//! What every daemon does, whatever its role: it keeps the member list and the configuration.
+//! State that every daemon keeps, whatever its role: the member list and the configuration.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,58 +9,58 @@
 use crate::members::{Members, Outgoing};
 use crate::Seed;
 
-/// How many members hear at once of a new revision; each of them passes it on.
+/// Number of members that are informed at once of a new revision; each of them forwards it.
 const REVISION_FANOUT: usize = 4;
-/// How many members hear at once that this daemon stops.
+/// Number of members that are informed at once that this daemon stops.
 const LEAVE_FANOUT: usize = 8;
-/// The shortest time between two reads of the table by one daemon, in milliseconds.
-const TABLE_POLL: u64 = 2000;
-/// What each daemon adds to that time, in milliseconds: the fleet together reads the table at most
-/// twenty times a second, however large it grows.
-const TABLE_POLL_PER_DAEMON: u64 = 50;
-/// Time between two reads of the instance list, in milliseconds, with the same share per daemon.
-const LIST_POLL: u64 = 2000;
-/// How soon the list is read when instances are missing in it, in milliseconds; at least one for
-/// each daemon, which spreads the reads of a large fleet.
-const HASTE: u64 = 100;
-/// How long to wait for the contents of a revision before asking another peer, in milliseconds.
-const FETCH_TIME: u64 = 1000;
-/// How often a daemon that cannot tell whether it is behind asks around, in milliseconds.
-const ASK_EVERY: u64 = 250;
-/// After a gap of this length between two ticks the daemon was paused, in milliseconds. It may have
-/// missed anything, so it counts as not current until the table or its peers have been asked.
-const PAUSE_TIME: u64 = 3000;
-/// How many peers must confirm our revision where the table cannot be asked.
-const PEERS_TO_BE_CURRENT: usize = 3;
+/// Shortest interval between two reads of the table by one daemon.
+const TABLE_POLL_MS: u64 = 2000;
+/// Lengthens the interval by this time per daemon, which limits the whole fleet to twenty reads of the table
+/// a second.
+const TABLE_POLL_PER_DAEMON_MS: u64 = 50;
+/// Shortest interval between two reads of the instance list, lengthened in the same way.
+const LIST_POLL_MS: u64 = 2000;
+/// Shortest delay before the list is read because instances are missing in it. The delay is at least one
+/// millisecond per daemon, which spreads the reads of a large fleet.
+const EARLY_LIST_READ_MS: u64 = 100;
+/// How long to wait for a configuration before another peer is asked for it.
+const FETCH_TIMEOUT_MS: u64 = 1000;
+/// Interval at which a daemon that does not know whether its configuration is up to date asks its peers.
+const PEER_CHECK_INTERVAL_MS: u64 = 250;
+/// A gap of this length between two ticks means that the process was suspended. It may have missed any
+/// message, so its configuration counts as not up to date until the table or its peers have been asked.
+const SUSPENSION_GAP_MS: u64 = 3000;
+/// Number of peers that must confirm the revision of this daemon if the table cannot be read.
+const PEERS_TO_CONFIRM: usize = 3;
 
-/// What happens to the shared state of a daemon.
+/// An event concerning the shared state of a daemon.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
     /// The platform's list was read.
     Listed(Vec<Instance>),
-    /// The table was read; `None` when it holds no configuration yet.
+    /// The table was read; `None` if it holds no configuration yet.
     TableRead(Option<Box<Configuration>>),
     /// A peer sent its configuration.
     Fetched(Box<Configuration>),
     /// A datagram arrived.
     Datagram {
-        /// Where it came from.
+        /// The address of the sender.
         from: SocketAddr,
-        /// What it says.
+        /// The datagram.
         datagram: Box<Datagram>,
     },
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
 }
 
-/// What a daemon does about its shared state.
+/// An action to perform for the shared state of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlEffect {
     /// Send a datagram.
     Send {
-        /// To whom.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The datagram.
         datagram: Box<Datagram>,
     },
     /// Read the configuration from the table.
@@ -69,74 +69,75 @@
     ReadList,
     /// Ask a peer for its configuration.
     Fetch {
-        /// Whom.
+        /// The address of the peer.
         from: SocketAddr,
     },
-    /// A higher revision came into force here.
+    /// A higher revision is in force on this daemon.
     Applied(Revision),
 }
 
-/// The shared state of a daemon.
+/// The state that every daemon keeps.
 pub struct Control {
     /// The members.
     pub members: Members,
     configuration: Configuration,
     current: bool,
-    /// Peers that said they are not ahead of us.
-    agreeing: BTreeSet<InstanceId>,
-    next_table: Millis,
-    next_list: Millis,
-    next_ask: Millis,
+    /// Peers that have reported a revision no higher than this daemon's.
+    agreeing_peers: BTreeSet<InstanceId>,
+    next_table_read: Millis,
+    next_list_read: Millis,
+    next_peer_check: Millis,
     last_tick: Option<Millis>,
     fetching_until: Millis,
 }
 
 impl Control {
-    /// Starts with nothing known.
+    /// Creates the state without members or configuration.
     pub fn new(me: MemberRecord, bytes_per_s: u64) -> Self {
         Self {
             members: Members::new(me, bytes_per_s),
             configuration: Configuration::default(),
             current: false,
-            agreeing: BTreeSet::new(),
-            next_table: Millis(0),
-            next_list: Millis(0),
-            next_ask: Millis(0),
+            agreeing_peers: BTreeSet::new(),
+            next_table_read: Millis(0),
+            next_list_read: Millis(0),
+            next_peer_check: Millis(0),
             last_tick: None,
             fetching_until: Millis(0),
         }
     }
 
-    /// The configuration in force here.
+    /// The configuration in force on this daemon.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Whether this daemon knows that its configuration is not behind.
+    /// Whether this daemon knows that its configuration is up to date.
     pub fn is_current(&self) -> bool {
         self.current
     }
 
-    /// Whether an instance takes no new work, by whichever route that became known.
+    /// Whether an instance takes no new work, according to the configuration or the platform's list.
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         self.configuration.leaving.contains(id) || self.members.is_listed_leaving(id)
     }
 
-    /// Reads the platform's list soon, because the configuration names instances that are not known
-    /// here. Not at once: whoever reads the configuration at the same moment knows as little.
-    pub fn hasten_list(&mut self, now: Millis) {
-        let soon = now.plus(HASTE.max(self.members.count() as u64));
-        self.next_list = self.next_list.min(soon);
+    /// Schedules an early read of the platform's list, because the configuration names instances that are
+    /// missing in it. The read is delayed, because all daemons that receive the configuration at the same
+    /// time lack the same instances.
+    pub fn schedule_list_read(&mut self, now: Millis) {
+        let read_at = now.plus(EARLY_LIST_READ_MS.max(self.members.count() as u64));
+        self.next_list_read = self.next_list_read.min(read_at);
     }
 
-    /// Says at once, to a few members, that this daemon takes no new work.
+    /// Informs a few members at once that this daemon takes no new work.
     pub fn announce_leave(&mut self, seed: &mut Seed) -> Vec<ControlEffect> {
         self.members.set_leaving();
-        let news = self.members.push(self.configuration.revision, LEAVE_FANOUT, seed);
-        news.into_iter().map(send).collect()
+        let outgoing = self.members.push(self.configuration.revision, LEAVE_FANOUT, seed);
+        outgoing.into_iter().map(send).collect()
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn reduce(
         &mut self,
         now: Millis,
@@ -157,26 +158,28 @@
                 self.fetching_until = Millis(0);
                 self.apply(*configuration, seed)
             }
-            ControlEvent::Datagram { from, datagram } => self.hear(now, seed, from, &datagram),
+            ControlEvent::Datagram { from, datagram } => {
+                self.handle_datagram(now, seed, from, &datagram)
+            }
             ControlEvent::Tick => self.tick(now, seed),
         }
     }
 
-    /// Takes a configuration that this daemon itself has just written.
+    /// Applies a configuration if its revision is higher, and informs a few members at once.
     pub fn apply(&mut self, configuration: Configuration, seed: &mut Seed) -> Vec<ControlEffect> {
         if configuration.revision <= self.configuration.revision {
             return Vec::new();
         }
         let revision = configuration.revision;
         self.configuration = configuration;
-        self.agreeing.clear();
-        let news = self.members.push(revision, REVISION_FANOUT, seed);
+        self.agreeing_peers.clear();
+        let outgoing = self.members.push(revision, REVISION_FANOUT, seed);
         let mut effects = vec![ControlEffect::Applied(revision)];
-        effects.extend(news.into_iter().map(send));
+        effects.extend(outgoing.into_iter().map(send));
         effects
     }
 
-    fn hear(
+    fn handle_datagram(
         &mut self,
         now: Millis,
         seed: &mut Seed,
@@ -188,66 +191,68 @@
         let mut effects: Vec<ControlEffect> = answers.into_iter().map(send).collect();
         if datagram.revision > revision {
             if now >= self.fetching_until {
-                self.fetching_until = now.plus(FETCH_TIME);
+                self.fetching_until = now.plus(FETCH_TIMEOUT_MS);
                 effects.push(ControlEffect::Fetch { from });
             }
         } else {
-            self.count_agreement(&datagram.from);
+            self.record_agreement(&datagram.from);
         }
         let is_news = matches!(datagram.body, DatagramBody::News);
         if is_news && datagram.revision < revision {
-            // Whoever is behind hears so at once instead of at the next probe.
+            // A peer that is behind is informed at once, without waiting for the next probe.
             let answer = self.members.build(DatagramBody::News, revision);
             effects.push(send((from, answer)));
         }
         effects
     }
 
-    /// Doubts everything after a pause: a process that was stopped resumes as if no time had passed.
-    fn notice_pause(&mut self, now: Millis) {
-        let paused = self.last_tick.is_some_and(|last| now.since(last) >= Millis(PAUSE_TIME));
+    /// Marks the configuration as not up to date after a gap between ticks: a suspended process resumes as if
+    /// no time had passed.
+    fn detect_suspension(&mut self, now: Millis) {
+        let is_suspended =
+            self.last_tick.is_some_and(|last| now.since(last) >= Millis(SUSPENSION_GAP_MS));
         self.last_tick = Some(now);
-        if paused {
+        if is_suspended {
             self.current = false;
-            self.agreeing.clear();
-            self.next_table = now;
+            self.agreeing_peers.clear();
+            self.next_table_read = now;
         }
     }
 
-    fn count_agreement(&mut self, peer: &InstanceId) {
+    fn record_agreement(&mut self, peer: &InstanceId) {
         if self.current || self.configuration.revision == Revision(0) {
             return;
         }
-        self.agreeing.insert(peer.clone());
-        let needed = PEERS_TO_BE_CURRENT.min(self.members.others().count());
-        self.current = self.agreeing.len() >= needed;
+        self.agreeing_peers.insert(peer.clone());
+        let needed = PEERS_TO_CONFIRM.min(self.members.others().count());
+        self.current = self.agreeing_peers.len() >= needed;
     }
 
     fn tick(&mut self, now: Millis, seed: &mut Seed) -> Vec<ControlEffect> {
-        self.notice_pause(now);
+        self.detect_suspension(now);
         let revision = self.configuration.revision;
         let outgoing = self.members.tick(now, revision, seed);
         let mut effects: Vec<ControlEffect> = outgoing.into_iter().map(send).collect();
-        if !self.current && now >= self.next_ask {
-            self.next_ask = now.plus(ASK_EVERY);
-            let asked = self.members.ask_around(revision, PEERS_TO_BE_CURRENT, seed);
-            effects.extend(asked.into_iter().map(send));
+        if !self.current && now >= self.next_peer_check {
+            self.next_peer_check = now.plus(PEER_CHECK_INTERVAL_MS);
+            let pings = self.members.ping_random_members(revision, PEERS_TO_CONFIRM, seed);
+            effects.extend(pings.into_iter().map(send));
         }
-        let share = self.members.count() as u64 * TABLE_POLL_PER_DAEMON;
-        if now >= self.next_table {
-            self.next_table = now.plus(jittered(TABLE_POLL.max(share), seed));
+        let fleet_interval = self.members.count() as u64 * TABLE_POLL_PER_DAEMON_MS;
+        if now >= self.next_table_read {
+            self.next_table_read = now.plus(jittered(TABLE_POLL_MS.max(fleet_interval), seed));
             effects.push(ControlEffect::ReadTable);
         }
-        if now >= self.next_list {
-            self.next_list = now.plus(jittered(LIST_POLL.max(share), seed));
+        if now >= self.next_list_read {
+            self.next_list_read = now.plus(jittered(LIST_POLL_MS.max(fleet_interval), seed));
             effects.push(ControlEffect::ReadList);
         }
         effects
     }
 }
 
-/// A span between three quarters and five quarters of the one given, so that daemons that started
-/// together do not read together.
+/// Returns a random duration between 3/4 and 5/4 of `span`, so that daemons that started together do not read
+/// at the same time.
 fn jittered(span: u64, seed: &mut Seed) -> u64 {
     span * 3 / 4 + seed.below(span / 2)
 }
--- a/components/reducer/src/entry/plans.rs
+++ b/components/reducer/src/entry/plans.rs
@@ -34,7 +34,7 @@
         match effect {
             ChangeEffect::MakePlan { call, intent, release, base } => {
                 let result = self.make_plan(now, &intent, release, &base);
-                let effects = self.changes.take_plan(call, result);
+                let effects = self.changes.handle_plan(call, result);
                 effects.into_iter().map(EntryEffect::Change).collect()
             }
             ChangeEffect::Adopt(configuration) => {
--- a/components/reducer/src/entry/queue.rs
+++ b/components/reducer/src/entry/queue.rs
@@ -55,8 +55,8 @@
         // Upstreams that refused a moment ago may have room again by the next turn.
         progress.tried.clear();
         // A place that comes too late need not be waited for.
-        let opens_at = self.router.opens_at(&self.control, &progress.arrival.target);
-        if now.max(opens_at) >= progress.waits_until {
+        let available_at = self.router.available_at(&self.control, &progress.arrival.target);
+        if now.max(available_at) >= progress.waits_until {
             return self.refuse(request, Code::Overloaded);
         }
         let full = !progress.waiting && self.queue.len() as u32 >= self.options.queue_limit;
--- a/components/reducer/src/entry/requests.rs
+++ b/components/reducer/src/entry/requests.rs
@@ -40,7 +40,7 @@
         if let Some(code) = refusal.or(is_quarantined.then_some(Code::Quarantined)) {
             return vec![EntryEffect::Refuse { request: arrival.request, error: code.into() }];
         }
-        self.retries.earn();
+        self.retries.record_first_attempt();
         let request = arrival.request;
         let waits_until = now.plus(arrival.max_wait);
         let claim = arrival.key.clone().map(|key| EntryEffect::Claim {
@@ -121,7 +121,7 @@
         self.note_gone(request, progress.arrival.digest);
         let mut effects = Vec::new();
         if let Some(agent) = &progress.at {
-            self.router.end(now, agent, None, None);
+            self.router.record_end(now, agent, None, None);
             self.shares.give_back(&progress.arrival.workspace);
             effects.push(EntryEffect::Cancel(AttemptId { request, number: progress.tries }));
         }
--- a/components/reducer/src/entry/tries.rs
+++ b/components/reducer/src/entry/tries.rs
@@ -24,7 +24,7 @@
             return Vec::new();
         };
         if let Some(agent) = &progress.at {
-            self.router.end(now, agent, Some(load), None);
+            self.router.record_end(now, agent, Some(load), None);
             self.shares.give_back(&progress.arrival.workspace);
         }
         let mut effects = self.note_whole(now, progress.arrival.digest);
@@ -45,8 +45,8 @@
         };
         let mut effects = Vec::new();
         if let Some(agent) = progress.at.take() {
-            self.router.end(now, &agent, failure.load, Some(failure.code));
-            self.router.leave_alone(now, &agent, failure.retry_after_ms);
+            self.router.record_end(now, &agent, failure.load, Some(failure.code));
+            self.router.exclude(now, &agent, failure.retry_after_ms);
             self.shares.give_back(&progress.arrival.workspace);
             effects = self.note_failure(now, progress.arrival.digest, &agent, failure.code);
         }
@@ -87,7 +87,7 @@
         if !allowed || !is_passing(code) || progress.tries >= MOST_TRIES {
             return Err(code);
         }
-        if self.retries.spend() {
+        if self.retries.take_retry() {
             Ok(())
         } else if certain {
             Err(Code::RetryBudget)
--- a/components/reducer/src/lib.rs
+++ b/components/reducer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Every decision of the daemons as pure reducers.
+//! The decision logic of the daemons as pure reducers.
 //!
-//! Nothing here does input or output, reads a clock or draws a random number: times and seeds come
-//! with the events, and what is to be done goes out as effects.
+//! This crate performs no I/O, reads no clock and generates no random numbers. Times and seeds are passed
+//! with the events, and the actions to perform are returned as effects.
 
 mod admission;
 mod agent;
--- a/components/reducer/src/members/mod.rs
+++ b/components/reducer/src/members/mod.rs
@@ -226,7 +226,7 @@
     }
 
     /// Pings a few members at once, whose acknowledgements tell their revisions.
-    pub fn ask_around(
+    pub fn ping_random_members(
         &mut self,
         revision: Revision,
         count: usize,
--- a/components/reducer/src/planner.rs
+++ b/components/reducer/src/planner.rs
@@ -1,4 +1,4 @@
-//! From an intent to a plan.
+//! Creates a plan from an intent.
 
 mod deploy;
 mod deployed;
@@ -13,20 +13,20 @@
     Configuration, InstanceId, Intent, Millis, ModelName, Place, Plan, Release, VersionId,
 };
 
-use self::deploy::{deploy, Wish};
+use self::deploy::{deploy, DeployRequest};
 use self::deployed::{remove, rollback};
 use self::draft::finish;
 pub use self::estimate::Estimate;
-use self::leave::{give_back, leave};
+use self::leave::{leave, return_to_service};
 
-/// An instance with a model engine, as the planner sees it.
+/// An instance with a model engine that the planner can place replicas on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// The region and hall of the instance.
     pub place: Place,
-    /// Whether its agent answers.
+    /// Whether its agent responds.
     pub up: bool,
     /// Whether it is leaving.
     pub leaving: bool,
@@ -36,20 +36,21 @@
     pub serving: Vec<(ModelName, VersionId)>,
 }
 
-/// What the planner knows of the fleet.
+/// The state of the fleet that a plan is based on.
 pub struct Fleet<'a> {
-    /// The configuration the plan is based on.
+    /// The configuration that the plan is based on.
     pub configuration: &'a Configuration,
-    /// Every instance with a model engine.
+    /// All instances with a model engine.
     pub candidates: &'a [Candidate],
-    /// Link rates.
+    /// Link rates for the estimates.
     pub estimate: Estimate,
-    /// Plain services by instance; one that leaves must not be the last of its service.
+    /// The instances of plain services, each with the number of other available instances of its service. The
+    /// last instance of a service must not leave.
     pub services: &'a BTreeMap<InstanceId, usize>,
 }
 
-/// Answers an intent with a plan, or says why there is none. `release` describes the version of a
-/// `Deploy`.
+/// Creates a plan for an intent, or returns the reason why it cannot be carried out. `release` describes the
+/// version of a `Deploy` intent.
 pub fn plan(
     now: Millis,
     intent: &Intent,
@@ -59,7 +60,7 @@
     let draft = match intent {
         Intent::Deploy { model, replicas, role, halls, adapter_of, priority, .. } => {
             let release = release.ok_or_else(|| unknown_version(model))?;
-            let wish = Wish {
+            let request = DeployRequest {
                 model: model.clone(),
                 release,
                 replicas: *replicas,
@@ -68,18 +69,18 @@
                 adapter_of: adapter_of.clone(),
                 priority: *priority,
             };
-            deploy(&wish, fleet)?
+            deploy(&request, fleet)?
         }
         Intent::Rollback { model } => rollback(model, fleet)?,
         Intent::Remove { model } => remove(model, fleet)?,
         Intent::Leave { instance } => leave(instance, fleet)?,
-        Intent::Return { instance } => give_back(instance, fleet)?,
+        Intent::Return { instance } => return_to_service(instance, fleet)?,
     };
     Ok(finish(now, intent, draft, fleet))
 }
 
 fn unknown_version(model: &ModelName) -> Error {
-    Error::new(Code::UnknownVersion, format!("no manifest of the version wanted for {model}"))
+    Error::new(Code::UnknownVersion, format!("no manifest of the version requested for {model}"))
 }
 
 #[cfg(test)]
--- a/components/reducer/src/planner/deploy.rs
+++ b/components/reducer/src/planner/deploy.rs
@@ -12,8 +12,8 @@
 use super::draft::Draft;
 use super::{Candidate, Fleet};
 
-/// A `Deploy` intent together with its release.
-pub(super) struct Wish {
+/// A `Deploy` intent with its release.
+pub(super) struct DeployRequest {
     pub(super) model: ModelName,
     pub(super) release: Release,
     pub(super) replicas: u32,
@@ -23,31 +23,37 @@
     pub(super) priority: u8,
 }
 
-/// Places a release on as many instances as are wished for.
-pub(super) fn deploy(wish: &Wish, fleet: &Fleet<'_>) -> Result<Draft> {
-    if wish.replicas == 0 {
-        return Err(Error::new(Code::BadIntent, "at least one replica; to stop, use remove"));
+/// Places a release on the requested number of instances.
+pub(super) fn deploy(request: &DeployRequest, fleet: &Fleet<'_>) -> Result<Draft> {
+    if request.replicas == 0 {
+        return Err(Error::new(
+            Code::BadIntent,
+            "replicas must be at least 1; use remove to stop the model",
+        ));
     }
-    if let Some(base) = &wish.adapter_of {
+    if let Some(base) = &request.adapter_of {
         if !fleet.configuration.deployments.contains_key(base) {
-            return Err(Error::new(Code::BadIntent, format!("no model {base} for the adapter")));
+            return Err(Error::new(
+                Code::BadIntent,
+                format!("the base model {base} of the adapter is not deployed"),
+            ));
         }
     }
-    let old = fleet.configuration.deployments.get(&wish.model);
-    let chosen = choose(wish, old, fleet)?;
-    let held = holders(fleet, wish.release.version);
-    let source = if held.is_empty() { Source::Origin } else { Source::Peers };
+    let old = fleet.configuration.deployments.get(&request.model);
+    let chosen = choose(request, old, fleet)?;
+    let holding = holders(fleet, request.release.version);
+    let source = if holding.is_empty() { Source::Origin } else { Source::Peers };
     let mut steps: Vec<Step> = Vec::new();
     let mut receivers = 0;
     for (candidate, reason) in &chosen {
-        let here = held.contains(&candidate.id);
-        receivers += u32::from(!here);
+        let is_held = holding.contains(&candidate.id);
+        receivers += u32::from(!is_held);
         steps.push(Step::Place {
             instance: candidate.id.clone(),
             hall: candidate.place.hall.clone(),
-            version: wish.release.version,
-            role: wish.role,
-            source: if here { Source::Held } else { source.clone() },
+            version: request.release.version,
+            role: request.role,
+            source: if is_held { Source::Held } else { source.clone() },
             reason: reason.clone(),
         });
     }
@@ -55,41 +61,42 @@
         .iter()
         .map(|(it, _)| {
             let hall = it.place.hall.clone();
-            (it.id.clone(), Placement { role: wish.role, hall })
+            (it.id.clone(), Placement { role: request.role, hall })
         })
         .collect();
     steps.extend(withdrawals(old, &placements));
     let deployment = Deployment {
-        model: wish.model.clone(),
-        release: wish.release.clone(),
-        previous: previous(old, &wish.release),
+        model: request.model.clone(),
+        release: request.release.clone(),
+        previous: previous(old, &request.release),
         epoch: fleet.configuration.revision,
-        adapter_of: wish.adapter_of.clone(),
-        priority: wish.priority,
+        adapter_of: request.adapter_of.clone(),
+        priority: request.priority,
         placements,
     };
     Ok(Draft {
         change: Change::Deploy(deployment),
         steps,
         overrides: old.map(describe).into_iter().collect(),
-        bytes: wish.release.bytes,
+        bytes: request.release.bytes,
         receivers,
-        held: !held.is_empty(),
+        held_by_peers: !holding.is_empty(),
     })
 }
 
-/// The instances to use and why each: those that run the model already first, so that little
-/// moves, then the hall with the fewest replicas, then the most free memory.
+/// Selects the instances and gives a reason for each. Instances that already run the model come first, which
+/// minimises the moves, then those in the hall with the fewest replicas, then those with the fewest bytes of
+/// weights placed on them.
 fn choose<'a>(
-    wish: &Wish,
+    request: &DeployRequest,
     old: Option<&Deployment>,
     fleet: &Fleet<'a>,
 ) -> Result<Vec<(&'a Candidate, String)>> {
     let mut eligible: Vec<&Candidate> =
-        fleet.candidates.iter().filter(|it| is_eligible(it, wish, fleet)).collect();
-    let wanted = wish.replicas as usize;
+        fleet.candidates.iter().filter(|it| is_eligible(it, request, fleet)).collect();
+    let wanted = request.replicas as usize;
     if eligible.len() < wanted {
-        let detail = format!("{} instances fit, {wanted} are asked for", eligible.len());
+        let detail = format!("{} instances are eligible, {wanted} are required", eligible.len());
         return Err(Error::new(Code::NotEnoughInstances, detail));
     }
     let runs = |it: &Candidate| old.is_some_and(|old| old.placements.contains_key(&it.id));
@@ -106,9 +113,9 @@
         let candidate = eligible.swap_remove(index);
         let hall = candidate.place.hall.clone();
         let reason = if runs(candidate) {
-            "runs the model already".to_owned()
+            "already runs the model".to_owned()
         } else {
-            format!("hall {hall} has the fewest replicas, and the memory is free")
+            format!("hall {hall} has the fewest replicas, and the instance has enough free memory")
         };
         *per_hall.entry(hall).or_default() += 1;
         chosen.push((candidate, reason));
@@ -117,24 +124,24 @@
     Ok(chosen)
 }
 
-fn is_eligible(candidate: &Candidate, wish: &Wish, fleet: &Fleet<'_>) -> bool {
-    let in_halls = wish.halls.is_empty() || wish.halls.contains(&candidate.place.hall);
+fn is_eligible(candidate: &Candidate, request: &DeployRequest, fleet: &Fleet<'_>) -> bool {
+    let in_halls = request.halls.is_empty() || request.halls.contains(&candidate.place.hall);
     let used = used_bytes(candidate, fleet.configuration);
-    let fits = used + wish.release.bytes <= candidate.memory_bytes;
-    let runs_base = wish.adapter_of.as_ref().is_none_or(|base| {
+    let fits = used + request.release.bytes <= candidate.memory_bytes;
+    let runs_base = request.adapter_of.as_ref().is_none_or(|base| {
         let deployment = fleet.configuration.deployments.get(base);
         deployment.is_some_and(|it| it.placements.contains_key(&candidate.id))
     });
     candidate.up && !candidate.leaving && in_halls && fits && runs_base
 }
 
-/// Bytes of weights that the configuration already places on an instance. During a switch the old
-/// version stays until the new one is live, so it counts as well.
+/// Bytes of weights that the configuration places on an instance. The old version stays loaded until the new
+/// one is live, so both count during a switch.
 fn used_bytes(candidate: &Candidate, configuration: &Configuration) -> u64 {
     configuration.wanted_on(&candidate.id).map(|it| it.release.bytes).sum()
 }
 
-/// The release to go back to.
+/// The release that a rollback restores.
 fn previous(old: Option<&Deployment>, release: &Release) -> Option<Release> {
     let old = old?;
     if old.release.version == release.version {
--- a/components/reducer/src/planner/deployed.rs
+++ b/components/reducer/src/planner/deployed.rs
@@ -1,4 +1,4 @@
-//! Plans for models that are deployed, and what other plans ask of deployments.
+//! Plans for models that are deployed, and helpers that describe deployments.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,13 @@
 use super::draft::Draft;
 use super::{Candidate, Fleet};
 
-/// Goes back to the version before, where its replicas stand.
+/// Restores the previous version on the instances that run the model.
 pub(super) fn rollback(model: &ModelName, fleet: &Fleet<'_>) -> Result<Draft> {
-    let old = find(model, fleet)?;
+    let old = find_deployment(model, fleet)?;
     let release = old.previous.clone();
     let release = release
-        .ok_or_else(|| Error::new(Code::BadIntent, format!("{model} has no version before")))?;
-    let held = holders(fleet, release.version);
+        .ok_or_else(|| Error::new(Code::BadIntent, format!("{model} has no previous version")))?;
+    let holding = holders(fleet, release.version);
     let mut deployment = old.clone();
     deployment.previous = Some(old.release.clone());
     deployment.release = release.clone();
@@ -23,23 +23,23 @@
         hall: placement.hall.clone(),
         version: release.version,
         role: placement.role,
-        source: if held.contains(id) { Source::Held } else { Source::Origin },
-        reason: "runs the model already".to_owned(),
+        source: if holding.contains(id) { Source::Held } else { Source::Origin },
+        reason: "already runs the model".to_owned(),
     });
-    let receivers = old.placements.keys().filter(|id| !held.contains(*id)).count() as u32;
+    let receivers = old.placements.keys().filter(|id| !holding.contains(*id)).count() as u32;
     Ok(Draft {
         steps: steps.collect(),
         overrides: vec![describe(old)],
         bytes: release.bytes,
         receivers,
-        held: !held.is_empty(),
+        held_by_peers: !holding.is_empty(),
         change: Change::Deploy(deployment),
     })
 }
 
-/// Takes a model away from all instances.
+/// Removes a model from all instances.
 pub(super) fn remove(model: &ModelName, fleet: &Fleet<'_>) -> Result<Draft> {
-    let old = find(model, fleet)?;
+    let old = find_deployment(model, fleet)?;
     let adapters = fleet.configuration.deployments.values();
     if let Some(adapter) = adapters.into_iter().find(|it| it.adapter_of.as_ref() == Some(model)) {
         let detail = format!("the adapter {} still needs {model}", adapter.model);
@@ -51,23 +51,23 @@
         overrides: vec![describe(old)],
         bytes: 0,
         receivers: 0,
-        held: true,
+        held_by_peers: true,
     })
 }
 
 /// The deployment of a model.
-fn find<'a>(model: &ModelName, fleet: &Fleet<'a>) -> Result<&'a Deployment> {
+fn find_deployment<'a>(model: &ModelName, fleet: &Fleet<'a>) -> Result<&'a Deployment> {
     let found = fleet.configuration.deployments.get(model);
     found.ok_or_else(|| Error::new(Code::UnknownTarget, format!("{model} is not deployed")))
 }
 
 /// The instances whose engines serve a version.
 pub(super) fn holders(fleet: &Fleet<'_>, version: VersionId) -> BTreeSet<InstanceId> {
-    let holds = |it: &&Candidate| it.serving.iter().any(|(_, held)| *held == version);
+    let holds = |it: &&Candidate| it.serving.iter().any(|(_, served)| *served == version);
     fleet.candidates.iter().filter(holds).map(|it| it.id.clone()).collect()
 }
 
-/// The steps for replicas that are not kept.
+/// Withdraws the replicas that are not in `kept`.
 pub(super) fn withdrawals(
     old: Option<&Deployment>,
     kept: &BTreeMap<InstanceId, Placement>,
@@ -84,7 +84,7 @@
     .collect()
 }
 
-/// A deployment that a plan overrides, in words.
+/// Describes a deployment that a plan overrides.
 pub(super) fn describe(old: &Deployment) -> String {
     format!(
         "{} {} ({}) on {} instances, in force since revision {}",
--- a/components/reducer/src/planner/draft.rs
+++ b/components/reducer/src/planner/draft.rs
@@ -1,4 +1,4 @@
-//! From a draft to a plan.
+//! Completes a draft to a plan.
 
 use std::collections::BTreeSet;
 
@@ -6,46 +6,47 @@
 
 use super::Fleet;
 
-/// How long a plan can be confirmed, in milliseconds.
-const PLAN_TIME: u64 = 10 * 60 * 1000;
-/// Time for a revision to come into force and for engines to load, in seconds.
-const FIXED_SECONDS: f64 = 1.0;
+/// How long a plan can be confirmed.
+const PLAN_VALIDITY_MS: u64 = 10 * 60 * 1000;
+/// Time for a revision to come into force and for engines to load the weights.
+const ACTIVATION_SECONDS: f64 = 1.0;
 
-/// A plan before its identity and its estimates.
+/// A plan without its id and its estimates.
 pub(super) struct Draft {
     pub(super) change: Change,
     pub(super) steps: Vec<Step>,
     pub(super) overrides: Vec<String>,
-    /// The bytes of the version.
+    /// Size of the version.
     pub(super) bytes: u64,
-    /// How many instances must get it.
+    /// Number of instances that have to receive the version.
     pub(super) receivers: u32,
-    /// Whether peers hold the version already.
-    pub(super) held: bool,
+    /// Whether any peer already holds the version.
+    pub(super) held_by_peers: bool,
 }
 
-/// Adds identity and estimates to a draft.
+/// Adds the id and the estimates to a draft.
 pub(super) fn finish(now: Millis, intent: &Intent, draft: Draft, fleet: &Fleet<'_>) -> Plan {
     let base = fleet.configuration.revision;
     let Draft { bytes, receivers, .. } = draft;
     let bound = fleet.estimate.bound_seconds(bytes, receivers);
-    // Each group of halls may draw a copy, so there are never more copies than halls.
+    // Each group of halls may download one copy, so there are never more copies than halls.
     let halls = count_halls(&draft.change) as u32;
-    let copies = if draft.held { 0 } else { fleet.estimate.copies.min(receivers).min(halls) };
+    let copies =
+        if draft.held_by_peers { 0 } else { fleet.estimate.copies.min(receivers).min(halls) };
     Plan {
-        id: identify(intent, base),
+        id: derive_plan_id(intent, base),
         base,
         intent: intent.clone(),
         change: draft.change,
         steps: draft.steps,
         overrides: draft.overrides,
-        live_seconds: bound + FIXED_SECONDS,
+        live_seconds: bound + ACTIVATION_SECONDS,
         origin_bytes: bytes * u64::from(copies),
-        expires: now.plus(PLAN_TIME),
+        expires: now.plus(PLAN_VALIDITY_MS),
     }
 }
 
-/// The halls that a change places replicas in.
+/// The number of halls in which a change places replicas.
 fn count_halls(change: &Change) -> usize {
     let Change::Deploy(deployment) = change else {
         return 0;
@@ -54,8 +55,9 @@
     halls.len()
 }
 
-/// The same intent on the same revision is the same plan, however often it is sent.
-fn identify(intent: &Intent, base: Revision) -> PlanId {
+/// Derives the id of a plan: the same intent based on the same revision has the same id, so that repeated
+/// requests get the same plan.
+fn derive_plan_id(intent: &Intent, base: Revision) -> PlanId {
     let mut hasher = blake3::Hasher::new();
     hasher.update(format!("{intent:?}").as_bytes());
     hasher.update(&base.0.to_le_bytes());
--- a/components/reducer/src/planner/leave.rs
+++ b/components/reducer/src/planner/leave.rs
@@ -1,4 +1,4 @@
-//! Plans for instances that leave and come back.
+//! Plans for instances that leave or return.
 
 use errors::{Code, Error, Result};
 use fleet::{Change, Deployment, InstanceId, Step};
@@ -6,7 +6,7 @@
 use super::draft::Draft;
 use super::Fleet;
 
-/// Takes an instance out of service, unless it has the last replica of something.
+/// Takes an instance out of service, unless it has the last live replica of a model or service.
 pub(super) fn leave(instance: &InstanceId, fleet: &Fleet<'_>) -> Result<Draft> {
     let service_peers = fleet.services.get(instance).copied();
     let is_engine = fleet.candidates.iter().any(|it| &it.id == instance);
@@ -29,33 +29,33 @@
         overrides: Vec::new(),
         bytes: 0,
         receivers: 0,
-        held: true,
+        held_by_peers: true,
     })
 }
 
-fn has_other_replica(deployment: &Deployment, leaver: &InstanceId, fleet: &Fleet<'_>) -> bool {
+fn has_other_replica(deployment: &Deployment, instance: &InstanceId, fleet: &Fleet<'_>) -> bool {
     fleet.candidates.iter().any(|it| {
         let serves = it.serving.iter().any(|(model, _)| model == &deployment.model);
-        &it.id != leaver && it.up && !it.leaving && serves
+        &it.id != instance && it.up && !it.leaving && serves
     })
 }
 
-/// Takes back that an instance was told to leave.
-pub(super) fn give_back(instance: &InstanceId, fleet: &Fleet<'_>) -> Result<Draft> {
+/// Returns a leaving instance to service.
+pub(super) fn return_to_service(instance: &InstanceId, fleet: &Fleet<'_>) -> Result<Draft> {
     if !fleet.configuration.leaving.contains(instance) {
-        let detail = format!("{instance} was not told to leave");
+        let detail = format!("{instance} is not marked as leaving");
         return Err(Error::new(Code::BadIntent, detail));
     }
     Ok(Draft {
         change: Change::Return(instance.clone()),
         steps: vec![Step::Resume { instance: instance.clone() }],
-        overrides: vec![format!("the leave of {instance}")],
+        overrides: vec![format!("the earlier plan for {instance} to leave")],
         bytes: 0,
         receivers: 0,
-        held: true,
+        held_by_peers: true,
     })
 }
 
 fn unknown_instance(instance: &InstanceId) -> Error {
-    Error::new(Code::UnknownInstance, format!("{instance} is no upstream on the list"))
+    Error::new(Code::UnknownInstance, format!("{instance} is not a listed upstream"))
 }
--- a/components/reducer/src/planner/tests.rs
+++ b/components/reducer/src/planner/tests.rs
@@ -53,8 +53,8 @@
     deployment.placements.keys().cloned().collect()
 }
 
-/// How uneven the halls are: the most replicas in one less the fewest.
-fn spread_over_halls(chosen: &BTreeSet<InstanceId>, candidates: &[Candidate]) -> u32 {
+/// The difference between the most and the fewest replicas in a hall.
+fn hall_imbalance(chosen: &BTreeSet<InstanceId>, candidates: &[Candidate]) -> u32 {
     let mut counts: BTreeMap<&Hall, u32> =
         candidates.iter().map(|it| (&it.place.hall, 0)).collect();
     for it in candidates.iter().filter(|it| chosen.contains(&it.id)) {
@@ -63,14 +63,14 @@
     counts.values().max().unwrap_or(&0) - counts.values().min().unwrap_or(&0)
 }
 
-/// The naive planner takes the first instances that fit.
-fn naive(candidates: &[Candidate], replicas: usize) -> BTreeSet<InstanceId> {
+/// A reference planner that takes the first instances with enough memory.
+fn first_fit(candidates: &[Candidate], replicas: usize) -> BTreeSet<InstanceId> {
     let fitting = candidates.iter().filter(|it| it.up && !it.leaving && it.memory_bytes >= 100);
     fitting.take(replicas).map(|it| it.id.clone()).collect()
 }
 
-/// The best evenness that any choice of instances reaches.
-fn exhaustive(candidates: &[Candidate], replicas: u32) -> u32 {
+/// The smallest imbalance that any choice of instances reaches.
+fn smallest_imbalance(candidates: &[Candidate], replicas: u32) -> u32 {
     let fits = |it: &Candidate| it.up && !it.leaving && it.memory_bytes >= 100;
     let choices = (0u32..1 << candidates.len()).filter(|mask| mask.count_ones() == replicas);
     let picked = |mask: u32| {
@@ -78,18 +78,18 @@
         chosen.map(|(_, it)| it).collect::<Vec<_>>()
     };
     let valid = choices.map(picked).filter(|chosen| chosen.iter().all(|it| fits(it)));
-    let uneven = valid.map(|chosen| {
+    let imbalances = valid.map(|chosen| {
         let ids = chosen.into_iter().map(|it| it.id.clone()).collect();
-        spread_over_halls(&ids, candidates)
+        hall_imbalance(&ids, candidates)
     });
-    uneven.min().unwrap_or(u32::MAX)
+    imbalances.min().unwrap_or(u32::MAX)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Default::default() })]
 
     #[test]
-    fn is_as_even_as_the_best_choice_and_never_worse_than_the_naive_one(
+    fn hall_imbalance_is_minimal_and_not_above_first_fit(
         memories in proptest::collection::vec(prop_oneof![Just(50u64), Just(150), Just(500)], 1..9),
         halls in 1usize..4,
         replicas in 1u32..6,
@@ -101,15 +101,15 @@
         if fitting < replicas as usize {
             prop_assert_eq!(result.unwrap_err().code, Code::NotEnoughInstances);
         } else {
-            let ours = spread_over_halls(&placed(&result.unwrap()), &candidates);
-            let naive = spread_over_halls(&naive(&candidates, replicas as usize), &candidates);
-            prop_assert_eq!(ours, exhaustive(&candidates, replicas));
-            prop_assert!(ours <= naive);
+            let planned = hall_imbalance(&placed(&result.unwrap()), &candidates);
+            let first_fit = hall_imbalance(&first_fit(&candidates, replicas as usize), &candidates);
+            prop_assert_eq!(planned, smallest_imbalance(&candidates, replicas));
+            prop_assert!(planned <= first_fit);
         }
     }
 
     #[test]
-    fn moves_nothing_that_can_stay(first in 1u32..8, second in 1u32..8) {
+    fn keeps_replicas_that_can_stay(first in 1u32..8, second in 1u32..8) {
         let candidates: Vec<Candidate> = (0..8).map(|n| candidate(n, 3, 500)).collect();
         let start = Configuration::default();
         let plan = run(&start, &candidates, &deploy(first), 1).unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn names_what_it_overrides_and_can_roll_back() {
+fn lists_overridden_deployments_and_can_roll_back() {
     let candidates: Vec<Candidate> = (0..3).map(|n| candidate(n, 3, 500)).collect();
     let start = Configuration::default();
     let first = run(&start, &candidates, &deploy(3), 1).unwrap();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn never_takes_the_last_live_replica() {
+fn rejects_the_leave_of_the_last_live_replica() {
     let mut candidates: Vec<Candidate> = (0..3).map(|n| candidate(n, 3, 500)).collect();
     let start = Configuration::default();
     let plan = run(&start, &candidates, &deploy(2), 1).unwrap();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn can_bound_the_time_of_a_spread() {
+fn bounds_the_time_of_a_distribution() {
     // A receiver's link is the bottleneck for few receivers, all links together for many.
     assert_eq!(ESTIMATE.bound_seconds(400, 1), 2.0);
     let origin_only = Estimate { origin_bytes_per_s: 100.0, link_bytes_per_s: 400.0, copies: 1 };
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn states_no_more_copies_than_halls() {
+fn plans_no_more_copies_than_halls() {
     let wide = Estimate { copies: 4, ..ESTIMATE };
     let services = BTreeMap::new();
     for (halls, copies) in [(1, 1), (2, 2), (3, 3)] {
--- a/components/reducer/src/retry.rs
+++ b/components/reducer/src/retry.rs
@@ -1,28 +1,27 @@
-//! How often a request may be tried again: a share of first tries, so that retries cannot multiply
-//! an overload.
+//! Limits retries to a share of first attempts, so that retries do not amplify an overload.
 
-/// The most retries that may be saved up.
-const MOST_SAVED: f64 = 20.0;
+/// Most retries that can accumulate.
+const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// A budget that first tries fill and retries use.
+/// A budget that grows with first attempts and shrinks with retries.
 pub struct RetryBudget {
     share: f64,
     saved: f64,
 }
 
 impl RetryBudget {
-    /// Allows a share of first tries, from 0 to 1, to be tried again.
+    /// Creates a budget that allows retries for a share of first attempts, from 0 to 1.
     pub fn new(share: f64) -> Self {
-        Self { share, saved: MOST_SAVED }
+        Self { share, saved: MAX_SAVED_RETRIES }
     }
 
-    /// Counts a first try.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + self.share).min(MOST_SAVED);
+    /// Records a first attempt.
+    pub fn record_first_attempt(&mut self) {
+        self.saved = (self.saved + self.share).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry, if there is one.
-    pub fn spend(&mut self) -> bool {
+    /// Takes one retry from the budget. Returns whether there was one.
+    pub fn take_retry(&mut self) -> bool {
         let allowed = self.saved >= 1.0;
         if allowed {
             self.saved -= 1.0;
--- a/components/reducer/src/retry/tests.rs
+++ b/components/reducer/src/retry/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 #[test]
-fn allows_no_more_than_the_share_in_the_long_run() {
+fn long_run_retries_stay_within_the_share() {
     let mut budget = RetryBudget::new(0.1);
     let mut spent = 0;
     for _ in 0..1000 {
-        budget.earn();
-        spent += u32::from(budget.spend());
+        budget.record_first_attempt();
+        spent += u32::from(budget.take_retry());
     }
     assert!(spent <= 120, "{spent}");
 }
--- a/components/reducer/src/routing.rs
+++ b/components/reducer/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, judged on facts that are always a little old.
+//! Selects the upstream for a request, from load reports that are always slightly outdated.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,82 +11,83 @@
 use crate::entry::Target;
 use crate::seed::shared_hash;
 
-/// Beyond this many upstreams for a target an entry uses a fixed subset of them.
-const SUBSET: usize = 24;
-/// What a step further away costs, as a share of an upstream's limit.
+/// If more upstreams than this serve a target, an entry uses a fixed subset of this size.
+const MAX_CANDIDATES: usize = 24;
+/// Cost of each step of distance (another hall, another region), as a share of an upstream's limit.
 const DISTANCE_COST: f64 = 0.15;
-/// What the upstream that probably caches the prompt is preferred by, as a share of its limit.
-const AFFINITY_GAIN: f64 = 0.3;
-/// How long other entries' requests are assumed to last, in milliseconds.
-const OTHERS_TIME: f64 = 2000.0;
-/// How long an upstream that failed is avoided while there are others, in milliseconds.
-const AVOID_TIME: u64 = 1000;
-/// How long an upstream that takes no new work is left out, in milliseconds; the news that it leaves
-/// is here by then.
-const CLOSED_TIME: u64 = 3000;
-/// The limit assumed before an upstream has reported one.
-const USUAL_LIMIT: u32 = 16;
-/// A replica that just went live takes this share of its limit until it has answered.
-const WARM_SHARE: f64 = 0.5;
-
-/// What an entry knows of one upstream.
+/// Advantage of the upstream that probably caches the prompt, as a share of its limit.
+const AFFINITY_BONUS: f64 = 0.3;
+/// Assumed duration of the requests of other entries.
+const OTHERS_REQUEST_MS: f64 = 2000.0;
+/// How long an upstream that failed is avoided if there are others.
+const AVOID_MS: u64 = 1000;
+/// How long an upstream that takes no new work is excluded. By then its leave has been reported to this
+/// entry.
+const EXCLUDE_MS: u64 = 3000;
+/// The limit assumed for an upstream that has not reported one.
+const DEFAULT_LIMIT: u32 = 16;
+/// Share of the assumed limit that is used before a new replica has answered for the first time.
+const NEW_REPLICA_SHARE: f64 = 0.5;
+
+/// The state of one upstream, as known to an entry.
 #[derive(Clone, Debug, Default)]
 pub struct Upstream {
-    /// This entry's requests there.
+    /// The requests of this entry that are running there.
     pub in_flight: u32,
-    /// The load it last reported.
+    /// The load that it reported last.
     pub reported: Option<Load>,
-    /// Requests of other entries there, as of the report.
+    /// The requests of other entries that were running there, according to the last report.
     others: f64,
     reported_at: Millis,
     avoid_until: Millis,
-    closed_until: Millis,
+    excluded_until: Millis,
 }
 
-/// How an upstream is chosen. Only the first is meant for use; the others are the naive versions
-/// that it is measured against. They know no limits.
+/// How an upstream is selected. Only `Weighed` is meant for production; the others are baselines for
+/// comparison and ignore limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouteChoice {
-    /// Load, distance and the prompt's cache, weighed; none without room.
+    /// By load, distance and prompt cache. Upstreams at their limit are excluded.
     #[default]
     Weighed,
-    /// One after the other.
+    /// In turn.
     RoundRobin,
-    /// The fewest of this entry's own requests.
+    /// The upstream with the fewest requests of this entry.
     LeastInFlight,
 }
 
-/// The upstreams of an entry.
+/// Selects upstreams for the requests of an entry.
 pub struct Router {
     choice: RouteChoice,
     upstreams: BTreeMap<InstanceId, Upstream>,
-    /// Turns taken, for the naive choice.
-    turns: usize,
-    /// The candidates of each target, as of a state of the members and a revision.
+    /// Number of selections, for `RoundRobin`.
+    selections: usize,
+    /// The candidates of each target, valid for the state in `candidates_state`.
     candidates: BTreeMap<Target, Vec<Candidate>>,
-    candidates_of: (u64, Revision),
+    candidates_state: (u64, Revision),
 }
 
-/// Where a request may go.
-struct Choice {
+/// An upstream that a request can be sent to.
+struct ScoredUpstream {
     id: InstanceId,
     address: SocketAddr,
     cost: f64,
 }
 
 impl Router {
-    /// Starts with nothing known.
+    /// Creates a router without any load reports.
     pub fn new(choice: RouteChoice) -> Self {
         Self {
             choice,
             upstreams: BTreeMap::new(),
-            turns: 0,
+            selections: 0,
             candidates: BTreeMap::new(),
-            candidates_of: (0, Revision(0)),
+            candidates_state: (0, Revision(0)),
         }
     }
 
-    /// Chooses an upstream with room, and counts the request there. `tried` are left out.
+    /// Selects an upstream that has a free slot and counts the request there. Upstreams in `tried` are
+    /// excluded.
     pub fn choose(
         &mut self,
         now: Millis,
@@ -97,61 +98,61 @@
     ) -> Option<(InstanceId, SocketAddr)> {
         let candidates = self.candidates(control, target).to_vec();
         if self.choice != RouteChoice::Weighed {
-            return self.choose_naively(candidates, tried);
+            return self.choose_baseline(candidates, tried);
         }
-        let home =
+        let cache_holder =
             candidates.iter().max_by_key(|it| affinity(prefix, &it.0)).map(|it| it.0.clone());
         let place = &control.members.me().place;
         let usable = candidates.into_iter().filter(|it| !tried.contains(&it.0));
-        let choices = usable.filter_map(|(id, address, at)| {
-            let gain = if home.as_ref() == Some(&id) { AFFINITY_GAIN } else { 0.0 };
+        let scored = usable.filter_map(|(id, address, at)| {
+            let bonus = if cache_holder.as_ref() == Some(&id) { AFFINITY_BONUS } else { 0.0 };
             let upstream = self.upstreams.get(&id);
             let cost = upstream.cloned().unwrap_or_default().cost(now)?;
-            let cost = cost + steps(place, &at) * DISTANCE_COST - gain;
-            Some(Choice { id, address, cost })
+            let cost = cost + distance(place, &at) * DISTANCE_COST - bonus;
+            Some(ScoredUpstream { id, address, cost })
         });
-        let best = choices.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
+        let best = scored.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
         self.upstreams.entry(best.id.clone()).or_default().in_flight += 1;
         Some((best.id, best.address))
     }
 
-    fn choose_naively(
+    fn choose_baseline(
         &mut self,
         candidates: Vec<Candidate>,
         tried: &[InstanceId],
     ) -> Option<(InstanceId, SocketAddr)> {
         let mut usable = candidates;
         usable.retain(|it| !tried.contains(&it.0));
-        self.turns += 1;
-        let turn = self.turns % usable.len().max(1);
+        self.selections += 1;
+        let index = self.selections % usable.len().max(1);
         let in_flight = |id: &InstanceId| self.upstreams.get(id).map_or(0, |it| it.in_flight);
         let (id, address, _) = match self.choice {
-            RouteChoice::RoundRobin => usable.into_iter().nth(turn)?,
+            RouteChoice::RoundRobin => usable.into_iter().nth(index)?,
             _ => usable.into_iter().min_by_key(|it| in_flight(&it.0))?,
         };
         self.upstreams.entry(id.clone()).or_default().in_flight += 1;
         Some((id, address))
     }
 
-    /// Whether any upstream serves the target, with room or without.
+    /// Whether any upstream serves the target, at its limit or not.
     pub fn is_served(&mut self, control: &Control, target: &Target) -> bool {
         !self.candidates(control, target).is_empty()
     }
 
-    /// The first moment at which some upstream of a target takes work again: now, unless all are to be left alone.
-    pub fn opens_at(&mut self, control: &Control, target: &Target) -> Millis {
+    /// The earliest time at which an upstream of a target takes work: in the past, unless all are excluded.
+    pub fn available_at(&mut self, control: &Control, target: &Target) -> Millis {
         let candidates = self.candidates(control, target).to_vec();
-        let closed_until =
-            |id: &InstanceId| self.upstreams.get(id).map_or(Millis(0), |it| it.closed_until);
-        candidates.iter().map(|it| closed_until(&it.0)).min().unwrap_or(Millis(0))
+        let excluded_until =
+            |id: &InstanceId| self.upstreams.get(id).map_or(Millis(0), |it| it.excluded_until);
+        candidates.iter().map(|it| excluded_until(&it.0)).min().unwrap_or(Millis(0))
     }
 
-    /// The candidates of a target, derived again only when something they depend on has changed.
+    /// The candidates of a target, computed again only when the members or the revision have changed.
     fn candidates(&mut self, control: &Control, target: &Target) -> &[Candidate] {
         let state = (control.members.changes(), control.configuration().revision);
-        if self.candidates_of != state {
+        if self.candidates_state != state {
             self.candidates.clear();
-            self.candidates_of = state;
+            self.candidates_state = state;
         }
         if !self.candidates.contains_key(target) {
             self.candidates.insert(target.clone(), candidates(control, target));
@@ -159,16 +160,22 @@
         &self.candidates[target]
     }
 
-    /// Takes in the end of a request, how it failed, and the load that came with it.
-    pub fn end(&mut self, now: Millis, id: &InstanceId, load: Option<Load>, failure: Option<Code>) {
+    /// Records the end of a request: its failure, if any, and the load that was reported with it.
+    pub fn record_end(
+        &mut self,
+        now: Millis,
+        id: &InstanceId,
+        load: Option<Load>,
+        failure: Option<Code>,
+    ) {
         let upstream = self.upstreams.entry(id.clone()).or_default();
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         match failure {
-            // A full upstream is healthy; only its load is news.
+            // An upstream at its limit has not failed; only its load is recorded.
             None | Some(Code::Overloaded) => {}
-            Some(Code::Leaving | Code::Stopping) => upstream.closed_until = now.plus(CLOSED_TIME),
-            Some(Code::Unreachable) => upstream.closed_until = now.plus(AVOID_TIME),
-            Some(_) => upstream.avoid_until = now.plus(AVOID_TIME),
+            Some(Code::Leaving | Code::Stopping) => upstream.excluded_until = now.plus(EXCLUDE_MS),
+            Some(Code::Unreachable) => upstream.excluded_until = now.plus(AVOID_MS),
+            Some(_) => upstream.avoid_until = now.plus(AVOID_MS),
         }
         if let Some(load) = load {
             upstream.reported = Some(load);
@@ -177,13 +184,13 @@
         }
     }
 
-    /// Sends nothing to an upstream for so many milliseconds, as its agent asks.
-    pub fn leave_alone(&mut self, now: Millis, id: &InstanceId, span_ms: u64) {
+    /// Excludes an upstream for `span_ms` milliseconds, as its agent requests.
+    pub fn exclude(&mut self, now: Millis, id: &InstanceId, span_ms: u64) {
         let upstream = self.upstreams.entry(id.clone()).or_default();
-        upstream.closed_until = upstream.closed_until.max(now.plus(span_ms));
+        upstream.excluded_until = upstream.excluded_until.max(now.plus(span_ms));
     }
 
-    /// Forgets upstreams that are no longer members.
+    /// Removes upstreams that are no longer members.
     pub fn retain(&mut self, control: &Control) {
         let known = |id: &InstanceId| control.members.get(id).is_some();
         self.upstreams.retain(|id, upstream| upstream.in_flight > 0 || known(id));
@@ -191,18 +198,19 @@
 }
 
 impl Upstream {
-    /// How full it is, as a share of its limit; none when it has no room.
+    /// The load as a share of the limit; `None` if no slot is free.
     fn cost(&self, now: Millis) -> Option<f64> {
-        let limit = f64::from(self.reported.map_or(USUAL_LIMIT, |it| it.limit.max(1)));
-        let room = if self.reported.is_some() { limit } else { (limit * WARM_SHARE).max(1.0) };
+        let limit = f64::from(self.reported.map_or(DEFAULT_LIMIT, |it| it.limit.max(1)));
+        let usable_limit =
+            if self.reported.is_some() { limit } else { (limit * NEW_REPLICA_SHARE).max(1.0) };
         let age = now.since(self.reported_at).0 as f64;
-        let others = self.others * (1.0 - age / OTHERS_TIME).max(0.0);
-        let taken = f64::from(self.in_flight) + others;
-        if taken >= room || now < self.closed_until {
+        let others = self.others * (1.0 - age / OTHERS_REQUEST_MS).max(0.0);
+        let total = f64::from(self.in_flight) + others;
+        if total >= usable_limit || now < self.excluded_until {
             return None;
         }
         let avoided = if now < self.avoid_until { 1.0 } else { 0.0 };
-        Some(taken / limit + avoided)
+        Some(total / limit + avoided)
     }
 }
 
@@ -215,13 +223,14 @@
         Target::Model(model) => it.record.serving.iter().any(|tag| tag.is_model(model)),
         Target::Service(name) => it.record.process == Process::Service(name.clone()),
     });
-    let open = serving.filter(|it| !control.is_leaving(&it.record.id));
-    let mut all: Vec<Candidate> =
-        open.map(|it| (it.record.id.clone(), it.record.address, it.record.place.clone())).collect();
-    if all.len() > SUBSET {
+    let accepting = serving.filter(|it| !control.is_leaving(&it.record.id));
+    let mut all: Vec<Candidate> = accepting
+        .map(|it| (it.record.id.clone(), it.record.address, it.record.place.clone()))
+        .collect();
+    if all.len() > MAX_CANDIDATES {
         let me = &control.members.me().id;
         all.sort_by_cached_key(|it| shared_hash(&[me.0.as_bytes(), it.0 .0.as_bytes()]));
-        all.truncate(SUBSET);
+        all.truncate(MAX_CANDIDATES);
     }
     all
 }
@@ -230,7 +239,7 @@
     shared_hash(&[&prefix.to_le_bytes(), id.0.as_bytes()])
 }
 
-fn steps(a: &Place, b: &Place) -> f64 {
+fn distance(a: &Place, b: &Place) -> f64 {
     if a == b {
         0.0
     } else if a.region == b.region {
