--- a/components/reducer/src/agent/engine.rs
+++ b/components/reducer/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! The engine beside an agent: what the configuration wants of it, step by step.
+//! Brings the engine beside an agent to the state that the configuration requires.
 
 use errors::Code;
 use fleet::{Deployment, InstanceId, Millis, ModelName, Release, Role, VersionId};
@@ -7,24 +7,23 @@
 use super::{Agent, AgentEffect, Order};
 use crate::spread::{Spread, SpreadPhase};
 
-/// How long to wait before an order that failed is given again, in milliseconds.
-const ORDER_PAUSE: u64 = 1000;
-/// How long to wait before a manifest is asked for again, in milliseconds.
-const MANIFEST_PAUSE: u64 = 500;
-/// How long to wait before a version that did not fit into memory is looked at again, in
-/// milliseconds.
-const MEMORY_PAUSE: u64 = 5000;
+/// Delay before an order is sent again after one has failed.
+const ORDER_RETRY_MS: u64 = 1000;
+/// Delay before a manifest is requested again after a failure.
+const MANIFEST_RETRY_MS: u64 = 500;
+/// Delay before a version that did not fit into memory is checked again.
+const MEMORY_RECHECK_MS: u64 = 5000;
 
-/// What the configuration wants on this instance for one model.
-struct Wanted {
+/// What the configuration requires of this instance for one model.
+struct RequiredModel {
     model: ModelName,
     release: Release,
     role: Role,
     adapter_of: Option<ModelName>,
 }
 
-impl Wanted {
-    fn read(deployment: &Deployment, me: &InstanceId) -> Self {
+impl RequiredModel {
+    fn from_deployment(deployment: &Deployment, me: &InstanceId) -> Self {
         Self {
             model: deployment.model.clone(),
             release: deployment.release.clone(),
@@ -35,61 +34,65 @@
 }
 
 impl Agent {
-    /// Compares what the configuration wants here with what is here, and does what is missing.
-    /// Whoever made the plan may be gone; the state wanted is in the revision.
+    /// Compares the state that the configuration requires of this instance with the actual state, and starts
+    /// what is missing. The required state is part of the revision, so the daemon that created the plan need
+    /// not be running.
     pub(super) fn reconcile(&mut self, now: Millis) -> Vec<AgentEffect> {
         if !self.is_engine || !self.control.is_current() {
             return Vec::new();
         }
         let me = self.control.members.me().id.clone();
         let configuration = self.control.configuration();
-        let wanted: Vec<Wanted> =
-            configuration.wanted_on(&me).map(|it| Wanted::read(it, &me)).collect();
-        let mut effects = self.drop_unwanted(&wanted);
-        for wanted in &wanted {
-            effects.extend(self.advance(now, wanted));
+        let required: Vec<RequiredModel> = configuration
+            .wanted_on(&me)
+            .map(|it| RequiredModel::from_deployment(it, &me))
+            .collect();
+        let mut effects = self.drop_unrequired(&required);
+        for required in &required {
+            effects.extend(self.next_action(now, required));
         }
-        effects.extend(self.unload_unwanted(now, &wanted));
+        effects.extend(self.unload_unrequired(now, &required));
         effects
     }
 
-    /// The next step for one deployment: the manifest, the chunks or the order.
-    fn advance(&mut self, now: Millis, wanted: &Wanted) -> Vec<AgentEffect> {
-        let version = wanted.release.version;
-        let role = wanted.role;
-        let target = Serving { model: wanted.model.clone(), version, role };
+    /// The next action for one deployment: reading the manifest or sending the order to load. Chunks are
+    /// downloaded by the spread.
+    fn next_action(&mut self, now: Millis, required: &RequiredModel) -> Vec<AgentEffect> {
+        let version = required.release.version;
+        let role = required.role;
+        let target = Serving { model: required.model.clone(), version, role };
         if self.serving.contains(&target) {
             return Vec::new();
         }
         match self.spreads.get(&version).map(Spread::phase) {
-            None => self.await_manifest(now, wanted),
+            None => self.request_manifest(now, required),
             Some(SpreadPhase::Drawing) => Vec::new(),
             Some(SpreadPhase::Whole) => {
                 let order = Order {
                     epoch: self.control.configuration().revision,
-                    model: wanted.model.clone(),
+                    model: required.model.clone(),
                     version: Some(version),
-                    adapter_of: wanted.adapter_of.clone(),
+                    adapter_of: required.adapter_of.clone(),
                     role,
-                    bytes: wanted.release.bytes,
+                    bytes: required.release.bytes,
                 };
-                self.give_order(now, order)
+                self.send_order(now, order)
             }
         }
     }
 
-    fn await_manifest(&mut self, now: Millis, wanted: &Wanted) -> Vec<AgentEffect> {
-        let version = wanted.release.version;
-        if self.awaited.get(&version).is_some_and(|again| now < *again) {
+    fn request_manifest(&mut self, now: Millis, required: &RequiredModel) -> Vec<AgentEffect> {
+        let version = required.release.version;
+        if self.manifest_retry_at.get(&version).is_some_and(|retry_at| now < *retry_at) {
             return Vec::new();
         }
         let staged: u64 = self.spreads.values().map(|it| it.manifest.bytes).sum();
-        if staged + wanted.release.bytes > self.options.memory_bytes {
-            self.awaited.insert(version, now.plus(MEMORY_PAUSE));
+        if staged + required.release.bytes > self.options.memory_bytes {
+            self.manifest_retry_at.insert(version, now.plus(MEMORY_RECHECK_MS));
             return vec![AgentEffect::CountRefusal(Code::TooLarge)];
         }
-        // The answer ends the wait; the far moment only keeps a second question from being asked.
-        self.awaited.insert(version, Millis(u64::MAX));
+        // The result of the read replaces this entry; the distant time prevents a second read until then.
+        self.manifest_retry_at.insert(version, Millis(u64::MAX));
         let holders =
             self.control.members.others().filter(|it| {
                 it.is_up() && it.record.serving.iter().any(|tag| tag.is_version(version))
@@ -98,12 +101,12 @@
         vec![AgentEffect::ReadManifest { version, peers }]
     }
 
-    /// Asks for a manifest again after a while.
-    pub(super) fn fail_manifest(&mut self, now: Millis, version: VersionId) {
-        self.awaited.insert(version, now.plus(MANIFEST_PAUSE));
+    /// Schedules another read of a manifest.
+    pub(super) fn schedule_manifest_retry(&mut self, now: Millis, version: VersionId) {
+        self.manifest_retry_at.insert(version, now.plus(MANIFEST_RETRY_MS));
     }
 
-    fn give_order(&mut self, now: Millis, order: Order) -> Vec<AgentEffect> {
+    fn send_order(&mut self, now: Millis, order: Order) -> Vec<AgentEffect> {
         if self.orders.contains_key(&order.model) || now < self.order_not_before {
             return Vec::new();
         }
@@ -111,7 +114,7 @@
         vec![AgentEffect::Order(order)]
     }
 
-    pub(super) fn take_obeyed(
+    pub(super) fn handle_order_result(
         &mut self,
         now: Millis,
         model: &ModelName,
@@ -121,7 +124,7 @@
             return Vec::new();
         };
         if let Err(code) = result {
-            self.order_not_before = now.plus(ORDER_PAUSE);
+            self.order_not_before = now.plus(ORDER_RETRY_MS);
             return vec![AgentEffect::CountRetry(code)];
         }
         self.serving.retain(|it| &it.model != model);
@@ -133,34 +136,35 @@
         self.reconcile(now)
     }
 
-    /// Stops drawing versions that nobody wants here and lets go of their chunks. A version that
-    /// the engine still serves stays: peers may draw it, and its unloading is ordered apart.
-    fn drop_unwanted(&mut self, wanted: &[Wanted]) -> Vec<AgentEffect> {
-        let is_wanted =
-            |version: &VersionId| wanted.iter().any(|it| &it.release.version == version);
+    /// Stops the download of versions that are no longer required and drops their chunks. A version that the
+    /// engine still serves is kept, because peers may download it; a separate order unloads it.
+    fn drop_unrequired(&mut self, required: &[RequiredModel]) -> Vec<AgentEffect> {
+        let is_required =
+            |version: &VersionId| required.iter().any(|it| &it.release.version == version);
         let is_served = |version: &VersionId| self.serving.iter().any(|it| &it.version == version);
         let is_ordered = |version: &VersionId| {
             self.orders.values().any(|it| it.version.as_ref() == Some(version))
         };
-        let gone: Vec<VersionId> = self
+        let unrequired: Vec<VersionId> = self
             .spreads
             .keys()
-            .filter(|it| !is_wanted(it) && !is_served(it) && !is_ordered(it))
+            .filter(|it| !is_required(it) && !is_served(it) && !is_ordered(it))
             .copied()
             .collect();
-        gone.iter().for_each(|version| {
+        unrequired.iter().for_each(|version| {
             self.spreads.remove(version);
         });
-        self.awaited.retain(|version, _| wanted.iter().any(|it| &it.release.version == version));
-        gone.into_iter().map(AgentEffect::Drop).collect()
+        self.manifest_retry_at
+            .retain(|version, _| required.iter().any(|it| &it.release.version == version));
+        unrequired.into_iter().map(AgentEffect::Drop).collect()
     }
 
-    fn unload_unwanted(&mut self, now: Millis, wanted: &[Wanted]) -> Vec<AgentEffect> {
-        let is_wanted = |model: &ModelName| wanted.iter().any(|it| &it.model == model);
-        let gone: Vec<Serving> =
-            self.serving.iter().filter(|it| !is_wanted(&it.model)).cloned().collect();
+    fn unload_unrequired(&mut self, now: Millis, required: &[RequiredModel]) -> Vec<AgentEffect> {
+        let is_required = |model: &ModelName| required.iter().any(|it| &it.model == model);
+        let unrequired: Vec<Serving> =
+            self.serving.iter().filter(|it| !is_required(&it.model)).cloned().collect();
         let epoch = self.control.configuration().revision;
-        let orders = gone.into_iter().map(|it| Order {
+        let orders = unrequired.into_iter().map(|it| Order {
             epoch,
             model: it.model,
             version: None,
@@ -169,6 +173,6 @@
             bytes: 0,
         });
         let orders: Vec<Order> = orders.collect();
-        orders.into_iter().flat_map(|order| self.give_order(now, order)).collect()
+        orders.into_iter().flat_map(|order| self.send_order(now, order)).collect()
     }
 }
--- a/components/reducer/src/agent/event.rs
+++ b/components/reducer/src/agent/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an agent and what it does.
+//! Events and effects of an agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,122 +12,122 @@
 use crate::control::{ControlEffect, ControlEvent};
 use crate::spread::{Draw, DrawSource, SpreadOptions};
 
-/// Numbers an agent works with.
+/// Settings of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentOptions {
-    /// Requests the upstream takes at once.
+    /// Most requests that the upstream runs at once.
     pub concurrency: u32,
     /// Memory for weights, in bytes.
     pub memory_bytes: u64,
-    /// This instance's link up, in bytes a second.
+    /// Rate of this instance's uplink, in bytes per second.
     pub upload_bytes_per_s: u64,
-    /// Numbers for spreads.
+    /// Settings of the distribution of versions.
     pub spread: SpreadOptions,
 }
 
-/// What happens to an agent.
+/// An event concerning an agent.
 #[derive(Clone, Debug)]
 pub enum AgentEvent {
-    /// Something of the shared state.
+    /// An event concerning the shared state of the daemon.
     Control(ControlEvent),
     /// A manifest was read.
     ManifestRead(Arc<Manifest>),
     /// A manifest could not be read.
     ManifestFailed(VersionId),
-    /// A chunk arrived and is staged if it is verified.
+    /// A chunk was received; if verified, it is staged.
     ChunkArrived {
         /// The version.
         version: VersionId,
         /// The chunk.
         index: u32,
-        /// From where.
+        /// The source of the chunk.
         source: DrawSource,
-        /// Whether its digest is right.
+        /// Whether the digest of the chunk matches the manifest.
         verified: bool,
-        /// What the sender holds, and its upload queue.
+        /// The chunks that the sender holds, and the length of its upload queue.
         sender: Option<(Bitmap, u32)>,
     },
-    /// A chunk did not arrive.
+    /// The download of a chunk failed.
     ChunkFailed {
         /// The version.
         version: VersionId,
         /// The chunk.
         index: u32,
-        /// From where it was asked.
+        /// The source that was asked.
         source: DrawSource,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// Milliseconds after which the source may be asked again.
+        /// When the source may be asked again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// A peer asks for a chunk.
+    /// A peer requests a chunk.
     ChunkAsked {
-        /// Names the upload.
+        /// Identifies the upload.
         upload: u64,
-        /// Who asks.
+        /// The peer.
         from: InstanceId,
         /// The version.
         version: VersionId,
         /// The chunk.
         index: u32,
-        /// What the asker holds.
+        /// The chunks that the peer holds.
         have: Bitmap,
     },
-    /// An upload is over, whole or not.
+    /// An upload has ended, successfully or not.
     UploadEnded,
-    /// The engine has obeyed an order, or not.
+    /// An order to the engine has ended.
     OrderEnded {
-        /// The model it was about.
+        /// The model of the order.
         model: ModelName,
-        /// What became of it.
+        /// The result.
         result: Result<(), Code>,
     },
-    /// An entry passes on a request.
+    /// An entry forwarded a request.
     CallArrived {
-        /// Names the call on its connection.
+        /// Identifies the call on its connection.
         call: u64,
         /// When it arrived.
         arrived: Millis,
         /// The call.
         request: Box<Call>,
     },
-    /// The upstream began to answer a request that was admitted.
+    /// The upstream began to answer an admitted request, or rejected it.
     UpstreamAnswered {
         /// The request.
         request: RequestId,
-        /// How long it wants to be left alone, in milliseconds: zero where it took the request.
+        /// The pause that the upstream requests, in milliseconds; zero if it accepted the request.
         rest_ms: u64,
     },
-    /// A request that was admitted has ended.
+    /// An admitted request has ended.
     CallEnded(RequestId),
-    /// A planned stop.
+    /// The process is asked to stop.
     Stop,
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
 }
 
-/// What an agent does.
+/// An action for the driver of an agent.
 #[derive(Clone, Debug)]
 pub enum AgentEffect {
-    /// Something about the shared state.
+    /// An action for the shared state of the daemon.
     Control(ControlEffect),
-    /// Read a manifest, from the object store or else from one of these peers.
+    /// Read a manifest from the object store or, failing that, from one of these peers.
     ReadManifest {
         /// The version.
         version: VersionId,
-        /// Peers that may have it.
+        /// Peers that may hold the manifest.
         peers: Vec<SocketAddr>,
     },
-    /// Draw a chunk.
+    /// Download a chunk.
     Draw {
-        /// What.
+        /// The chunk and its source.
         draw: Draw,
-        /// What this agent holds.
+        /// The chunks that this agent holds.
         have: Bitmap,
     },
-    /// Drop the staged chunks of a version and stop drawing it.
+    /// Drop the staged chunks of a version and stop its downloads.
     Drop(VersionId),
-    /// Send a chunk to the peer that asked.
+    /// Send a chunk to the peer that requested it.
     Upload {
         /// The upload.
         upload: u64,
@@ -135,63 +135,63 @@
         version: VersionId,
         /// The chunk.
         index: u32,
-        /// What this agent holds.
+        /// The chunks that this agent holds.
         have: Bitmap,
-        /// Chunks in the upload queue.
+        /// The number of chunks in the upload queue.
         uploads: u32,
     },
-    /// Refuse a chunk.
+    /// Refuse to send a chunk.
     RefuseUpload {
         /// The upload.
         upload: u64,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to ask again, in milliseconds.
+        /// When the peer may ask again, in milliseconds.
         retry_after_ms: u64,
-        /// The load now.
+        /// The current load.
         load: Load,
     },
-    /// Give the engine an order.
+    /// Send an order to the engine.
     Order(Order),
-    /// Let a request through to the upstream.
+    /// Forward a request to the upstream.
     Admit {
         /// The call.
         call: u64,
-        /// The version that will answer; none beside a plain service or while a switch runs.
+        /// The version that will answer; `None` for a plain service and while the model is being switched.
         version: Option<VersionId>,
     },
-    /// Refuse a request; it has not run.
+    /// Reject a request, which has not run.
     Refuse {
         /// The call.
         call: u64,
-        /// Why.
+        /// The reason.
         code: Code,
-        /// When to ask again, in milliseconds; zero if unknown.
+        /// When the entry may ask again, in milliseconds; zero if unknown.
         retry_after_ms: u64,
-        /// The load now.
+        /// The current load.
         load: Load,
     },
-    /// Count something that is refused without anyone asking.
+    /// Count something that the agent does not do although no caller asked for it.
     CountRefusal(Code),
-    /// Count a chunk that is drawn again.
+    /// Count a retry.
     CountRetry(Code),
-    /// Nothing runs any more and the process may exit.
+    /// No request is running and the process may exit.
     Exit,
 }
 
-/// An order to the engine, before the driver adds where the weights are.
+/// An order to the engine. The driver adds the location of the weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The fence.
+    /// The fencing epoch: the engine rejects orders with a lower one.
     pub epoch: Revision,
     /// The model.
     pub model: ModelName,
-    /// The version to load, or none to unload.
+    /// The version to load, or `None` to unload.
     pub version: Option<VersionId>,
-    /// The model an adapter belongs to.
+    /// The base model of an adapter.
     pub adapter_of: Option<ModelName>,
-    /// What the engine shall do with it.
+    /// The role in which the engine serves the model.
     pub role: Role,
-    /// The bytes to read.
+    /// The size of the version in bytes.
     pub bytes: u64,
 }
--- a/components/reducer/src/agent/mod.rs
+++ b/components/reducer/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The reducer of an agent: weights, the engine beside it, and the gate before the upstream.
+//! The reducer of an agent: distribution of weights, control of the engine, and admission of requests.
 
 mod engine;
 mod event;
@@ -17,20 +17,20 @@
 use crate::spread::Spread;
 use crate::Seed;
 
-/// Time between two looks at who is up and what is missing, besides those that events cause, in
-/// milliseconds. Both cost time in proportion to the fleet.
-const REVIEW_EVERY: u64 = 500;
+/// Interval at which participants and required versions are checked again, besides the checks that events
+/// trigger. The cost of a check grows with the size of the fleet.
+const REVIEW_INTERVAL_MS: u64 = 500;
 
 /// The state of an agent.
 pub struct Agent {
-    /// The shared state.
+    /// The state that every daemon keeps.
     pub control: Control,
     is_engine: bool,
     options: AgentOptions,
     admission: Admission,
     spreads: BTreeMap<VersionId, Spread>,
-    /// Versions whose manifest was asked for, and when to ask again.
-    awaited: BTreeMap<VersionId, Millis>,
+    /// Versions whose manifest has been requested, and when it may be requested again.
+    manifest_retry_at: BTreeMap<VersionId, Millis>,
     orders: BTreeMap<ModelName, Order>,
     order_not_before: Millis,
     serving: Vec<Serving>,
@@ -39,7 +39,7 @@
 }
 
 impl Agent {
-    /// Starts with nothing staged. `is_engine` tells a model engine from a plain service.
+    /// Creates an agent without staged chunks. `is_engine` distinguishes a model engine from a plain service.
     pub fn new(me: MemberRecord, is_engine: bool, options: AgentOptions) -> Self {
         Self {
             control: Control::new(me, options.spread.control_bytes_per_s / 2),
@@ -47,7 +47,7 @@
             admission: Admission::new(options.concurrency),
             options,
             spreads: BTreeMap::new(),
-            awaited: BTreeMap::new(),
+            manifest_retry_at: BTreeMap::new(),
             orders: BTreeMap::new(),
             order_not_before: Millis(0),
             serving: Vec::new(),
@@ -61,7 +61,7 @@
         &self.serving
     }
 
-    /// The spreads and how many chunks each holds and awaits.
+    /// The versions that are being distributed or are staged here.
     pub fn spreads(&self) -> impl Iterator<Item = &Spread> {
         self.spreads.values()
     }
@@ -71,18 +71,18 @@
         Load { uploads: self.uploads, ..self.admission.load() }
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn reduce(&mut self, now: Millis, seed: u64, event: AgentEvent) -> Vec<AgentEffect> {
         let mut seed = Seed::new(seed);
         match event {
-            AgentEvent::Control(event) => self.take_control(now, &mut seed, event),
-            AgentEvent::ManifestRead(manifest) => self.take_manifest(now, manifest),
+            AgentEvent::Control(event) => self.handle_control(now, &mut seed, event),
+            AgentEvent::ManifestRead(manifest) => self.handle_manifest(now, manifest),
             AgentEvent::ManifestFailed(version) => {
-                self.fail_manifest(now, version);
+                self.schedule_manifest_retry(now, version);
                 Vec::new()
             }
             AgentEvent::ChunkArrived { version, index, source, verified, sender } => {
-                self.take_chunk(now, version, index, source, verified, sender)
+                self.handle_chunk(now, version, index, source, verified, sender)
             }
             AgentEvent::ChunkFailed { version, index, source, code, retry_after_ms } => {
                 if let Some(spread) = self.spreads.get_mut(&version) {
@@ -93,13 +93,15 @@
                 effects
             }
             AgentEvent::ChunkAsked { upload, from, version, index, have } => {
-                self.take_ask(now, upload, &from, version, index, have)
+                self.handle_chunk_request(now, upload, &from, version, index, have)
             }
             AgentEvent::UploadEnded => {
                 self.uploads = self.uploads.saturating_sub(1);
                 Vec::new()
             }
-            AgentEvent::OrderEnded { model, result } => self.take_obeyed(now, &model, result),
+            AgentEvent::OrderEnded { model, result } => {
+                self.handle_order_result(now, &model, result)
+            }
             AgentEvent::CallArrived { call, arrived, request } => {
                 vec![self.admit(now, call, arrived, &request)]
             }
@@ -116,16 +118,16 @@
         }
     }
 
-    fn take_control(
+    fn handle_control(
         &mut self,
         now: Millis,
         seed: &mut Seed,
         event: ControlEvent,
     ) -> Vec<AgentEffect> {
-        let mut drawn = Vec::new();
+        let mut summary_effects = Vec::new();
         if let ControlEvent::Datagram { from, datagram } = &event {
             if let DatagramBody::Summary { version, have } = &datagram.body {
-                drawn = self.take_summary(now, *from, &datagram.from, *version, have);
+                summary_effects = self.handle_summary(now, *from, &datagram.from, *version, have);
             }
         }
         let effects = self.control.reduce(now, seed, event);
@@ -134,14 +136,14 @@
         if applied {
             effects.extend(self.reconcile(now));
         }
-        effects.extend(drawn);
+        effects.extend(summary_effects);
         effects
     }
 
     fn tick(&mut self, now: Millis, seed: &mut Seed) -> Vec<AgentEffect> {
-        let mut effects = self.take_control(now, seed, ControlEvent::Tick);
+        let mut effects = self.handle_control(now, seed, ControlEvent::Tick);
         if now >= self.next_review {
-            self.next_review = now.plus(REVIEW_EVERY);
+            self.next_review = now.plus(REVIEW_INTERVAL_MS);
             self.refresh_participants(now);
             effects.extend(self.reconcile(now));
         }
@@ -172,8 +174,9 @@
 
     fn stop(&mut self, seed: &mut Seed) -> Vec<AgentEffect> {
         self.admission.stop();
-        let news = self.control.announce_leave(seed);
-        let mut effects: Vec<AgentEffect> = news.into_iter().map(AgentEffect::Control).collect();
+        let outgoing = self.control.announce_leave(seed);
+        let mut effects: Vec<AgentEffect> =
+            outgoing.into_iter().map(AgentEffect::Control).collect();
         effects.extend(self.exit_if_drained());
         effects
     }
--- a/components/reducer/src/agent/tests.rs
+++ b/components/reducer/src/agent/tests.rs
@@ -1,12 +1,12 @@
-//! Stateful fuzzing of the agent's reducer. The oracle knows which verified chunks were handed over,
-//! which draws are out, and what the engine obeyed.
+//! Stateful property test of the agent's reducer. The oracle records which verified chunks were delivered,
+//! which downloads are pending, and which orders the engine has executed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::weights::{UPLOAD_QUEUE, WINDOW};
+use super::weights::{DOWNLOAD_WINDOW, UPLOAD_QUEUE_LIMIT};
 use super::*;
 use crate::spread::{Draw, DrawSource, SpreadOptions};
 use crate::Choice;
@@ -20,48 +20,48 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use wire::{Datagram, MemberState};
 
-const CHUNK: u32 = 4096;
-/// Steps in which everything that is out must end once the faults have ended.
-const SETTLE_STEPS: usize = 3000;
+const CHUNK_BYTES: u32 = 4096;
+/// Most steps until the required version is live after the last fault.
+const MAX_SETTLE_STEPS: usize = 3000;
 
-/// What happens to the agent.
+/// A step of the test.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A version is deployed here, or none.
+    /// A version is deployed to this agent, or the deployment is removed.
     Deploy(Option<usize>),
-    /// The oldest question for a manifest is answered, or fails.
+    /// The oldest pending read of a manifest succeeds or fails.
     Manifest(bool),
-    /// One of the draws that are out ends well, damaged, or not at all.
-    Chunk { which: usize, ending: Ending },
-    /// A peer says what it holds; it may lie.
+    /// A pending download succeeds, delivers a corrupt chunk, or fails.
+    Chunk { which: usize, outcome: DownloadOutcome },
+    /// A peer reports which chunks it holds, truthfully or not.
     Summary { peer: usize, version: usize, held: u8 },
-    /// The oldest order is obeyed, or fails.
+    /// The oldest order succeeds or fails.
     Order(bool),
-    /// A peer asks for a chunk.
+    /// A peer requests a chunk.
     Ask { version: usize, index: u32 },
-    /// Time passes.
+    /// Time passes and the timer fires.
     Tick(u64),
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Ending {
-    Good,
-    Damaged,
-    Lost,
+enum DownloadOutcome {
+    Verified,
+    Corrupt,
+    Stalled,
     Missing,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let ending = prop_oneof![
-        6 => Just(Ending::Good),
-        1 => Just(Ending::Damaged),
-        1 => Just(Ending::Lost),
-        1 => Just(Ending::Missing),
+    let outcome = prop_oneof![
+        6 => Just(DownloadOutcome::Verified),
+        1 => Just(DownloadOutcome::Corrupt),
+        1 => Just(DownloadOutcome::Stalled),
+        1 => Just(DownloadOutcome::Missing),
     ];
     prop_oneof![
         1 => proptest::option::of(0usize..2).prop_map(Step::Deploy),
         2 => any::<bool>().prop_map(Step::Manifest),
-        10 => (any::<usize>(), ending).prop_map(|(which, ending)| Step::Chunk { which, ending }),
+        10 => (any::<usize>(), outcome).prop_map(|(which, outcome)| Step::Chunk { which, outcome }),
         4 => (0usize..3, 0usize..2, any::<u8>())
             .prop_map(|(peer, version, held)| Step::Summary { peer, version, held }),
         2 => any::<bool>().prop_map(Step::Order),
@@ -70,7 +70,8 @@
     ]
 }
 
-/// The steps need no state to be valid; the oracle stands beside the agent.
+/// Every step is valid in every state, so the reference machine has no state. The oracle is part of the
+/// system under test.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -88,16 +89,16 @@
     fn apply(_: (), _: &Step) {}
 }
 
-/// The agent and what the oracle knows.
+/// The agent and the state of the oracle.
 struct World {
     agent: Agent,
     now: Millis,
     manifests: [Arc<Manifest>; 2],
     table: Configuration,
     draws: Vec<Draw>,
-    manifest_questions: VecDeque<VersionId>,
+    manifest_reads: VecDeque<VersionId>,
     orders: VecDeque<Order>,
-    /// Verified chunks handed over since the version was last dropped.
+    /// Verified chunks delivered since the version was last dropped.
     delivered: BTreeMap<VersionId, BTreeSet<u32>>,
     /// What the engine has loaded.
     loaded: Option<VersionId>,
@@ -128,8 +129,9 @@
 impl World {
     fn new() -> Self {
         let describe = |first: u8| {
-            let content: Vec<u8> = (0..8 * CHUNK).map(|n| first + (n / CHUNK) as u8).collect();
-            Arc::new(Manifest::describe_with("m", &content, CHUNK).unwrap())
+            let content: Vec<u8> =
+                (0..8 * CHUNK_BYTES).map(|n| first + (n / CHUNK_BYTES) as u8).collect();
+            Arc::new(Manifest::describe_with("m", &content, CHUNK_BYTES).unwrap())
         };
         let options = AgentOptions {
             concurrency: 4,
@@ -151,30 +153,30 @@
             manifests: [describe(0), describe(100)],
             table: Configuration::default(),
             draws: Vec::new(),
-            manifest_questions: VecDeque::new(),
+            manifest_reads: VecDeque::new(),
             orders: VecDeque::new(),
             delivered: BTreeMap::new(),
             loaded: None,
             last_epoch: Revision(0),
         };
-        world.give(AgentEvent::Control(ControlEvent::TableRead(None)));
+        world.send_event(AgentEvent::Control(ControlEvent::TableRead(None)));
         world
     }
 
-    fn give(&mut self, event: AgentEvent) {
+    fn send_event(&mut self, event: AgentEvent) {
         let effects = self.agent.reduce(self.now, 7, event);
         for effect in effects {
-            self.check(effect);
+            self.check_effect(effect);
         }
         let from_peers = self.draws.iter().filter(|it| it.source != DrawSource::Origin).count();
-        assert!(from_peers <= WINDOW, "more chunks in flight than the window");
+        assert!(from_peers <= DOWNLOAD_WINDOW, "more chunks in flight than the window");
         assert!(self.draws.len() - from_peers <= 2, "more chunks from the origin than allowed");
     }
 
-    fn check(&mut self, effect: AgentEffect) {
+    fn check_effect(&mut self, effect: AgentEffect) {
         match effect {
             AgentEffect::Draw { draw, .. } => self.check_draw(draw),
-            AgentEffect::ReadManifest { version, .. } => self.manifest_questions.push_back(version),
+            AgentEffect::ReadManifest { version, .. } => self.manifest_reads.push_back(version),
             AgentEffect::Drop(version) => {
                 self.delivered.remove(&version);
                 self.draws.retain(|it| it.version != version);
@@ -182,35 +184,39 @@
             AgentEffect::Order(order) => self.check_order(order),
             AgentEffect::Upload { version, index, .. } => {
                 let held = self.delivered.get(&version).is_some_and(|it| it.contains(&index));
-                assert!(held, "a chunk is sent that is not here");
-                self.give(AgentEvent::UploadEnded);
+                assert!(held, "a chunk is sent that the agent does not hold");
+                self.send_event(AgentEvent::UploadEnded);
             }
             _ => {}
         }
     }
 
     fn check_draw(&mut self, draw: Draw) {
-        assert_eq!(Some(draw.version), self.wanted(), "a chunk of an unwanted version is drawn");
-        let twice =
+        assert_eq!(
+            Some(draw.version),
+            self.required(),
+            "a chunk of a version that is not required is downloaded"
+        );
+        let is_duplicate =
             self.draws.iter().any(|it| (it.version, it.index) == (draw.version, draw.index));
-        assert!(!twice, "a chunk is drawn twice at once");
+        assert!(!is_duplicate, "a chunk is downloaded twice at the same time");
         let held = self.delivered.get(&draw.version).is_some_and(|it| it.contains(&draw.index));
-        assert!(!held, "a chunk is drawn that is here");
-        assert!(draw.deadline > self.now, "a draw without time");
+        assert!(!held, "a chunk is downloaded that the agent holds");
+        assert!(draw.deadline > self.now, "the deadline of a download has passed");
         self.draws.push(draw);
     }
 
     fn check_order(&mut self, order: Order) {
-        assert!(order.epoch >= self.last_epoch, "an order with a lower fence than the one before");
+        assert!(order.epoch >= self.last_epoch, "the epoch of an order decreased");
         self.last_epoch = order.epoch;
         if let Some(version) = order.version {
             let delivered = self.delivered.get(&version).map_or(0, BTreeSet::len);
-            assert_eq!(delivered, 8, "a load order for a version that is not whole");
+            assert_eq!(delivered, 8, "a load order for an incomplete version");
         }
         self.orders.push_back(order);
     }
 
-    fn wanted(&self) -> Option<VersionId> {
+    fn required(&self) -> Option<VersionId> {
         self.agent.control.configuration().deployments.values().next().map(|it| it.release.version)
     }
 
@@ -222,7 +228,7 @@
         };
         self.table = self.table.apply(&plan, &change);
         let configuration = Box::new(self.table.clone());
-        self.give(AgentEvent::Control(ControlEvent::Fetched(configuration)));
+        self.send_event(AgentEvent::Control(ControlEvent::Fetched(configuration)));
     }
 
     fn deployment(&self, which: usize) -> Deployment {
@@ -244,41 +250,41 @@
         }
     }
 
-    fn end_draw(&mut self, which: usize, ending: Ending) {
+    fn end_draw(&mut self, which: usize, outcome: DownloadOutcome) {
         if self.draws.is_empty() {
             return;
         }
         let Draw { version, index, source, .. } = self.draws.remove(which % self.draws.len());
-        let event = match ending {
-            Ending::Good | Ending::Damaged => {
-                let verified = matches!(ending, Ending::Good);
+        let event = match outcome {
+            DownloadOutcome::Verified | DownloadOutcome::Corrupt => {
+                let verified = matches!(outcome, DownloadOutcome::Verified);
                 if verified {
                     self.delivered.entry(version).or_default().insert(index);
                 }
                 AgentEvent::ChunkArrived { version, index, source, verified, sender: None }
             }
-            Ending::Lost | Ending::Missing => {
-                let lost = matches!(ending, Ending::Lost);
+            DownloadOutcome::Stalled | DownloadOutcome::Missing => {
+                let lost = matches!(outcome, DownloadOutcome::Stalled);
                 let code = if lost { Code::PeerStalled } else { Code::ChunkMissing };
                 AgentEvent::ChunkFailed { version, index, source, code, retry_after_ms: 0 }
             }
         };
-        self.give(event);
+        self.send_event(event);
     }
 
-    fn end_order(&mut self, obeyed: bool) {
+    fn end_order(&mut self, succeeded: bool) {
         let Some(order) = self.orders.pop_front() else {
             return;
         };
-        if obeyed {
+        if succeeded {
             self.loaded = order.version;
         }
-        let result = if obeyed { Ok(()) } else { Err(Code::UpstreamFailed) };
-        self.give(AgentEvent::OrderEnded { model: order.model, result });
+        let result = if succeeded { Ok(()) } else { Err(Code::UpstreamFailed) };
+        self.send_event(AgentEvent::OrderEnded { model: order.model, result });
     }
 
     fn answer_manifest(&mut self, found: bool) {
-        let Some(version) = self.manifest_questions.pop_front() else {
+        let Some(version) = self.manifest_reads.pop_front() else {
             return;
         };
         let manifest = self.manifests.iter().find(|it| it.version() == version).cloned();
@@ -288,7 +294,7 @@
         } else {
             AgentEvent::ManifestFailed(version)
         };
-        self.give(event);
+        self.send_event(event);
     }
 
     fn summarize(&mut self, number: usize, version: usize, held: u8) {
@@ -304,16 +310,16 @@
         };
         let from = address(number);
         let datagram = Box::new(datagram);
-        self.give(AgentEvent::Control(ControlEvent::Datagram { from, datagram }));
+        self.send_event(AgentEvent::Control(ControlEvent::Datagram { from, datagram }));
     }
 
-    fn take(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
             Step::Deploy(which) => self.deploy(*which),
             Step::Manifest(found) => self.answer_manifest(*found),
-            Step::Chunk { which, ending } => self.end_draw(*which, *ending),
+            Step::Chunk { which, outcome } => self.end_draw(*which, *outcome),
             Step::Summary { peer, version, held } => self.summarize(*peer, *version, *held),
-            Step::Order(obeyed) => self.end_order(*obeyed),
+            Step::Order(succeeded) => self.end_order(*succeeded),
             Step::Ask { version, index } => {
                 let version = self.manifests[*version].version();
                 let have = Bitmap::new(8);
@@ -324,30 +330,30 @@
                     index: *index,
                     have,
                 };
-                self.give(ask);
+                self.send_event(ask);
             }
             Step::Tick(span) => {
                 self.now = self.now.plus(*span);
-                self.give(AgentEvent::Tick);
+                self.send_event(AgentEvent::Tick);
             }
         }
-        // The agent says that it serves exactly what the engine obeyed.
-        let says: Vec<VersionId> = self.agent.serving().iter().map(|it| it.version).collect();
-        assert_eq!(says, self.loaded.into_iter().collect::<Vec<_>>());
+        // The agent reports exactly the versions that the engine has loaded.
+        let reported: Vec<VersionId> = self.agent.serving().iter().map(|it| it.version).collect();
+        assert_eq!(reported, self.loaded.into_iter().collect::<Vec<_>>());
     }
 
-    /// Once the faults have ended, the version wanted becomes live.
-    fn settle(&mut self) {
-        for _ in 0..SETTLE_STEPS {
-            if self.loaded == self.wanted() && self.orders.is_empty() {
+    /// Runs without faults until the required version is live.
+    fn run_until_live(&mut self) {
+        for _ in 0..MAX_SETTLE_STEPS {
+            if self.loaded == self.required() && self.orders.is_empty() {
                 return;
             }
-            self.take(&Step::Manifest(true));
-            self.take(&Step::Chunk { which: 0, ending: Ending::Good });
-            self.take(&Step::Order(true));
-            self.take(&Step::Tick(500));
+            self.run_step(&Step::Manifest(true));
+            self.run_step(&Step::Chunk { which: 0, outcome: DownloadOutcome::Verified });
+            self.run_step(&Step::Order(true));
+            self.run_step(&Step::Tick(500));
         }
-        panic!("the version wanted does not become live");
+        panic!("the required version does not become live");
     }
 }
 
@@ -362,12 +368,12 @@
     }
 
     fn apply(mut world: World, _: &(), step: Step) -> World {
-        world.take(&step);
+        world.run_step(&step);
         world
     }
 
     fn teardown(mut world: World, _: ()) {
-        world.settle();
+        world.run_until_live();
     }
 }
 
@@ -375,14 +381,14 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Default::default() })]
 
     #[test]
-    fn is_never_live_on_a_partial_or_mixed_version(sequential 1..120 => AgentTest);
+    fn never_loads_a_partial_or_mixed_version(sequential 1..120 => AgentTest);
 }
 
 #[test]
-fn refuses_uploads_beyond_its_queue() {
+fn rejects_uploads_beyond_the_queue_limit() {
     let mut world = World::new();
     world.deploy(Some(0));
-    world.settle();
+    world.run_until_live();
     let version = world.manifests[0].version();
     let ask = |upload| {
         let have = Bitmap::new(8);
@@ -393,14 +399,14 @@
     let sent = answers.iter().filter(|it| matches!(it, AgentEffect::Upload { .. })).count();
     let busy =
         |it: &&AgentEffect| matches!(it, AgentEffect::RefuseUpload { code: Code::PeerBusy, .. });
-    assert_eq!(sent as u32, UPLOAD_QUEUE);
+    assert_eq!(sent as u32, UPLOAD_QUEUE_LIMIT);
     assert_eq!(answers.iter().filter(busy).count(), 20 - sent);
 }
 
 #[test]
-fn counts_a_version_that_does_not_fit_into_memory_and_draws_nothing_of_it() {
+fn reports_a_version_that_exceeds_memory_and_does_not_read_its_manifest() {
     let mut world = World::new();
-    world.agent.options.memory_bytes = u64::from(CHUNK);
+    world.agent.options.memory_bytes = u64::from(CHUNK_BYTES);
     let configuration = world.table.apply(&"p".into(), &Change::Deploy(world.deployment(0)));
     let applied = ControlEvent::Fetched(Box::new(configuration));
     let effects = world.agent.reduce(world.now, 1, AgentEvent::Control(applied));
--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -1,4 +1,5 @@
-//! The weights of an agent: which spread draws next, and what peers get.
+//! Distribution of weights at an agent: the order in which versions are downloaded, and the chunks that are
+//! sent to peers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,15 +13,15 @@
 use crate::control::ControlEffect;
 use crate::spread::{DrawSource, Participant, Spread, SpreadEffect, SpreadPhase};
 
-/// Chunks in flight to this instance over all spreads.
-pub(super) const WINDOW: usize = 8;
-/// Chunks in flight that every spread gets, whatever its priority.
-const MIN_WINDOW: usize = 2;
-/// Chunks that may wait in the upload queue.
-pub(super) const UPLOAD_QUEUE: u32 = 8;
+/// Most chunks in flight to this instance over all spreads.
+pub(super) const DOWNLOAD_WINDOW: usize = 8;
+/// Chunks in flight that every spread may have, whatever its priority.
+const MIN_SPREAD_WINDOW: usize = 2;
+/// Most chunks in the upload queue.
+pub(super) const UPLOAD_QUEUE_LIMIT: u32 = 8;
 
 impl Agent {
-    pub(super) fn take_summary(
+    pub(super) fn handle_summary(
         &mut self,
         now: Millis,
         address: SocketAddr,
@@ -40,22 +41,22 @@
         self.control.members.get(id).map(|it| it.record.place.clone()).unwrap_or_default()
     }
 
-    pub(super) fn take_manifest(
+    pub(super) fn handle_manifest(
         &mut self,
         now: Millis,
         manifest: Arc<Manifest>,
     ) -> Vec<AgentEffect> {
         let version = manifest.version();
-        self.awaited.remove(&version);
-        // A version that was taken back and wanted again may have been asked for twice; the second
-        // answer must not start its spread anew under chunks in flight.
+        self.manifest_retry_at.remove(&version);
+        // The manifest of a version that was withdrawn and deployed again may have been requested twice. The
+        // second answer must not restart the spread while its chunks are in flight.
         if self.spreads.contains_key(&version) {
             return Vec::new();
         }
         let me = self.control.members.me().clone();
         let configuration = self.control.configuration();
-        let wanted = configuration.wanted_on(&me.id).find(|it| it.release.version == version);
-        let Some(deployment) = wanted else {
+        let required = configuration.wanted_on(&me.id).find(|it| it.release.version == version);
+        let Some(deployment) = required else {
             return Vec::new();
         };
         let placements = deployment.placements.iter();
@@ -68,10 +69,10 @@
         self.draw(now)
     }
 
-    /// Tells each spread who receives or holds its version.
+    /// Informs each spread which daemons receive or hold its version.
     pub(super) fn refresh_participants(&mut self, now: Millis) {
         let me = &self.control.members.me().id;
-        let mut strangers = false;
+        let mut has_unknown_receivers = false;
         for spread in self.spreads.values_mut() {
             let version = spread.version;
             let deployments = self.control.configuration().deployments.values();
@@ -79,7 +80,7 @@
                 .filter(|it| it.release.version == version)
                 .flat_map(|it| it.placements.keys())
                 .collect();
-            strangers |=
+            has_unknown_receivers |=
                 receivers.iter().any(|id| *id != me && self.control.members.get(id).is_none());
             let others = self.control.members.others();
             let participants: Vec<Participant> = others
@@ -96,12 +97,12 @@
                 .collect();
             spread.set_participants(now, &participants);
         }
-        if strangers {
+        if has_unknown_receivers {
             self.control.schedule_list_read(now);
         }
     }
 
-    pub(super) fn take_chunk(
+    pub(super) fn handle_chunk(
         &mut self,
         now: Millis,
         version: VersionId,
@@ -115,7 +116,8 @@
             DrawSource::Origin => Place::default(),
         };
         let Some(spread) = self.spreads.get_mut(&version) else {
-            // The version was replaced in flight; the chunk staged a moment ago goes as well.
+            // The version was replaced while the chunk was in flight; the chunk that was just staged is
+            // dropped.
             return vec![AgentEffect::Drop(version)];
         };
         let mut effects = Vec::new();
@@ -135,21 +137,22 @@
         effects
     }
 
-    /// Draws chunks for every spread, those of higher priority first; each gets a small part of the
-    /// window in any case, so that an adapter does not wait behind a large model.
+    /// Starts downloads for every spread in order of priority. Each spread has a minimum window, so that an
+    /// adapter does not wait behind a large model.
     pub(super) fn draw(&mut self, now: Millis) -> Vec<AgentEffect> {
-        let order = self.spreads_by_priority();
-        let active = order.len();
-        let mut left = WINDOW.saturating_sub(MIN_WINDOW * active);
+        let ordered = self.spreads_by_priority();
+        let active = ordered.len();
+        let mut remaining = DOWNLOAD_WINDOW.saturating_sub(MIN_SPREAD_WINDOW * active);
         let mut effects = Vec::new();
-        for version in order {
+        for version in ordered {
             let Some(spread) = self.spreads.get_mut(&version) else {
                 continue;
             };
-            let drawn = spread.draw(now, MIN_WINDOW + left);
-            left = left.saturating_sub(spread.in_flight().saturating_sub(MIN_WINDOW));
+            let drawn = spread.draw(now, MIN_SPREAD_WINDOW + remaining);
+            remaining =
+                remaining.saturating_sub(spread.in_flight().saturating_sub(MIN_SPREAD_WINDOW));
             let have = spread.have().clone();
-            effects.extend(drawn.into_iter().map(|it| self.carry_out(it, &have, version)));
+            effects.extend(drawn.into_iter().map(|it| self.to_agent_effect(it, &have, version)));
         }
         effects
     }
@@ -157,8 +160,8 @@
     fn spreads_by_priority(&self) -> Vec<VersionId> {
         let priority = |version: &VersionId| {
             let deployments = self.control.configuration().deployments.values();
-            let wanting = deployments.filter(|it| &it.release.version == version);
-            wanting.map(|it| it.priority).max().unwrap_or(0)
+            let matching = deployments.filter(|it| &it.release.version == version);
+            matching.map(|it| it.priority).max().unwrap_or(0)
         };
         let drawing = self.spreads.values().filter(|it| it.phase() == SpreadPhase::Drawing);
         let mut order: Vec<(&VersionId, u64)> =
@@ -176,12 +179,12 @@
             };
             let due = spread.summarize(now);
             let have = spread.have().clone();
-            effects.extend(due.into_iter().map(|it| self.carry_out(it, &have, version)));
+            effects.extend(due.into_iter().map(|it| self.to_agent_effect(it, &have, version)));
         }
         effects
     }
 
-    fn carry_out(
+    fn to_agent_effect(
         &mut self,
         effect: SpreadEffect,
         have: &Bitmap,
@@ -198,7 +201,7 @@
         }
     }
 
-    pub(super) fn take_ask(
+    pub(super) fn handle_chunk_request(
         &mut self,
         now: Millis,
         upload: u64,
@@ -218,7 +221,7 @@
         if !spread.have().contains(index) {
             return vec![refuse_upload(upload, Code::ChunkMissing, 0, load)];
         }
-        if self.uploads >= UPLOAD_QUEUE {
+        if self.uploads >= UPLOAD_QUEUE_LIMIT {
             let chunk = u64::from(spread.manifest.chunk_bytes) * 1000;
             let wait = chunk / self.options.upload_bytes_per_s.max(1);
             return vec![refuse_upload(upload, Code::PeerBusy, wait, load)];
--- a/components/reducer/src/entry/crashes.rs
+++ b/components/reducer/src/entry/crashes.rs
@@ -1,7 +1,8 @@
-//! Requests that crash their upstreams: what an entry notes of them, refuses, and tells the other entries.
+//! Handles requests that crash their upstreams: records the crashes, rejects such requests and reports them
+//! to the other entries.
 //!
-//! An agent stands beside its upstream and outlives it, so an answer that it reports as broken off is a crash without
-//! waiting for signs of life.
+//! An agent runs beside its upstream and outlives it, so an answer that the agent reports as incomplete
+//! counts as a crash without waiting for a missing heartbeat.
 
 use errors::Code;
 use fleet::{InstanceId, Millis, Process, RequestId};
@@ -12,35 +13,35 @@
 use crate::control::ControlEffect;
 use crate::Seed;
 
-/// How often other entries are told of what changed lately and of one older quarantine, in milliseconds. There are a few
-/// entries, and mostly nothing to tell.
-const TELL_EVERY: u64 = 1000;
+/// Interval at which the other entries receive recent changes and one older quarantine. There are few
+/// entries, and usually there is nothing to send.
+const REPORT_INTERVAL_MS: u64 = 1000;
 
-/// What an entry knows of requests that crash their upstreams.
+/// The requests that crash their upstreams, as known to an entry.
 #[derive(Default)]
 pub(super) struct KnownCrashes {
     crashes: Crashes<RequestId>,
-    /// When the other entries are told next.
-    tell_at: Millis,
+    /// When the next report to the other entries is due.
+    report_at: Millis,
 }
 
 impl Entry {
-    /// Whether a request that arrives is refused because of what it does to upstreams. Each entry may try it once more
-    /// when that is due.
+    /// Whether an arriving request is rejected because it crashes upstreams. Each entry may probe the request
+    /// when a probe is due.
     pub(super) fn is_quarantined(&mut self, now: Millis, arrival: &Arrival) -> bool {
         let crashes = &mut self.known_crashes.crashes;
         let admission = crashes.admit(now, arrival.request, arrival.digest, || true);
         matches!(admission, Admission::Barred { .. })
     }
 
-    /// Whether another try of a request is held back.
+    /// Whether a further attempt of a request is rejected because it crashes upstreams.
     pub(super) fn is_barred(&self, now: Millis, request: RequestId, digest: RequestDigest) -> bool {
         let admission = self.known_crashes.crashes.admits(now, request, digest);
         matches!(admission, Admission::Barred { .. })
     }
 
-    /// Notes how a try ended that may have run.
-    pub(super) fn note_failure(
+    /// Records the failure of an attempt that may have run.
+    pub(super) fn record_failure(
         &mut self,
         now: Millis,
         digest: RequestDigest,
@@ -51,40 +52,44 @@
             return Vec::new();
         }
         let life = LifeDigest::of(agent, None);
-        let news = self.known_crashes.crashes.note_crash(now, digest, agent.clone(), life);
-        self.tell_of(now, news)
+        let changes = self.known_crashes.crashes.note_crash(now, digest, agent.clone(), life);
+        self.schedule_report(now, changes)
     }
 
-    /// Notes that a request got its whole answer.
-    pub(super) fn note_whole(&mut self, now: Millis, digest: RequestDigest) -> Vec<EntryEffect> {
-        let news = self.known_crashes.crashes.note_success(now, digest);
-        self.tell_of(now, news.into_iter().collect())
+    /// Records that a request received its complete answer.
+    pub(super) fn record_success(
+        &mut self,
+        now: Millis,
+        digest: RequestDigest,
+    ) -> Vec<EntryEffect> {
+        let changes = self.known_crashes.crashes.note_success(now, digest);
+        self.schedule_report(now, changes.into_iter().collect())
     }
 
-    /// A request has ended.
-    pub(super) fn note_gone(&mut self, request: RequestId, digest: RequestDigest) {
+    /// Removes the crash state of a request that has ended.
+    pub(super) fn remove_crash_state(&mut self, request: RequestId, digest: RequestDigest) {
         self.known_crashes.crashes.end(request, digest);
     }
 
-    /// Takes in what another entry knows.
-    pub(super) fn take_crashes(&mut self, now: Millis, list: &CrashList) -> Vec<EntryEffect> {
-        let news = self.known_crashes.crashes.take(now, list);
-        news.into_iter().map(EntryEffect::Crash).collect()
+    /// Merges a crash list from another entry.
+    pub(super) fn merge_crashes(&mut self, now: Millis, list: &CrashList) -> Vec<EntryEffect> {
+        let changes = self.known_crashes.crashes.take(now, list);
+        changes.into_iter().map(EntryEffect::Crash).collect()
     }
 
-    fn tell_of(&mut self, now: Millis, news: Vec<CrashNews>) -> Vec<EntryEffect> {
-        if !news.is_empty() {
-            self.known_crashes.tell_at = now;
+    fn schedule_report(&mut self, now: Millis, changes: Vec<CrashNews>) -> Vec<EntryEffect> {
+        if !changes.is_empty() {
+            self.known_crashes.report_at = now;
         }
-        news.into_iter().map(EntryEffect::Crash).collect()
+        changes.into_iter().map(EntryEffect::Crash).collect()
     }
 
-    /// Tells the other entries, if it is time.
-    pub(super) fn tell_entries(&mut self, now: Millis, seed: &mut Seed) -> Vec<EntryEffect> {
-        if now < self.known_crashes.tell_at {
+    /// Sends recent changes to the other entries if a report is due.
+    pub(super) fn report_to_entries(&mut self, now: Millis, seed: &mut Seed) -> Vec<EntryEffect> {
+        if now < self.known_crashes.report_at {
             return Vec::new();
         }
-        self.known_crashes.tell_at = now.plus(TELL_EVERY);
+        self.known_crashes.report_at = now.plus(REPORT_INTERVAL_MS);
         let ledger = &mut self.known_crashes.crashes.ledger;
         ledger.forget_old(now);
         let list = ledger.list(now, Told::Fresh, seed.below(u64::MAX));
@@ -96,10 +101,10 @@
         let addresses: Vec<_> = entries.map(|it| it.record.address).collect();
         let revision = self.control.configuration().revision;
         let datagram = self.control.members.build(DatagramBody::Crashes(list), revision);
-        let tell = |to| {
+        let send = |to| {
             let datagram = Box::new(datagram.clone());
             EntryEffect::Control(ControlEffect::Send { to, datagram })
         };
-        addresses.into_iter().map(tell).collect()
+        addresses.into_iter().map(send).collect()
     }
 }
--- a/components/reducer/src/entry/event.rs
+++ b/components/reducer/src/entry/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an entry and what it does.
+//! Events and effects of an entry.
 
 use std::net::SocketAddr;
 
@@ -13,22 +13,22 @@
 use crate::planner::Estimate;
 use crate::routing::RouteChoice;
 
-/// Numbers an entry works with.
+/// Settings of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryOptions {
-    /// Requests that may wait for an upstream.
+    /// Most requests that may wait for an upstream.
     pub queue_limit: u32,
-    /// The share of first tries that may be tried again.
+    /// Retries allowed, as a share of first attempts.
     pub retry_share: f64,
-    /// What messages between daemons may cost, in bytes a second.
+    /// Bandwidth for messages between daemons, in bytes per second.
     pub control_bytes_per_s: u64,
-    /// Link rates for plans.
+    /// Link rates for the estimates of plans.
     pub estimate: Estimate,
-    /// How upstreams are chosen.
+    /// How upstreams are selected.
     pub choice: RouteChoice,
 }
 
-/// What a request asks for.
+/// The model or service that a request addresses.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
     /// A model or adapter.
@@ -37,148 +37,148 @@
     Service(ServiceName),
 }
 
-/// A request as the reducer sees it; the driver keeps its body.
+/// A request as the reducer sees it; the driver keeps the body.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its identity.
+    /// Its id.
     pub request: RequestId,
-    /// What it is made of: the same for each try of its caller.
+    /// A digest of its content, which stays the same when the caller sends the request again.
     pub digest: RequestDigest,
-    /// What it asks for.
+    /// The model or service that it addresses.
     pub target: Target,
-    /// Who pays.
+    /// The workspace that it is accounted to.
     pub workspace: WorkspaceId,
-    /// A digest of the start of the prompt.
+    /// A hash of the start of the prompt.
     pub prefix: u64,
-    /// When it must have been answered.
+    /// When the answer must be complete.
     pub deadline: Millis,
-    /// How long it may wait for an upstream, in milliseconds. Beyond that its first token would
-    /// come too late, and its place goes to one that can still be on time.
+    /// How long the request may wait for an upstream, in milliseconds. After that its first token would be
+    /// late, and its slot goes to a request that can still be on time.
     pub max_wait: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Higher goes first.
+    /// Requests with a higher priority are sent first.
     pub priority: u8,
-    /// Under this key it may run once only.
+    /// The idempotency key, under which the request may run only once.
     pub key: Option<String>,
 }
 
-/// One try of a request. Never used twice.
+/// One attempt of a request. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The number of the try, from one.
+    /// The number of the attempt, starting at one.
     pub number: u32,
 }
 
-/// How a try failed.
+/// The failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Why; its `ran` says whether the upstream may have run it.
+    /// The reason; `Code::ran` tells whether the upstream may have run the request.
     pub code: Code,
-    /// The load reported with it.
+    /// The load that the agent reported with the failure.
     pub load: Option<Load>,
-    /// When the upstream may be asked again, in milliseconds; zero where nobody said.
+    /// When the upstream may be asked again, in milliseconds; zero if unknown.
     pub retry_after_ms: u64,
 }
 
-/// What happens to an entry.
+/// An event concerning an entry.
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
-    /// Something of the shared state.
+    /// An event concerning the shared state of the daemon.
     Control(ControlEvent),
-    /// Something of a change.
+    /// An event concerning a configuration change.
     Change(ChangeEvent),
     /// A request arrived.
     Arrived(Box<Arrival>),
-    /// A claim was settled.
+    /// An attempt to claim an idempotency key has ended.
     ClaimSettled {
         /// The request.
         request: RequestId,
-        /// What became of it.
+        /// The outcome.
         state: ClaimState,
     },
-    /// The upstream began to answer and the answer goes to the caller.
+    /// The upstream began to answer and the answer is being sent to the caller.
     Started(AttemptId),
-    /// The answer is whole.
+    /// The answer is complete.
     Ended {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// The load reported with it.
+        /// The load that the agent reported with the answer.
         load: Load,
     },
-    /// A try failed.
+    /// An attempt failed.
     Failed {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// The failure.
         failure: Failure,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone(RequestId),
-    /// A planned stop.
+    /// The process is asked to stop.
     Stop,
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
 }
 
-/// What an entry does.
+/// An action for the driver of an entry.
 #[derive(Clone, Debug)]
 pub enum EntryEffect {
-    /// Something about the shared state.
+    /// An action for the shared state of the daemon.
     Control(ControlEffect),
-    /// Something about a change.
+    /// An action for a configuration change.
     Change(ChangeEffect),
-    /// Take the claim for a request's key.
+    /// Claim the idempotency key of a request.
     Claim {
         /// The request.
         request: RequestId,
-        /// Whose key it is.
+        /// The workspace that the key belongs to.
         workspace: WorkspaceId,
         /// The key.
         key: String,
     },
-    /// Give the claim back: the request was certainly not run.
+    /// Release the claim, because the request has certainly not run.
     Release {
-        /// The request that holds it.
+        /// The request that holds the claim.
         request: RequestId,
-        /// Whose key it is.
+        /// The workspace that the key belongs to.
         workspace: WorkspaceId,
         /// The key.
         key: String,
     },
-    /// End a request with the answer that an earlier one got under the same key.
+    /// Answer a request with the stored answer of an earlier request with the same key.
     Replay {
         /// The request.
         request: RequestId,
         /// The answer.
         answer: Box<SavedAnswer>,
     },
-    /// Send a try to an agent.
+    /// Send an attempt to an agent.
     Send {
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
         /// The agent.
         agent: InstanceId,
-        /// Where it listens.
+        /// The address of the agent.
         address: SocketAddr,
-        /// Milliseconds left.
+        /// The time left until the deadline, in milliseconds.
         budget_ms: u64,
     },
-    /// End a request with a code.
+    /// Reject a request with an error.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The error.
         error: Error,
     },
-    /// Stop a try whose caller went away.
+    /// Cancel an attempt whose caller disconnected.
     Cancel(AttemptId),
     /// Count a retry.
     CountRetry(Code),
-    /// Log what is known of a request that upstreams crashed under.
+    /// Log a change in what is known of requests that crash upstreams.
     Crash(CrashNews),
-    /// Nothing is in progress any more.
+    /// The entry is stopping and no request is in progress.
     Drained,
 }
--- a/components/reducer/src/entry/plans.rs
+++ b/components/reducer/src/entry/plans.rs
@@ -1,4 +1,4 @@
-//! Intents and plans: what of a change needs the entry's own state.
+//! The steps of a configuration change that need the state of the entry.
 
 use std::collections::BTreeMap;
 
@@ -14,23 +14,18 @@
 use crate::Seed;
 
 impl Entry {
-    pub(super) fn take_change(
+    pub(super) fn handle_change(
         &mut self,
         now: Millis,
         seed: &mut Seed,
         event: ChangeEvent,
     ) -> Vec<EntryEffect> {
         let effects = self.changes.reduce(now, event);
-        effects.into_iter().flat_map(|effect| self.carry_out(now, seed, effect)).collect()
+        effects.into_iter().flat_map(|effect| self.perform(now, seed, effect)).collect()
     }
 
-    /// Does the part of a change that needs the entry's own state.
-    fn carry_out(
-        &mut self,
-        now: Millis,
-        seed: &mut Seed,
-        effect: ChangeEffect,
-    ) -> Vec<EntryEffect> {
+    /// Performs an effect that needs the state of the entry and passes on all others.
+    fn perform(&mut self, now: Millis, seed: &mut Seed, effect: ChangeEffect) -> Vec<EntryEffect> {
         match effect {
             ChangeEffect::MakePlan { call, intent, release, base } => {
                 let result = self.make_plan(now, &intent, release, &base);
@@ -69,7 +64,7 @@
         let describe = |it: &crate::Member| {
             let id = it.record.id.clone();
             let known = base.deployments.values();
-            let serving = known.flat_map(|deployment| served(deployment, &it.record));
+            let serving = known.flat_map(|deployment| reported_versions(deployment, &it.record));
 
             Candidate {
                 place: it.record.place.clone(),
@@ -83,7 +78,7 @@
         engines.map(describe).collect()
     }
 
-    /// For each instance of a plain service, how many others of that service take work.
+    /// For each instance of a plain service, the number of other instances of that service that take work.
     fn services(&self, base: &Configuration) -> BTreeMap<InstanceId, usize> {
         let open = |it: &&crate::Member| {
             let id = &it.record.id;
@@ -99,8 +94,8 @@
     }
 }
 
-/// The versions of a deployment that a daemon says its engine serves.
-fn served<'a>(
+/// The versions of a deployment that a daemon reports its engine to serve.
+fn reported_versions<'a>(
     deployment: &'a Deployment,
     record: &'a MemberRecord,
 ) -> impl Iterator<Item = (ModelName, VersionId)> + 'a {
--- a/components/reducer/src/entry/queue.rs
+++ b/components/reducer/src/entry/queue.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to an upstream, and those that wait for one.
+//! Dispatch of requests to upstreams, and the queue of requests that wait for one.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -8,16 +8,16 @@
 
 use super::{AttemptId, Entry, EntryEffect, Target};
 
-/// A place in the queue: high priority first, then the nearest deadline.
+/// A position in the queue, ordered by priority and then by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) priority: Reverse<u8>,
     pub(super) deadline: Millis,
     pub(super) request: RequestId,
 }
 
 impl Entry {
-    /// Sends a request to the best upstream with room, or lets it wait.
+    /// Sends a request to the best upstream with a free slot, or queues it.
     pub(super) fn route(&mut self, now: Millis, request: RequestId) -> Vec<EntryEffect> {
         let Some(progress) = self.requests.get_mut(&request) else {
             return Vec::new();
@@ -35,66 +35,72 @@
         };
         let found = self.router.choose(now, &self.control, &target, prefix, &progress.tried);
         let Some((agent, address)) = found else {
-            return self.wait(now, request);
+            return self.enqueue(now, request);
         };
-        progress.tries += 1;
+        progress.attempts += 1;
         progress.tried.push(agent.clone());
-        progress.at = Some(agent.clone());
-        progress.waiting = false;
-        self.shares.take(&progress.arrival.workspace);
-        let attempt = AttemptId { request, number: progress.tries };
+        progress.upstream = Some(agent.clone());
+        progress.is_waiting = false;
+        self.shares.acquire(&progress.arrival.workspace);
+        let attempt = AttemptId { request, number: progress.attempts };
         let budget_ms = progress.arrival.deadline.since(now).0;
         vec![EntryEffect::Send { attempt, agent, address, budget_ms }]
     }
 
-    /// Lets a request wait. Where the queue is full it or one of a workspace that has more waiting is refused.
-    fn wait(&mut self, now: Millis, request: RequestId) -> Vec<EntryEffect> {
+    /// Queues a request. If the queue is full, either this request or one of a workspace with more waiting
+    /// requests is rejected.
+    fn enqueue(&mut self, now: Millis, request: RequestId) -> Vec<EntryEffect> {
         let Some(progress) = self.requests.get_mut(&request) else {
             return Vec::new();
         };
-        // Upstreams that refused a moment ago may have room again by the next turn.
+        // Upstreams that rejected the request may have a free slot when it is dispatched again.
         progress.tried.clear();
-        // A place that comes too late need not be waited for.
+        // Rejects the request if no upstream will take it in time.
         let available_at = self.router.available_at(&self.control, &progress.arrival.target);
         if now.max(available_at) >= progress.waits_until {
             return self.refuse(request, Code::Overloaded);
         }
-        let full = !progress.waiting && self.queue.len() as u32 >= self.options.queue_limit;
-        progress.waiting = true;
+        let is_full = !progress.is_waiting && self.queue.len() as u32 >= self.options.queue_limit;
+        progress.is_waiting = true;
         let arrival = &progress.arrival;
-        let place =
-            Place { priority: Reverse(arrival.priority), deadline: arrival.deadline, request };
+        let position = QueuePosition {
+            priority: Reverse(arrival.priority),
+            deadline: arrival.deadline,
+            request,
+        };
         let workspace = arrival.workspace.clone();
         let mut effects = Vec::new();
-        if full {
-            let Some(surplus) = self.find_surplus(&workspace) else {
+        if is_full {
+            let Some(dropped) = self.find_request_to_drop(&workspace) else {
                 return self.refuse(request, Code::Overloaded);
             };
-            self.queue.remove(&surplus);
-            effects = self.refuse(surplus.request, Code::WorkspaceLimit);
+            self.queue.remove(&dropped);
+            effects = self.refuse(dropped.request, Code::WorkspaceLimit);
         }
-        self.queue.insert(place);
+        self.queue.insert(position);
         effects
     }
 
-    /// Sends waiting requests on while there is room, and ends those that are too late.
+    /// Sends waiting requests while upstreams have free slots, and rejects those that have waited too long.
     pub(super) fn dispatch(&mut self, now: Millis) -> Vec<EntryEffect> {
         let mut effects = Vec::new();
-        let mut full: BTreeSet<Target> = BTreeSet::new();
-        for place in self.turns() {
-            let request = place.request;
+        let mut full_targets: BTreeSet<Target> = BTreeSet::new();
+        for position in self.dispatch_order() {
+            let request = position.request;
             let Some(progress) = self.requests.get(&request) else {
-                self.queue.remove(&place);
+                self.queue.remove(&position);
                 continue;
             };
             let target = progress.arrival.target.clone();
-            if full.contains(&target) && now < progress.arrival.deadline.min(progress.waits_until) {
+            if full_targets.contains(&target)
+                && now < progress.arrival.deadline.min(progress.waits_until)
+            {
                 continue;
             }
-            self.queue.remove(&place);
+            self.queue.remove(&position);
             let routed = self.route(now, request);
             if routed.is_empty() {
-                full.insert(target);
+                full_targets.insert(target);
             }
             effects.extend(routed);
         }
--- a/components/reducer/src/entry/requests.rs
+++ b/components/reducer/src/entry/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: taken, claimed, abandoned, refused.
+//! Arrival, claim, cancellation and rejection of requests.
 
 use errors::{Code, Error, Ran};
 use fleet::{InstanceId, Millis, Process, RequestId, WorkspaceId};
@@ -6,38 +6,38 @@
 use super::{Arrival, AttemptId, Entry, EntryEffect, Target};
 use crate::claims::ClaimState;
 
-/// A request under way.
+/// A request in progress.
 pub(super) struct Progress {
     pub(super) arrival: Arrival,
-    pub(super) tries: u32,
+    pub(super) attempts: u32,
     pub(super) tried: Vec<InstanceId>,
-    /// The upstream that has it now.
-    pub(super) at: Option<InstanceId>,
-    /// Whether a part of the answer went to the caller.
-    pub(super) started: bool,
-    /// How an earlier try ended that may have run. Whatever happens to later tries, the caller is
-    /// then not told that the request was not run.
-    pub(super) unknown: Option<Code>,
-    pub(super) waiting: bool,
-    /// Whether it holds the claim on its key.
-    claimed: bool,
-    /// Until when it may wait.
+    /// The upstream that the current attempt was sent to.
+    pub(super) upstream: Option<InstanceId>,
+    /// Whether part of the answer has been sent to the caller.
+    pub(super) answer_started: bool,
+    /// The failure of an earlier attempt that may have run. The caller is then not told that the request was
+    /// not run, whatever happens to later attempts.
+    pub(super) unknown_outcome: Option<Code>,
+    pub(super) is_waiting: bool,
+    /// Whether the request holds the claim on its key.
+    holds_claim: bool,
+    /// When the request is rejected if it is still waiting.
     pub(super) waits_until: Millis,
 }
 
 impl Progress {
-    /// Who pays for the request.
+    /// The workspace that the request is accounted to.
     pub(super) fn workspace(&self) -> &WorkspaceId {
         &self.arrival.workspace
     }
 }
 
 impl Entry {
-    /// Takes a request, or refuses it at once.
-    pub(super) fn arrive(&mut self, now: Millis, arrival: Arrival) -> Vec<EntryEffect> {
-        let refusal = self.refusal(now, &arrival);
-        let is_quarantined = refusal.is_none() && self.is_quarantined(now, &arrival);
-        if let Some(code) = refusal.or(is_quarantined.then_some(Code::Quarantined)) {
+    /// Accepts a request, or rejects it at once.
+    pub(super) fn handle_arrival(&mut self, now: Millis, arrival: Arrival) -> Vec<EntryEffect> {
+        let rejection = self.rejection_reason(now, &arrival);
+        let is_quarantined = rejection.is_none() && self.is_quarantined(now, &arrival);
+        if let Some(code) = rejection.or(is_quarantined.then_some(Code::Quarantined)) {
             return vec![EntryEffect::Refuse { request: arrival.request, error: code.into() }];
         }
         self.retries.record_first_attempt();
@@ -50,13 +50,13 @@
         });
         let progress = Progress {
             arrival,
-            tries: 0,
+            attempts: 0,
             tried: Vec::new(),
-            at: None,
-            started: false,
-            unknown: None,
-            waiting: false,
-            claimed: false,
+            upstream: None,
+            answer_started: false,
+            unknown_outcome: None,
+            is_waiting: false,
+            holds_claim: false,
             waits_until,
         };
         self.requests.insert(request, progress);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Why a request is not taken, if it is not.
-    fn refusal(&mut self, now: Millis, arrival: &Arrival) -> Option<Code> {
+    /// The reason for rejecting an arriving request, if there is one.
+    fn rejection_reason(&mut self, now: Millis, arrival: &Arrival) -> Option<Code> {
         if self.stopping {
             return Some(Code::Stopping);
         }
@@ -90,8 +90,8 @@
         Some(if known { Code::NoUpstream } else { Code::UnknownTarget })
     }
 
-    /// Takes in what became of the claim on the key of a request.
-    pub(super) fn take_claim(
+    /// Handles the outcome of a claim on the key of a request.
+    pub(super) fn handle_claim(
         &mut self,
         now: Millis,
         request: RequestId,
@@ -106,30 +106,34 @@
         if let ClaimState::Answered(answer) = state {
             self.requests.remove(&request);
             let mut effects = vec![EntryEffect::Replay { request, answer }];
-            effects.extend(self.drained());
+            effects.extend(self.drained_effects());
             return effects;
         }
-        progress.claimed = true;
+        progress.holds_claim = true;
         self.route(now, request)
     }
 
-    /// The caller of a request has gone.
-    pub(super) fn abandon(&mut self, now: Millis, request: RequestId) -> Vec<EntryEffect> {
+    /// Removes a request whose caller disconnected, and cancels its attempt.
+    pub(super) fn handle_disconnect(
+        &mut self,
+        now: Millis,
+        request: RequestId,
+    ) -> Vec<EntryEffect> {
         let Some(progress) = self.requests.remove(&request) else {
             return Vec::new();
         };
-        self.note_gone(request, progress.arrival.digest);
+        self.remove_crash_state(request, progress.arrival.digest);
         let mut effects = Vec::new();
-        if let Some(agent) = &progress.at {
+        if let Some(agent) = &progress.upstream {
             self.router.record_end(now, agent, None, None);
-            self.shares.give_back(&progress.arrival.workspace);
-            effects.push(EntryEffect::Cancel(AttemptId { request, number: progress.tries }));
+            self.shares.release(&progress.arrival.workspace);
+            effects.push(EntryEffect::Cancel(AttemptId { request, number: progress.attempts }));
         }
-        effects.extend(self.after_end(now));
+        effects.extend(self.dispatch_freed(now));
         effects
     }
 
-    /// Ends a request with a code that is true of all its tries.
+    /// Rejects a request with a code that is true for all its attempts.
     pub(super) fn refuse(
         &mut self,
         request: RequestId,
@@ -138,29 +142,29 @@
         let mut error = error.into();
         let progress = self.requests.remove(&request);
         if let Some(progress) = &progress {
-            self.note_gone(request, progress.arrival.digest);
+            self.remove_crash_state(request, progress.arrival.digest);
         }
-        let unknown = progress.as_ref().and_then(|it| it.unknown);
-        if let (Some(code), Ran::NotRun) = (unknown, error.code.ran()) {
-            error = Error::new(code, format!("{}; then: {error}", code.meaning()));
+        let unknown_outcome = progress.as_ref().and_then(|it| it.unknown_outcome);
+        if let (Some(code), Ran::NotRun) = (unknown_outcome, error.code.ran()) {
+            error = Error::new(code, format!("{}; later attempt: {error}", code.meaning()));
         }
-        let release = progress.filter(|it| it.claimed && error.code.ran() == Ran::NotRun);
+        let release = progress.filter(|it| it.holds_claim && error.code.ran() == Ran::NotRun);
         let mut effects = vec![EntryEffect::Refuse { request, error }];
-        effects.extend(release.and_then(|it| give_back(it.arrival)));
-        effects.extend(self.drained());
+        effects.extend(release.and_then(|it| release_claim(it.arrival)));
+        effects.extend(self.drained_effects());
         effects
     }
 
-    /// Gives the room of a request that has ended to those that wait.
-    pub(super) fn after_end(&mut self, now: Millis) -> Vec<EntryEffect> {
+    /// Gives the slot of a request that has ended to waiting requests.
+    pub(super) fn dispatch_freed(&mut self, now: Millis) -> Vec<EntryEffect> {
         let mut effects = self.dispatch(now);
-        effects.extend(self.drained());
+        effects.extend(self.drained_effects());
         effects
     }
 }
 
-/// Gives the claim of a request back, so that its key is not used up by a refusal.
-fn give_back(arrival: Arrival) -> Option<EntryEffect> {
+/// Releases the claim of a request, so that the rejection does not use up its key.
+fn release_claim(arrival: Arrival) -> Option<EntryEffect> {
     let Arrival { request, workspace, key, .. } = arrival;
     Some(EntryEffect::Release { request, workspace, key: key? })
 }
--- a/components/reducer/src/entry/shares.rs
+++ b/components/reducer/src/entry/shares.rs
@@ -1,27 +1,27 @@
-//! Fair shares between workspaces: whoever has the least running goes first, and a full queue makes
-//! room at the cost of whoever waits most.
+//! Fair sharing between workspaces. The workspace with the fewest running requests is served first, and a
+//! full queue drops requests of the workspace with the most waiting ones.
 
 use std::collections::BTreeMap;
 
 use fleet::{RequestId, WorkspaceId};
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::Entry;
 
-/// How many requests each workspace has at upstreams.
+/// The number of requests of each workspace that are running at upstreams.
 #[derive(Default)]
 pub(super) struct Shares {
     running: BTreeMap<WorkspaceId, u32>,
 }
 
 impl Shares {
-    /// Counts a request that went to an upstream.
-    pub(super) fn take(&mut self, workspace: &WorkspaceId) {
+    /// Counts a request that was sent to an upstream.
+    pub(super) fn acquire(&mut self, workspace: &WorkspaceId) {
         *self.running.entry(workspace.clone()).or_default() += 1;
     }
 
-    /// Counts a request that left its upstream.
-    pub(super) fn give_back(&mut self, workspace: &WorkspaceId) {
+    /// Counts a request that has left its upstream.
+    pub(super) fn release(&mut self, workspace: &WorkspaceId) {
         if let Some(running) = self.running.get_mut(workspace) {
             *running = running.saturating_sub(1);
         }
@@ -34,23 +34,26 @@
 }
 
 impl Entry {
-    /// The waiting requests in the order of their turns: high priority, then the workspace with the
-    /// least running, then the nearest deadline.
-    pub(super) fn turns(&self) -> Vec<Place> {
-        let mut turns: Vec<Place> = self.queue.iter().copied().collect();
-        turns.sort_by_cached_key(|place| {
-            let workspace = self.workspace_of(place.request);
+    /// The waiting requests in dispatch order: by priority, then by the number of running requests of the
+    /// workspace, then by deadline.
+    pub(super) fn dispatch_order(&self) -> Vec<QueuePosition> {
+        let mut dispatch_order: Vec<QueuePosition> = self.queue.iter().copied().collect();
+        dispatch_order.sort_by_cached_key(|position| {
+            let workspace = self.workspace_of(position.request);
             let running = workspace.map_or(0, |it| self.shares.running(it));
-            (place.priority, running, place.deadline, place.request)
+            (position.priority, running, position.deadline, position.request)
         });
-        turns
+        dispatch_order
     }
 
-    /// The request that has to go so that one of `newcomer` can wait: the last one of the workspace
-    /// that waits most, if that has clearly more waiting than the newcomer's.
-    pub(super) fn find_surplus(&self, newcomer: &WorkspaceId) -> Option<Place> {
+    /// The waiting request to reject so that a request of the workspace `newcomer` can be queued: the last
+    /// one of the workspace with the most waiting requests, if that workspace has at least two more waiting
+    /// than `newcomer`.
+    pub(super) fn find_request_to_drop(&self, newcomer: &WorkspaceId) -> Option<QueuePosition> {
         let mut waiting: BTreeMap<&WorkspaceId, usize> = BTreeMap::new();
-        for workspace in self.queue.iter().filter_map(|place| self.workspace_of(place.request)) {
+        for workspace in
+            self.queue.iter().filter_map(|position| self.workspace_of(position.request))
+        {
             *waiting.entry(workspace).or_default() += 1;
         }
         let own = waiting.get(newcomer).copied().unwrap_or(0);
@@ -58,8 +61,9 @@
         if count <= own + 1 {
             return None;
         }
-        let theirs = |place: &&Place| self.workspace_of(place.request) == Some(largest);
-        self.queue.iter().rev().find(theirs).copied()
+        let is_of_largest =
+            |position: &&QueuePosition| self.workspace_of(position.request) == Some(largest);
+        self.queue.iter().rev().find(is_of_largest).copied()
     }
 
     fn workspace_of(&self, request: RequestId) -> Option<&WorkspaceId> {
--- a/components/reducer/src/entry/tests.rs
+++ b/components/reducer/src/entry/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// An entry that is ready and sees `count` instances of a plain service.
+/// An entry that accepts requests and knows `count` instances of a plain service.
 fn entry(count: u16, queue_limit: u32) -> Entry {
     let estimate = Estimate { origin_bytes_per_s: 1.0, link_bytes_per_s: 1.0, copies: 1 };
     let options = EntryOptions {
@@ -76,7 +76,7 @@
         EntryEffect::Send { attempt, .. } => Some(*attempt),
         _ => None,
     });
-    sent.expect("a try was sent")
+    sent.expect("an attempt was sent")
 }
 
 fn refusal_of(effects: &[EntryEffect]) -> Option<Code> {
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn never_says_not_run_after_a_try_that_may_have_run() {
-    // Found by killing an agent in the middle of a stream: the second try found nobody listening,
-    // and the caller was told "not run" although the first one had begun.
+fn never_reports_not_run_after_an_attempt_that_may_have_run() {
+    // Guards against a false "not run": an agent is killed in the middle of a stream, the next attempt finds
+    // no listener, and the caller must not be told that the request was not run.
     let mut entry = entry(2, 10);
     let sent = arrive(&mut entry, arrival(1, true));
     let second = fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
-    // The second upstream is now left out; the first one is tried again and left out as well.
+    // The second upstream is excluded now; the first one is tried again and excluded as well.
     let third = fail(&mut entry, attempt_of(&second), Code::Unreachable);
     let waiting = fail(&mut entry, attempt_of(&third), Code::Unreachable);
     assert_eq!((refusal_of(&waiting), entry.load()), (None, (1, 1)));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn never_tries_an_unrepeatable_request_again_once_it_may_have_run() {
+fn never_retries_an_unrepeatable_request_that_may_have_run() {
     let mut entry = entry(2, 10);
     let sent = arrive(&mut entry, arrival(1, false));
     let effects = fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn can_try_an_unrepeatable_request_again_when_it_surely_did_not_run() {
+fn retries_an_unrepeatable_request_that_certainly_did_not_run() {
     let mut entry = entry(2, 10);
     let sent = arrive(&mut entry, arrival(1, false));
     let effects = fail(&mut entry, attempt_of(&sent), Code::Leaving);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn ignores_answers_of_earlier_tries() {
+fn ignores_answers_of_earlier_attempts() {
     let mut entry = entry(2, 10);
     let sent = arrive(&mut entry, arrival(1, true));
     let first = attempt_of(&sent);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn refuses_when_the_queue_is_full_and_when_time_runs_out() {
+fn rejects_requests_when_the_queue_is_full_and_when_the_deadline_passes() {
     let mut entry = entry(1, 1);
     let mut sent = 0;
     let mut refused = Vec::new();
@@ -145,7 +145,7 @@
         sent += effects.iter().filter(|it| matches!(it, EntryEffect::Send { .. })).count();
         refused.extend(refusal_of(&effects));
     }
-    // A replica that has not answered yet gets half of the usual limit.
+    // An upstream that has not answered yet gets half of the default limit.
     assert_eq!((sent, refused.len()), (8, 11));
     assert!(refused.iter().all(|code| *code == Code::Overloaded));
     let late = entry.reduce(NOW.plus(10_000), 0, EntryEvent::Tick);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn refuses_a_request_that_has_waited_too_long_to_be_on_time() {
+fn rejects_a_request_that_has_waited_longer_than_its_limit() {
     let mut entry = entry(1, 100);
     for serial in 0..9 {
         let mut arrival = arrival(serial, true);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn refuses_unknown_targets_and_work_after_a_stop() {
+fn rejects_unknown_targets_and_work_after_a_stop() {
     let mut entry = entry(1, 1);
     let mut unknown = arrival(1, true);
     unknown.target = Target::Model("nothing".into());
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn gives_the_next_turn_to_the_workspace_with_the_least_running() {
+fn dispatches_the_workspace_with_the_fewest_running_requests_first() {
     let mut entry = entry(1, 100);
     let mut first = Vec::new();
     for serial in 0..40 {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn makes_room_in_a_full_queue_at_the_cost_of_the_workspace_that_waits_most() {
+fn full_queue_drops_a_request_of_the_workspace_with_most_waiting() {
     let mut entry = entry(1, 10);
     for serial in 0..18 {
         arrive(&mut entry, arrival_of("large", serial));
@@ -210,79 +210,88 @@
     assert_eq!(refusal_of(&effects), Some(Code::Overloaded));
 }
 
-/// What an agent does with a try, as the oracle decides it.
+/// What happens to an attempt at an agent, chosen by the test.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// It runs and is answered whole.
-    Whole,
-    /// It runs and the answer is cut.
-    Cut,
+enum AttemptOutcome {
+    /// It runs and the answer is complete.
+    Complete,
+    /// It runs and the answer is cut short.
+    Truncated,
     /// It runs and the connection is lost.
     Lost,
-    /// It is refused before admission.
+    /// The agent rejects it before it runs.
     Refused,
-    /// Nothing could be sent.
+    /// No connection could be made.
     Unreachable,
 }
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn attempt_outcome() -> impl Strategy<Value = AttemptOutcome> {
     prop_oneof![
-        3 => Just(Fate::Whole),
-        1 => Just(Fate::Cut),
-        1 => Just(Fate::Lost),
-        2 => Just(Fate::Refused),
-        1 => Just(Fate::Unreachable),
+        3 => Just(AttemptOutcome::Complete),
+        1 => Just(AttemptOutcome::Truncated),
+        1 => Just(AttemptOutcome::Lost),
+        2 => Just(AttemptOutcome::Refused),
+        1 => Just(AttemptOutcome::Unreachable),
     ]
 }
 
-/// The oracle: how often each request truly ran, and what its caller was told.
+/// The oracle: how often each request ran, and what its caller was told.
 #[derive(Default)]
-struct Truth {
+struct Oracle {
     ran: BTreeMap<u64, u32>,
-    told: BTreeMap<u64, Vec<Option<Code>>>,
-    open: Vec<AttemptId>,
+    replies: BTreeMap<u64, Vec<Option<Code>>>,
+    pending: Vec<AttemptId>,
 }
 
-impl Truth {
-    fn take(&mut self, effects: Vec<EntryEffect>) {
+impl Oracle {
+    fn record(&mut self, effects: Vec<EntryEffect>) {
         for effect in effects {
             match effect {
-                EntryEffect::Send { attempt, .. } => self.open.push(attempt),
+                EntryEffect::Send { attempt, .. } => self.pending.push(attempt),
                 EntryEffect::Refuse { request, error } => {
-                    self.told.entry(request.serial).or_default().push(Some(error.code));
+                    self.replies.entry(request.serial).or_default().push(Some(error.code));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Ends one of the tries that are out.
-    fn end(&mut self, entry: &mut Entry, now: Millis, which: usize, fate: Fate) {
-        if self.open.is_empty() {
+    /// Ends one of the pending attempts.
+    fn end(
+        &mut self,
+        entry: &mut Entry,
+        now: Millis,
+        which: usize,
+        attempt_outcome: AttemptOutcome,
+    ) {
+        if self.pending.is_empty() {
             return;
         }
-        let attempt = self.open.remove(which % self.open.len());
+        let attempt = self.pending.remove(which % self.pending.len());
         let serial = attempt.request.serial;
-        if matches!(fate, Fate::Whole | Fate::Cut | Fate::Lost) {
+        if matches!(
+            attempt_outcome,
+            AttemptOutcome::Complete | AttemptOutcome::Truncated | AttemptOutcome::Lost
+        ) {
             *self.ran.entry(serial).or_default() += 1;
         }
         let load = Load { running: 1, limit: 4, uploads: 0 };
-        let code = match fate {
-            Fate::Whole => {
-                self.told.entry(serial).or_default().push(None);
-                self.take(entry.reduce(now, 0, EntryEvent::Ended { attempt, load }));
+        let code = match attempt_outcome {
+            AttemptOutcome::Complete => {
+                self.replies.entry(serial).or_default().push(None);
+                self.record(entry.reduce(now, 0, EntryEvent::Ended { attempt, load }));
                 return;
             }
-            Fate::Cut => Code::CutShort,
-            Fate::Lost => Code::ConnectionLost,
-            Fate::Refused => Code::Overloaded,
-            Fate::Unreachable => Code::Unreachable,
+            AttemptOutcome::Truncated => Code::CutShort,
+            AttemptOutcome::Lost => Code::ConnectionLost,
+            AttemptOutcome::Refused => Code::Overloaded,
+            AttemptOutcome::Unreachable => Code::Unreachable,
         };
         let failure = Failure { code, load: None, retry_after_ms: 0 };
-        self.take(entry.reduce(now, 0, EntryEvent::Failed { attempt, failure }));
+        self.record(entry.reduce(now, 0, EntryEvent::Failed { attempt, failure }));
     }
 }
 
@@ -290,47 +299,47 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Default::default() })]
 
     #[test]
-    fn tells_callers_only_what_is_true_and_runs_the_unrepeatable_once(
-        steps in proptest::collection::vec((any::<bool>(), any::<usize>(), fate(), 0u64..400), 1..150),
+    fn callers_get_true_answers_and_unrepeatable_requests_run_once(
+        steps in proptest::collection::vec((any::<bool>(), any::<usize>(), attempt_outcome(), 0u64..400), 1..150),
     ) {
         let mut entry = entry(3, 6);
-        let mut truth = Truth::default();
+        let mut oracle = Oracle::default();
         let mut now = NOW;
         let repeatable = |serial: u64| serial.is_multiple_of(2);
-        for (serial, (arrives, which, fate, span)) in steps.iter().enumerate() {
+        for (serial, (arrives, which, attempt_outcome, span)) in steps.iter().enumerate() {
             now = now.plus(*span);
             if *arrives {
                 let mut arrival = arrival(serial as u64, repeatable(serial as u64));
                 arrival.deadline = now.plus(2_000);
-                truth.take(entry.reduce(now, 0, EntryEvent::Arrived(Box::new(arrival))));
+                oracle.record(entry.reduce(now, 0, EntryEvent::Arrived(Box::new(arrival))));
             } else {
-                truth.end(&mut entry, now, *which, *fate);
+                oracle.end(&mut entry, now, *which, *attempt_outcome);
             }
-            truth.take(entry.reduce(now, 0, EntryEvent::Tick));
+            oracle.record(entry.reduce(now, 0, EntryEvent::Tick));
         }
-        while !truth.open.is_empty() {
-            truth.end(&mut entry, now, 0, Fate::Whole);
+        while !oracle.pending.is_empty() {
+            oracle.end(&mut entry, now, 0, AttemptOutcome::Complete);
         }
-        truth.take(entry.reduce(now.plus(10_000), 0, EntryEvent::Tick));
-        for (serial, endings) in &truth.told {
-            let ran = truth.ran.get(serial).copied().unwrap_or(0);
-            prop_assert_eq!(endings.len(), 1, "request {} ended {:?}", serial, endings);
-            let not_run = endings[0].is_some_and(|code| code.ran() == Ran::NotRun);
-            prop_assert!(!not_run || ran == 0, "{} was told {:?} and ran", serial, endings);
+        oracle.record(entry.reduce(now.plus(10_000), 0, EntryEvent::Tick));
+        for (serial, answers) in &oracle.replies {
+            let ran = oracle.ran.get(serial).copied().unwrap_or(0);
+            prop_assert_eq!(answers.len(), 1, "request {} ended {:?}", serial, answers);
+            let not_run = answers[0].is_some_and(|code| code.ran() == Ran::NotRun);
+            prop_assert!(!not_run || ran == 0, "{} was told {:?} and ran", serial, answers);
             prop_assert!(repeatable(*serial) || ran <= 1, "{} ran {} times", serial, ran);
         }
         prop_assert_eq!(entry.load(), (0, 0));
     }
 }
 
-/// Tries of one request by its caller, each with an id of its own.
-fn again(serial: u64) -> Arrival {
+/// A request that its caller sends repeatedly, each time with a new id.
+fn repeated(serial: u64) -> Arrival {
     Arrival { digest: RequestDigest(77), ..arrival(serial, true) }
 }
 
-/// Lets a request end three upstreams, by two tries of its caller.
-fn crash_three(entry: &mut Entry) {
-    let mut sent = arrive(entry, again(1));
+/// Lets a request crash three upstreams.
+fn crash_three_upstreams(entry: &mut Entry) {
+    let mut sent = arrive(entry, repeated(1));
     for _ in 0..3 {
         sent = fail(entry, attempt_of(&sent), Code::ConnectionLost);
         if refusal_of(&sent).is_some() {
@@ -340,17 +349,17 @@
 }
 
 #[test]
-fn a_request_that_ended_three_upstreams_is_refused_and_others_are_served() {
+fn a_request_that_crashed_three_upstreams_is_rejected_and_others_are_served() {
     let mut entry = entry(6, 10);
-    crash_three(&mut entry);
-    assert_eq!(refusal_of(&arrive(&mut entry, again(2))), Some(Code::Quarantined));
+    crash_three_upstreams(&mut entry);
+    assert_eq!(refusal_of(&arrive(&mut entry, repeated(2))), Some(Code::Quarantined));
     attempt_of(&arrive(&mut entry, arrival(3, true)));
 }
 
 #[test]
-fn a_try_that_has_ended_three_upstreams_is_not_sent_on() {
+fn an_attempt_that_crashed_three_upstreams_is_not_retried() {
     let mut entry = entry(6, 10);
-    let second = arrive(&mut entry, again(1));
+    let second = arrive(&mut entry, repeated(1));
     let third = fail(&mut entry, attempt_of(&second), Code::CutShort);
     let fourth = fail(&mut entry, attempt_of(&third), Code::ConnectionLost);
     let effects = fail(&mut entry, attempt_of(&fourth), Code::CutShort);
@@ -358,20 +367,20 @@
 }
 
 #[test]
-fn an_answer_that_is_whole_takes_all_suspicion() {
+fn a_complete_answer_clears_the_request() {
     let mut entry = entry(6, 10);
-    let sent = arrive(&mut entry, again(1));
+    let sent = arrive(&mut entry, repeated(1));
     let sent = fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
     let sent = fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
     let load = Load { running: 0, limit: 4, uploads: 0 };
     entry.reduce(NOW, 0, EntryEvent::Ended { attempt: attempt_of(&sent), load });
-    let sent = arrive(&mut entry, again(2));
+    let sent = arrive(&mut entry, repeated(2));
     fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
-    attempt_of(&arrive(&mut entry, again(3)));
+    attempt_of(&arrive(&mut entry, repeated(3)));
 }
 
 #[test]
-fn entries_tell_each_other_of_requests_that_end_upstreams() {
+fn entries_report_crashing_requests_to_each_other() {
     let mut first = entry(6, 10);
     let other = Instance {
         id: "entry-2".into(),
@@ -382,9 +391,9 @@
         state: ListedState::Live,
     };
     first.reduce(NOW, 0, EntryEvent::Control(ControlEvent::Listed(vec![other])));
-    crash_three(&mut first);
+    crash_three_upstreams(&mut first);
     let effects = first.reduce(NOW.plus(50), 0, EntryEvent::Tick);
-    let told = effects.into_iter().find_map(|it| match it {
+    let reported = effects.into_iter().find_map(|it| match it {
         EntryEffect::Control(ControlEffect::Send { to, datagram })
             if matches!(datagram.body, DatagramBody::Crashes(_)) && to == address(50) =>
         {
@@ -392,9 +401,9 @@
         }
         _ => None,
     });
-    let datagram = told.expect("the other entry is told");
+    let datagram = reported.expect("the other entry receives the report");
     let mut second = entry(6, 10);
     let from = address(1);
     second.reduce(NOW, 0, EntryEvent::Control(ControlEvent::Datagram { from, datagram }));
-    assert_eq!(refusal_of(&arrive(&mut second, again(9))), Some(Code::Quarantined));
+    assert_eq!(refusal_of(&arrive(&mut second, repeated(9))), Some(Code::Quarantined));
 }
--- a/components/reducer/src/entry/tries.rs
+++ b/components/reducer/src/entry/tries.rs
@@ -1,4 +1,4 @@
-//! How tries of a request end, and whether another one follows.
+//! The end of attempts, and whether another one follows.
 
 use errors::{Code, Error, Ran};
 use fleet::Millis;
@@ -7,51 +7,56 @@
 use super::requests::Progress;
 use super::{AttemptId, Entry, EntryEffect, Failure};
 
-/// Tries of one request at most, the first included.
-const MOST_TRIES: u32 = 4;
+/// Most attempts of one request, including the first.
+const MAX_ATTEMPTS: u32 = 4;
 
 impl Entry {
-    /// Notes that a part of the answer went to the caller, so that it is not tried elsewhere.
-    pub(super) fn start(&mut self, attempt: AttemptId) {
+    /// Records that part of the answer has been sent to the caller, so that the request is not retried.
+    pub(super) fn record_answer_start(&mut self, attempt: AttemptId) {
         if let Some(progress) = self.requests.get_mut(&attempt.request) {
-            progress.started = true;
+            progress.answer_started = true;
         }
     }
 
-    /// A try was answered whole.
-    pub(super) fn end(&mut self, now: Millis, attempt: AttemptId, load: Load) -> Vec<EntryEffect> {
-        let Some(progress) = self.take_current(attempt) else {
+    /// Handles that an attempt was answered completely.
+    pub(super) fn complete_attempt(
+        &mut self,
+        now: Millis,
+        attempt: AttemptId,
+        load: Load,
+    ) -> Vec<EntryEffect> {
+        let Some(progress) = self.remove_current(attempt) else {
             return Vec::new();
         };
-        if let Some(agent) = &progress.at {
+        if let Some(agent) = &progress.upstream {
             self.router.record_end(now, agent, Some(load), None);
-            self.shares.give_back(&progress.arrival.workspace);
+            self.shares.release(&progress.arrival.workspace);
         }
-        let mut effects = self.note_whole(now, progress.arrival.digest);
-        self.note_gone(attempt.request, progress.arrival.digest);
-        effects.extend(self.after_end(now));
+        let mut effects = self.record_success(now, progress.arrival.digest);
+        self.remove_crash_state(attempt.request, progress.arrival.digest);
+        effects.extend(self.dispatch_freed(now));
         effects
     }
 
-    /// A try failed: the request is tried again, or its caller is told.
-    pub(super) fn fail(
+    /// Handles a failed attempt: retries the request or reports the failure to the caller.
+    pub(super) fn fail_attempt(
         &mut self,
         now: Millis,
         attempt: AttemptId,
         failure: Failure,
     ) -> Vec<EntryEffect> {
-        let Some(mut progress) = self.take_current(attempt) else {
+        let Some(mut progress) = self.remove_current(attempt) else {
             return Vec::new();
         };
         let mut effects = Vec::new();
-        if let Some(agent) = progress.at.take() {
+        if let Some(agent) = progress.upstream.take() {
             self.router.record_end(now, &agent, failure.load, Some(failure.code));
             self.router.exclude(now, &agent, failure.retry_after_ms);
-            self.shares.give_back(&progress.arrival.workspace);
-            effects = self.note_failure(now, progress.arrival.digest, &agent, failure.code);
+            self.shares.release(&progress.arrival.workspace);
+            effects = self.record_failure(now, progress.arrival.digest, &agent, failure.code);
         }
         if failure.code.ran() == Ran::Unknown {
-            progress.unknown = Some(failure.code);
+            progress.unknown_outcome = Some(failure.code);
         }
         let request = attempt.request;
         let is_barred = self.is_barred(now, request, progress.arrival.digest);
@@ -70,45 +75,46 @@
                 effects.extend(self.refuse(request, Error::new(code, failure.code.meaning())));
             }
         }
-        effects.extend(self.after_end(now));
+        effects.extend(self.dispatch_freed(now));
         effects
     }
 
-    /// Whether a failed try may be followed by another; if not, the code for the caller.
+    /// Whether a failed attempt may be followed by another one; if not, returns the code for the caller.
     fn may_retry(&mut self, progress: &Progress, code: Code) -> Result<(), Code> {
-        let certain = code.ran() == Ran::NotRun;
-        // An upstream that is full or leaves has not failed: the request goes on waiting, for as long
-        // as it may, and the router does not send it there again.
-        let closed = matches!(code, Code::Overloaded | Code::Leaving | Code::Stopping);
-        if closed && !progress.started {
+        let certainly_not_run = code.ran() == Ran::NotRun;
+        // An upstream that is at its limit or leaving has not failed. The request keeps waiting until its
+        // wait ends, and the router does not send it there again.
+        let is_unavailable = matches!(code, Code::Overloaded | Code::Leaving | Code::Stopping);
+        if is_unavailable && !progress.answer_started {
             return Ok(());
         }
-        let allowed = !progress.started && (certain || progress.arrival.repeatable);
-        if !allowed || !is_passing(code) || progress.tries >= MOST_TRIES {
+        let allowed =
+            !progress.answer_started && (certainly_not_run || progress.arrival.repeatable);
+        if !allowed || !is_transient(code) || progress.attempts >= MAX_ATTEMPTS {
             return Err(code);
         }
         if self.retries.take_retry() {
             Ok(())
-        } else if certain {
+        } else if certainly_not_run {
             Err(Code::RetryBudget)
         } else {
             Err(code)
         }
     }
 
-    /// Takes out the request that a try belongs to, if the try is its latest: late or crossed
-    /// answers of earlier ones find nothing.
-    fn take_current(&mut self, attempt: AttemptId) -> Option<Progress> {
+    /// Removes and returns the request of an attempt if the attempt is its current one. Late answers of
+    /// earlier attempts find nothing.
+    fn remove_current(&mut self, attempt: AttemptId) -> Option<Progress> {
         let progress = self.requests.get(&attempt.request)?;
-        if progress.tries != attempt.number || progress.at.is_none() {
+        if progress.attempts != attempt.number || progress.upstream.is_none() {
             return None;
         }
         self.requests.remove(&attempt.request)
     }
 }
 
-/// Whether another upstream may do better after this code.
-fn is_passing(code: Code) -> bool {
+/// Whether another upstream may succeed after this code.
+fn is_transient(code: Code) -> bool {
     matches!(
         code,
         Code::Overloaded
