--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -127,7 +127,7 @@
         spread.take_chunk(now, index, &source, verified);
         if let (DrawSource::Peer(id, address), Some((have, uploads))) = (&source, sender) {
             spread.take_summary(now, id, *address, &place, have);
-            spread.take_uploads(now, id, uploads);
+            spread.set_upload_queue(now, id, uploads);
         }
         if spread.phase() == SpreadPhase::Whole {
             effects.extend(self.summarize(now));
@@ -152,7 +152,7 @@
             remaining =
                 remaining.saturating_sub(spread.in_flight().saturating_sub(MIN_SPREAD_WINDOW));
             let have = spread.have().clone();
-            effects.extend(drawn.into_iter().map(|it| self.to_agent_effect(it, &have, version)));
+            effects.extend(drawn.into_iter().map(|it| self.agent_effect_of(it, &have, version)));
         }
         effects
     }
@@ -179,12 +179,12 @@
             };
             let due = spread.summarize(now);
             let have = spread.have().clone();
-            effects.extend(due.into_iter().map(|it| self.to_agent_effect(it, &have, version)));
+            effects.extend(due.into_iter().map(|it| self.agent_effect_of(it, &have, version)));
         }
         effects
     }
 
-    fn to_agent_effect(
+    fn agent_effect_of(
         &mut self,
         effect: SpreadEffect,
         have: &Bitmap,
--- a/components/reducer/src/control.rs
+++ b/components/reducer/src/control.rs
@@ -133,7 +133,8 @@
     /// Informs a few members at once that this daemon takes no new work.
     pub fn announce_leave(&mut self, seed: &mut Seed) -> Vec<ControlEffect> {
         self.members.set_leaving();
-        let outgoing = self.members.push(self.configuration.revision, LEAVE_FANOUT, seed);
+        let outgoing =
+            self.members.send_to_random_members(self.configuration.revision, LEAVE_FANOUT, seed);
         outgoing.into_iter().map(send).collect()
     }
 
@@ -146,7 +147,7 @@
     ) -> Vec<ControlEffect> {
         match event {
             ControlEvent::Listed(list) => {
-                self.members.take_list(now, list);
+                self.members.update_from_list(now, list);
                 Vec::new()
             }
             ControlEvent::TableRead(found) => {
@@ -173,7 +174,7 @@
         let revision = configuration.revision;
         self.configuration = configuration;
         self.agreeing_peers.clear();
-        let outgoing = self.members.push(revision, REVISION_FANOUT, seed);
+        let outgoing = self.members.send_to_random_members(revision, REVISION_FANOUT, seed);
         let mut effects = vec![ControlEffect::Applied(revision)];
         effects.extend(outgoing.into_iter().map(send));
         effects
--- a/components/reducer/src/entry/mod.rs
+++ b/components/reducer/src/entry/mod.rs
@@ -1,5 +1,6 @@
 //! The reducer of an entry, which handles requests from callers and configuration changes by operators.
 
+mod attempts;
 mod crashes;
 mod event;
 mod plans;
@@ -8,7 +9,6 @@
 mod shares;
 #[cfg(test)]
 mod tests;
-mod tries;
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/components/reducer/src/members/probes.rs
+++ b/components/reducer/src/members/probes.rs
@@ -1,4 +1,4 @@
-//! Probes, and what follows when they stay without an answer.
+//! Probes, and the suspicion of members that do not answer them.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,21 @@
 use super::{Members, Outgoing};
 use crate::Seed;
 
-/// How long an acknowledgement may take before others are asked to probe, in milliseconds.
-const ACK_TIME: u64 = 400;
-/// How long an acknowledgement may take before the member is suspected, in milliseconds.
-const PROBE_TIME: u64 = 900;
-/// How long a member is suspected before it is taken for dead, in milliseconds.
-const SUSPECT_TIME: u64 = 4000;
-/// How many others are asked to probe.
+/// How long to wait for an acknowledgement before other members are asked to probe the target.
+const ACK_TIMEOUT_MS: u64 = 400;
+/// How long to wait for an acknowledgement before the target is suspected.
+const PROBE_TIMEOUT_MS: u64 = 900;
+/// How long a member is suspected before it is declared dead.
+const SUSPICION_TIMEOUT_MS: u64 = 4000;
+/// Number of members that are asked to probe the target.
 const PROBE_HELPERS: usize = 2;
-/// After this many failed probes in a row the fault is taken to be on this side.
-const OWN_FAULT_PROBES: u32 = 3;
-/// Every so many rounds a dead member that is still listed is probed, so that halls that were cut
-/// off find each other again.
+/// Number of consecutive failed probes after which this daemon is assumed to be disconnected itself.
+const MAX_FAILED_PROBES: u32 = 3;
+/// Every this many rounds, a dead member that is still listed is probed, so that halls that were disconnected
+/// discover each other again.
 const DEAD_PROBE_ROUNDS: u64 = 5;
 
-/// A probe on its way.
+/// A probe that waits for its acknowledgement.
 pub(super) struct Probe {
     target: InstanceId,
     nonce: u64,
@@ -31,31 +31,31 @@
 }
 
 impl Probe {
-    /// Helpers answer with a nonce that is derived from the target.
+    /// Whether an acknowledgement answers this probe. Helpers answer with a nonce derived from the target.
     fn is_answered_by(&self, nonce: u64) -> bool {
         self.nonce == nonce || (self.helpers_asked && relay_nonce(&self.target) == nonce)
     }
 }
 
 impl Members {
-    pub(super) fn take_ack(&mut self, nonce: u64, revision: Revision) -> Vec<Outgoing> {
+    pub(super) fn handle_ack(&mut self, nonce: u64, revision: Revision) -> Vec<Outgoing> {
         if self.probe.as_ref().is_some_and(|probe| probe.is_answered_by(nonce)) {
             self.probe = None;
             self.failed_probes = 0;
         }
-        match self.relayed.remove(&nonce) {
-            Some((asker, nonce)) => {
-                vec![(asker, self.build(DatagramBody::Ack { nonce }, revision))]
+        match self.relayed_probes.remove(&nonce) {
+            Some((requester, nonce)) => {
+                vec![(requester, self.build(DatagramBody::Ack { nonce }, revision))]
             }
             None => Vec::new(),
         }
     }
 
-    /// Probes a member for another daemon. The asker's nonce is not in the message: it is derived
-    /// from the target, which the asker has only one probe for.
+    /// Probes a member for another daemon. The request does not contain that daemon's nonce. It is derived
+    /// from the target, because a daemon has at most one probe per target.
     pub(super) fn relay(
         &mut self,
-        asker: SocketAddr,
+        requester: SocketAddr,
         target: &InstanceId,
         revision: Revision,
         seed: &mut Seed,
@@ -64,10 +64,10 @@
             return Vec::new();
         };
         let nonce = seed.below(u64::MAX);
-        if self.relayed.len() >= self.count() {
-            self.relayed.pop_first();
+        if self.relayed_probes.len() >= self.count() {
+            self.relayed_probes.pop_first();
         }
-        self.relayed.insert(nonce, (asker, relay_nonce(target)));
+        self.relayed_probes.insert(nonce, (requester, relay_nonce(target)));
         vec![(address, self.build(DatagramBody::Ping { nonce }, revision))]
     }
 
@@ -78,15 +78,15 @@
         seed: &mut Seed,
     ) -> Vec<Outgoing> {
         self.round += 1;
-        let want_dead = self.round.is_multiple_of(DEAD_PROBE_ROUNDS);
-        let mut targets = self.probe_targets(want_dead);
+        let probe_dead = self.round.is_multiple_of(DEAD_PROBE_ROUNDS);
+        let mut targets = self.probe_targets(probe_dead);
         if targets.is_empty() {
             targets = self.probe_targets(false);
         }
         let Some((target, address)) = seed.pick(&targets).cloned() else {
             return Vec::new();
         };
-        self.remind(seed);
+        self.schedule_resends(seed);
         let nonce = seed.below(u64::MAX);
         self.probe = Some(Probe { target, nonce, sent: now, helpers_asked: false });
         vec![(address, self.build(DatagramBody::Ping { nonce }, revision))]
@@ -101,7 +101,7 @@
         wanted.map(|(id, it)| (id.clone(), it.record.address)).collect()
     }
 
-    /// Asks helpers when an acknowledgement is late, and suspects the target when it stays out.
+    /// Asks helpers if an acknowledgement is late, and suspects the target if it does not arrive.
     pub(super) fn check_probe(
         &mut self,
         now: Millis,
@@ -112,14 +112,14 @@
             return Vec::new();
         };
         let waited = now.since(probe.sent).0;
-        if waited >= PROBE_TIME {
+        if waited >= PROBE_TIMEOUT_MS {
             let target = probe.target.clone();
             self.probe = None;
             self.failed_probes += 1;
             self.suspect(now, &target);
             return Vec::new();
         }
-        if waited < ACK_TIME || probe.helpers_asked {
+        if waited < ACK_TIMEOUT_MS || probe.helpers_asked {
             return Vec::new();
         }
         probe.helpers_asked = true;
@@ -131,11 +131,11 @@
     }
 
     fn suspect(&mut self, now: Millis, target: &InstanceId) {
-        // When probe after probe fails, it is this daemon that is cut off.
-        if self.failed_probes >= OWN_FAULT_PROBES {
+        // If consecutive probes fail, this daemon is the one that is disconnected.
+        if self.failed_probes >= MAX_FAILED_PROBES {
             return;
         }
-        let sends = self.news_sends();
+        let sends = self.sends_per_record();
         let Some(member) = self.members.get_mut(target) else {
             return;
         };
@@ -148,13 +148,13 @@
     }
 
     pub(super) fn expire_suspects(&mut self, now: Millis) {
-        if self.failed_probes >= OWN_FAULT_PROBES {
+        if self.failed_probes >= MAX_FAILED_PROBES {
             return;
         }
-        let sends = self.news_sends();
+        let sends = self.sends_per_record();
         for member in self.members.values_mut() {
             let suspect = member.record.state == MemberState::Suspect;
-            if suspect && now.since(member.since) >= Millis(SUSPECT_TIME) {
+            if suspect && now.since(member.since) >= Millis(SUSPICION_TIMEOUT_MS) {
                 self.changes += 1;
                 member.record.state = MemberState::Dead;
                 member.since = now;
@@ -164,7 +164,7 @@
     }
 }
 
-/// The nonce that answers for a target when helpers probe it.
+/// The nonce with which helpers acknowledge a probe of `target`.
 fn relay_nonce(target: &InstanceId) -> u64 {
     crate::seed::shared_hash(&[b"relay", target.0.as_bytes()])
 }
--- a/components/reducer/src/members/tests.rs
+++ b/components/reducer/src/members/tests.rs
@@ -1,6 +1,6 @@
-//! A handful of daemons on a network that loses, doubles and holds up datagrams. The oracle: no
-//! daemon's configuration goes back, and once the faults end everyone agrees on who is up and on
-//! the highest revision.
+//! Runs several daemons on a network that loses, duplicates and delays datagrams. The oracle requires that no
+//! daemon's configuration goes back to an earlier revision and that, once the faults end, all daemons agree
+//! on who is up and on the highest revision.
 
 use super::*;
 use crate::control::{Control, ControlEffect, ControlEvent};
@@ -9,30 +9,30 @@
 use proptest::test_runner::RngSeed;
 
 const DAEMONS: usize = 5;
-/// Time between two steps, in milliseconds.
-const STEP: u64 = 100;
-/// Steps that the daemons have to agree once the faults have ended.
-const SETTLE_STEPS: usize = 400;
+/// Time between two steps.
+const STEP_MS: u64 = 100;
+/// Most steps until the daemons agree after the last fault.
+const MAX_SETTLE_STEPS: usize = 400;
 
-/// What happens in one step besides the passing of time.
+/// The fault of one step.
 #[derive(Clone, Debug)]
 enum Fault {
     None,
-    /// Nothing that one daemon sends or is sent arrives, for some steps.
-    CutOff {
+    /// All datagrams from and to a daemon are lost for some steps.
+    Disconnect {
         daemon: usize,
         steps: usize,
     },
-    /// A daemon starts again with nothing.
+    /// A daemon restarts without state.
     Restart {
         daemon: usize,
     },
-    /// A daemon stands still for some steps and resumes as if no time had passed.
+    /// A daemon is suspended for some steps and resumes as if no time had passed.
     Pause {
         daemon: usize,
         steps: usize,
     },
-    /// An entry puts a change in force and holds the new configuration first.
+    /// A new configuration comes into force and reaches this daemon first.
     Change {
         daemon: usize,
     },
@@ -41,7 +41,7 @@
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         6 => Just(Fault::None),
-        2 => (0..DAEMONS, 1usize..80).prop_map(|(daemon, steps)| Fault::CutOff { daemon, steps }),
+        2 => (0..DAEMONS, 1usize..80).prop_map(|(daemon, steps)| Fault::Disconnect { daemon, steps }),
         1 => (0..DAEMONS).prop_map(|daemon| Fault::Restart { daemon }),
         1 => (0..DAEMONS, 1usize..80).prop_map(|(daemon, steps)| Fault::Pause { daemon, steps }),
         2 => (0..DAEMONS).prop_map(|daemon| Fault::Change { daemon }),
@@ -52,11 +52,11 @@
     now: Millis,
     seed: Seed,
     daemons: Vec<Control>,
-    cut: Vec<usize>,
+    disconnected: Vec<usize>,
     paused: Vec<usize>,
     table: Configuration,
-    /// Datagrams on their way: when they arrive, from whom, to whom.
-    flying: Vec<(Millis, usize, usize, Datagram)>,
+    /// Datagrams in transit: arrival time, sender and receiver.
+    in_transit: Vec<(Millis, usize, usize, Datagram)>,
     loss_percent: u64,
 }
 
@@ -100,10 +100,10 @@
             now: Millis(0),
             seed: Seed::new(seed),
             daemons: (0..DAEMONS).map(|number| start(number, Millis(0))).collect(),
-            cut: vec![0; DAEMONS],
+            disconnected: vec![0; DAEMONS],
             paused: vec![0; DAEMONS],
             table: Configuration::default(),
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             loss_percent,
         }
     }
@@ -111,62 +111,63 @@
     fn step(&mut self, fault: &Fault) {
         match fault {
             Fault::None => {}
-            Fault::CutOff { daemon, steps } => self.cut[*daemon] = *steps,
+            Fault::Disconnect { daemon, steps } => self.disconnected[*daemon] = *steps,
             Fault::Pause { daemon, steps } => self.paused[*daemon] = *steps,
             Fault::Restart { daemon } => self.daemons[*daemon] = start(*daemon, self.now),
             Fault::Change { daemon } => {
                 let plan = PlanId(format!("p{}", self.table.revision));
                 self.table = self.table.apply(&plan, &fleet::Change::Leave("x".into()));
                 let configuration = Box::new(self.table.clone());
-                self.give(*daemon, ControlEvent::Fetched(configuration));
+                self.deliver_event(*daemon, ControlEvent::Fetched(configuration));
             }
         }
-        self.now = self.now.plus(STEP);
+        self.now = self.now.plus(STEP_MS);
         self.deliver();
         for number in 0..DAEMONS {
             if self.paused[number] == 0 {
-                self.give(number, ControlEvent::Tick);
+                self.deliver_event(number, ControlEvent::Tick);
             }
             self.paused[number] = self.paused[number].saturating_sub(1);
-            self.cut[number] = self.cut[number].saturating_sub(1);
+            self.disconnected[number] = self.disconnected[number].saturating_sub(1);
         }
     }
 
     fn deliver(&mut self) {
         let due = |it: &(Millis, usize, usize, Datagram)| it.0 <= self.now;
-        let (arriving, flying) = std::mem::take(&mut self.flying).into_iter().partition(due);
-        self.flying = flying;
+        let (arriving, in_transit) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(due);
+        self.in_transit = in_transit;
         let arriving: Vec<(Millis, usize, usize, Datagram)> = arriving;
         for (_, from, to, datagram) in arriving {
-            if self.cut[from] == 0 && self.cut[to] == 0 && self.paused[to] == 0 {
+            if self.disconnected[from] == 0 && self.disconnected[to] == 0 && self.paused[to] == 0 {
                 let datagram = Box::new(datagram);
-                self.give(to, ControlEvent::Datagram { from: address(from), datagram });
+                self.deliver_event(to, ControlEvent::Datagram { from: address(from), datagram });
             }
         }
     }
 
-    /// Gives a daemon an event; its configuration must not go back.
-    fn give(&mut self, number: usize, event: ControlEvent) {
+    /// Passes an event to a daemon and checks that its configuration does not go back to an earlier revision.
+    fn deliver_event(&mut self, number: usize, event: ControlEvent) {
         let before = self.daemons[number].configuration().revision;
         let effects = self.daemons[number].reduce(self.now, &mut self.seed, event);
         assert!(self.daemons[number].configuration().revision >= before, "reverted");
         for effect in effects {
-            self.carry_out(number, effect);
+            self.perform(number, effect);
         }
     }
 
-    fn carry_out(&mut self, number: usize, effect: ControlEffect) {
+    fn perform(&mut self, number: usize, effect: ControlEffect) {
         match effect {
             ControlEffect::Send { to, datagram } => self.send(number, to, *datagram),
-            ControlEffect::ReadList => self.give(number, ControlEvent::Listed(list())),
+            ControlEffect::ReadList => self.deliver_event(number, ControlEvent::Listed(list())),
             ControlEffect::Fetch { from } => {
                 let peer = usize::from(from.port() - 1000);
-                if self.cut[number] == 0 && self.cut[peer] == 0 {
+                if self.disconnected[number] == 0 && self.disconnected[peer] == 0 {
                     let configuration = Box::new(self.daemons[peer].configuration().clone());
-                    self.give(number, ControlEvent::Fetched(configuration));
+                    self.deliver_event(number, ControlEvent::Fetched(configuration));
                 }
             }
-            // The table is out for the whole test; daemons have each other.
+            // The table is unavailable for the whole test; the daemons have only each other.
             ControlEffect::ReadTable | ControlEffect::Applied(_) => {}
         }
     }
@@ -177,7 +178,7 @@
         for _ in 0..copies {
             if self.seed.below(100) >= self.loss_percent {
                 let arrives = self.now.plus(self.seed.below(300));
-                self.flying.push((arrives, from, to, datagram.clone()));
+                self.in_transit.push((arrives, from, to, datagram.clone()));
             }
         }
     }
@@ -196,7 +197,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Default::default() })]
 
     #[test]
-    fn agrees_again_after_any_faults_and_never_reverts(
+    fn converges_after_any_faults_and_never_reverts(
         seed in any::<u64>(),
         loss in 0u64..40,
         faults in proptest::collection::vec(fault(), 1..120),
@@ -210,28 +211,29 @@
         while !world.agree() {
             world.step(&Fault::None);
             steps += 1;
-            prop_assert!(steps < SETTLE_STEPS, "no agreement after {} steps", steps);
+            prop_assert!(steps < MAX_SETTLE_STEPS, "no agreement after {} steps", steps);
         }
     }
 }
 
 #[test]
-fn takes_a_silent_daemon_for_dead_and_the_others_for_alive() {
+fn declares_a_silent_daemon_dead_and_keeps_the_others_alive() {
     let mut world = World::new(1, 0);
     for _ in 0..20 {
         world.step(&Fault::None);
     }
     for _ in 0..300 {
-        world.cut[0] = 2;
+        world.disconnected[0] = 2;
         world.step(&Fault::None);
     }
-    let seen = |by: usize, of: usize| world.daemons[by].members.get(&id(of)).unwrap().record.state;
-    assert_eq!(seen(1, 0), MemberState::Dead);
-    assert_eq!(seen(1, 2), MemberState::Alive);
+    let state_seen =
+        |by: usize, of: usize| world.daemons[by].members.get(&id(of)).unwrap().record.state;
+    assert_eq!(state_seen(1, 0), MemberState::Dead);
+    assert_eq!(state_seen(1, 2), MemberState::Alive);
 }
 
 #[test]
-fn doubts_its_configuration_after_a_pause_until_peers_confirm_it() {
+fn configuration_is_not_current_after_a_suspension_until_peers_confirm_it() {
     let mut world = World::new(1, 0);
     world.step(&Fault::Change { daemon: 0 });
     let all_current = |world: &World| world.daemons.iter().all(Control::is_current);
@@ -251,7 +253,7 @@
 }
 
 #[test]
-fn keeps_datagrams_within_their_bound_however_much_is_served() {
+fn datagrams_stay_within_the_size_limit_for_any_number_of_served_versions() {
     let keys = wire::KeyRing::parse("a-key-for-this-test").unwrap();
     for count in [0, 1, 4, 12] {
         let mut control = start(0, Millis(0));
@@ -267,14 +269,14 @@
             MemberNews::Whole(Box::new(record))
         });
         let news: Vec<MemberNews> = whole.collect();
-        let heard = Datagram {
+        let received = Datagram {
             from: id(1),
             incarnation: Incarnation(1),
             revision: Revision(0),
             body: DatagramBody::News,
             news,
         };
-        control.members.receive(Millis(0), address(1), &heard, Revision(0), &mut seed);
+        control.members.receive(Millis(0), address(1), &received, Revision(0), &mut seed);
         let built = control.members.build(DatagramBody::News, Revision(0));
         assert!(built.news.len() > 2);
         assert!(wire::seal_datagram(&keys, &built).len() <= wire::MAX_DATAGRAM_BYTES);
--- a/components/reducer/src/spread/gate.rs
+++ b/components/reducer/src/spread/gate.rs
@@ -1,8 +1,9 @@
-//! Who may draw a chunk from the origin, and when.
+//! Decides which receiver may download a chunk from the origin, and when.
 //!
-//! Receivers that share one copy form a group. Each chunk has an owner in the group, found by
-//! everyone alike, and a moment on the origin's timetable. When the owner is dead the next one steps
-//! in at once; when it is alive but slow, after some patience. Nothing is written to the table.
+//! The receivers that share one copy form a group. Each chunk has an owner in the group, which every receiver
+//! computes alike, and a scheduled time at which the origin is asked for it. If the owner is dead, the next
+//! receiver takes its place at once; if it is alive but slow, after a delay (the patience). The table is not
+//! involved.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,61 +11,63 @@
 
 use crate::seed::shared_hashes;
 
-/// The shortest time a receiver waits for the one before it in rank, in milliseconds.
-const MIN_PATIENCE: u64 = 2000;
-/// The part of the ideal spread that a receiver waits for the one before it in rank.
+/// Shortest time that a receiver waits for the one ranked before it.
+const MIN_PATIENCE_MS: u64 = 2000;
+/// Time that a receiver waits for the one ranked before it, as a share of the ideal time to distribute the
+/// version.
 const PATIENCE_SHARE: f64 = 0.25;
-/// How many times as long a receiver waits where one copy is all that may be drawn. What peers hold
-/// is known a little late, and an impatient receiver draws what is already on its way.
-const ONE_COPY_PATIENCE: u64 = 3;
-/// The part of the time that the origin's link takes for a chunk after which the next one has its turn, at the
-/// least. Turns as long as the link takes leave it idle whenever one comes late; these keep a few draws waiting
-/// there.
-const TIMETABLE_SHARE: f64 = 0.8;
-/// How long draws may wait at the origin by the last turn, as a part of the patience of the next in rank.
-/// What waits there for nearly that patience is drawn twice, and then everything behind it waits longer.
-const WAITING_SHARE: f64 = 0.1;
-/// How many ranks of patience a receiver waits at most before it draws as a last resort.
+/// Factor on that time if only one copy may be downloaded. Reports of what peers hold arrive with a delay,
+/// and a receiver that waits too little downloads chunks that are already on their way.
+const ONE_COPY_PATIENCE_FACTOR: u64 = 3;
+/// Shortest interval between two scheduled chunks, as a share of the time that the origin's link takes for
+/// one. With intervals as long as that time, the link is idle whenever a download starts late; shorter ones
+/// keep a few downloads queued at the origin.
+const MIN_INTERVAL_SHARE: f64 = 0.8;
+/// Longest queueing time at the origin at the end of the schedule, as a share of the patience. A download
+/// that is queued for nearly the patience is started a second time by the next receiver, which lengthens the
+/// queue for all others.
+const MAX_QUEUEING_SHARE: f64 = 0.1;
+/// Most ranks whose patience a receiver waits before it downloads as a last resort.
 const LAST_RESORT_RANKS: u64 = 6;
 
-/// The timetable and the ranks of one version at one receiver.
+/// The schedule and the ranks for one version at one receiver.
 #[derive(Debug)]
 pub struct Gate {
     me: InstanceId,
     version: VersionId,
-    /// The other receivers of this group.
+    /// The other receivers of the group.
     others: Vec<InstanceId>,
-    /// Those of them that are known to be down.
+    /// The other receivers that are known to be down.
     down: BTreeSet<InstanceId>,
-    /// For each chunk, how many of the others that are up come before this instance. It is asked for with
-    /// each draw, so it must not cost a walk.
+    /// For each chunk, the number of other receivers that are up and ranked before this one. Cached, because
+    /// it is read for each download.
     ranks: Vec<u32>,
-    /// For each chunk, who of the others that are up comes first of them.
+    /// For each chunk, the index in `others` of the first-ranked receiver that is up.
     first_others: Vec<Option<usize>>,
     chunks: u32,
-    /// For each chunk, how many others have their turn at the origin before it.
-    turns: Vec<u32>,
-    /// Milliseconds between two chunks of this group.
-    step_ms: f64,
+    /// For each chunk, its position in the origin's schedule.
+    schedule: Vec<u32>,
+    /// Interval between two chunks of this group, in milliseconds.
+    interval_ms: f64,
     patience_ms: u64,
 }
 
-/// What a gate is made from.
+/// Settings of a gate.
 #[derive(Clone, Copy, Debug)]
 pub struct GateOptions {
-    /// How many copies may be drawn; each group of halls draws one.
+    /// Number of copies that may be downloaded; each group of halls downloads one.
     pub copies: u32,
-    /// Milliseconds the origin's link takes for one chunk.
+    /// Time that the origin's link takes for one chunk, in milliseconds.
     pub chunk_ms: f64,
-    /// Milliseconds this instance's link takes for the whole version.
+    /// Time that this instance's link takes for the whole version, in milliseconds.
     pub version_ms: f64,
-    /// How long a receiver waits for the one before it in rank, in milliseconds. `None` derives it
-    /// from the time that the whole version takes.
+    /// How long a receiver waits for the one ranked before it, in milliseconds. `None` derives it from the
+    /// time that the whole version takes.
     pub patience_ms: Option<u64>,
 }
 
 impl Gate {
-    /// Ranks the receivers of a version.
+    /// Creates a gate and ranks the receivers of a version.
     pub fn new(
         me: &InstanceId,
         version: VersionId,
@@ -79,10 +82,11 @@
         let group = my_hall.map_or(0, |hall| group_of(hall) % groups);
         let in_group = receivers.iter().filter(|(_, it)| group_of(it) % groups == group);
         let others = in_group.map(|(id, _)| id.clone()).filter(|id| id != me).collect();
-        let patience = ((options.version_ms * PATIENCE_SHARE) as u64).max(MIN_PATIENCE);
-        let patience = if options.copies == 1 { patience * ONE_COPY_PATIENCE } else { patience };
+        let patience = ((options.version_ms * PATIENCE_SHARE) as u64).max(MIN_PATIENCE_MS);
+        let patience =
+            if options.copies == 1 { patience * ONE_COPY_PATIENCE_FACTOR } else { patience };
         let patience = options.patience_ms.unwrap_or(patience);
-        // Groups start with different chunks.
+        // Each group starts with a different chunk.
         let first_chunk = (u64::from(chunks) * u64::from(group) / u64::from(groups)) as u32;
         let position = |chunk: u32| (chunk + chunks - first_chunk) % chunks.max(1);
         let mut gate = Self {
@@ -93,35 +97,35 @@
             ranks: Vec::new(),
             first_others: Vec::new(),
             chunks,
-            turns: (0..chunks).map(position).collect(),
-            step_ms: step_ms(options.chunk_ms, chunks, patience) * f64::from(groups),
+            schedule: (0..chunks).map(position).collect(),
+            interval_ms: interval_ms(options.chunk_ms, chunks, patience) * f64::from(groups),
             patience_ms: patience,
         };
-        gate.rank_all();
+        gate.compute_ranks();
         gate
     }
 
-    /// Whether an instance shares this group's copy.
+    /// Whether an instance belongs to this group.
     pub fn is_in_group(&self, id: &InstanceId) -> bool {
         id == &self.me || self.others.contains(id)
     }
 
-    /// Takes in which receivers are known to be down. Those nobody has heard of may be up.
+    /// Sets which receivers are known to be down. Receivers of unknown state count as up.
     pub fn set_down(&mut self, is_down: impl Fn(&InstanceId) -> bool) {
         let down: BTreeSet<InstanceId> =
             self.others.iter().filter(|id| is_down(id)).cloned().collect();
         if down != self.down {
             self.down = down;
-            self.rank_all();
+            self.compute_ranks();
         }
     }
 
-    /// How many receivers that are up come before this one for a chunk.
+    /// The number of receivers that are up and ranked before this one for a chunk.
     pub fn rank(&self, chunk: u32) -> u64 {
         self.ranks.get(chunk as usize).map_or(0, |it| u64::from(*it))
     }
 
-    /// The owner of a chunk. `None` where this instance is.
+    /// The owner of a chunk; `None` if it is this instance.
     pub fn owner(&self, chunk: u32) -> Option<&InstanceId> {
         if self.rank(chunk) == 0 {
             return None;
@@ -130,25 +134,25 @@
         self.others.get(first)
     }
 
-    /// Ranks this instance for every chunk. Each receiver has a number of its own for each chunk, and the
-    /// lowest goes first: receivers that know of a few others more or less still agree on most owners.
-    fn rank_all(&mut self) {
-        let numbers = |id: &InstanceId| {
+    /// Ranks this instance for every chunk. Each receiver has a hash for each chunk, and the lowest comes
+    /// first, so that receivers whose lists differ slightly still agree on most owners.
+    fn compute_ranks(&mut self) {
+        let hashes = |id: &InstanceId| {
             shared_hashes(&[&self.version.0, id.0.as_bytes()], self.chunks as usize)
         };
-        let mine = numbers(&self.me);
+        let own_hash = hashes(&self.me);
         let mut ranks = vec![0; self.chunks as usize];
         let mut lowest: Vec<Option<(u64, &InstanceId, usize)>> = vec![None; self.chunks as usize];
         for (place, other) in self.others.iter().enumerate() {
             if self.down.contains(other) {
                 continue;
             }
-            for (chunk, (number, mine)) in numbers(other).into_iter().zip(&mine).enumerate() {
-                let before = (number, other) < (*mine, &self.me);
+            for (chunk, (hash, own_hash)) in hashes(other).into_iter().zip(&own_hash).enumerate() {
+                let before = (hash, other) < (*own_hash, &self.me);
                 ranks[chunk] += u32::from(before);
                 let entry = &mut lowest[chunk];
-                if entry.is_none_or(|it| (number, other, place) < it) {
-                    *entry = Some((number, other, place));
+                if entry.is_none_or(|it| (hash, other, place) < it) {
+                    *entry = Some((hash, other, place));
                 }
             }
         }
@@ -156,92 +160,92 @@
         self.ranks = ranks;
     }
 
-    /// When this receiver may draw a chunk, if nobody in its group holds it by then.
+    /// When this receiver may download a chunk, if nobody in its group holds it by then.
     pub fn due(&self, started: Millis, chunk: u32) -> Millis {
         let rank = self.rank(chunk);
-        self.timetable(started, chunk).plus(rank.saturating_mul(self.patience_ms))
+        self.scheduled_at(started, chunk).plus(rank.saturating_mul(self.patience_ms))
     }
 
-    /// When a chunk should long have been passed on, if whoever drew it lives.
+    /// When a chunk should have reached other receivers, if the receiver that downloaded it is alive.
     pub fn overdue(&self, started: Millis, chunk: u32) -> Millis {
         self.due(started, chunk).plus(self.patience_ms)
     }
 
-    /// When this receiver may draw a chunk although peers say that they hold it.
+    /// When this receiver may download a chunk although peers report that they hold it.
     pub fn last_resort(&self, started: Millis, chunk: u32) -> Millis {
         let ranks = self.rank(chunk).min(LAST_RESORT_RANKS) + LAST_RESORT_RANKS;
-        self.timetable(started, chunk).plus(ranks * self.patience_ms)
+        self.scheduled_at(started, chunk).plus(ranks * self.patience_ms)
     }
 
-    /// Keeps the turns that another gate of the same version has dealt.
-    pub fn with_turns_of(mut self, other: &Self) -> Self {
-        self.turns.clone_from(&other.turns);
+    /// Takes over the schedule of another gate of the same version.
+    pub fn with_schedule_of(mut self, other: &Self) -> Self {
+        self.schedule.clone_from(&other.schedule);
         self
     }
 
-    /// Deals the turns anew: the chunks that are still to be drawn follow each other without gaps, in the order
-    /// that they had. Any other chunk, should it be missed again, may be drawn at once.
-    pub fn deal_turns(&mut self, missing: &[u32]) {
+    /// Schedules the missing chunks again without gaps, in their previous order. All other chunks may be
+    /// downloaded at once, should they go missing again.
+    pub fn reschedule(&mut self, missing: &[u32]) {
         let mut ordered: Vec<u32> = missing.to_vec();
-        ordered.sort_by_key(|chunk| self.turns.get(*chunk as usize));
-        self.turns.fill(0);
+        ordered.sort_by_key(|chunk| self.schedule.get(*chunk as usize));
+        self.schedule.fill(0);
         for (position, chunk) in (0..).zip(ordered) {
-            if let Some(entry) = self.turns.get_mut(chunk as usize) {
+            if let Some(entry) = self.schedule.get_mut(chunk as usize) {
                 *entry = position;
             }
         }
     }
 
-    /// How long after the start a chunk has its turn, in milliseconds.
-    fn turn_ms(&self, chunk: u32) -> u64 {
-        let position = self.turns.get(chunk as usize).copied().unwrap_or(0);
-        (f64::from(position) * self.step_ms) as u64
+    /// Scheduled time of a chunk after the start, in milliseconds.
+    fn offset_ms(&self, chunk: u32) -> u64 {
+        let position = self.schedule.get(chunk as usize).copied().unwrap_or(0);
+        (f64::from(position) * self.interval_ms) as u64
     }
 
-    fn timetable(&self, started: Millis, chunk: u32) -> Millis {
-        started.plus(self.turn_ms(chunk))
+    fn scheduled_at(&self, started: Millis, chunk: u32) -> Millis {
+        started.plus(self.offset_ms(chunk))
     }
 }
 
-/// The receivers that come first for a chunk in each hall, at most `most` of a hall.
-pub fn first_in_halls(
+/// The first `max_per_hall` receivers of a chunk in each hall, in rank order.
+pub fn first_ranked_in_halls(
     version: VersionId,
     chunk: u32,
     receivers: &[(InstanceId, Hall)],
-    most: usize,
+    max_per_hall: usize,
 ) -> Vec<InstanceId> {
-    let number = |id: &InstanceId| {
-        let numbers = shared_hashes(&[&version.0, id.0.as_bytes()], chunk as usize + 1);
-        numbers.last().copied()
+    let hash = |id: &InstanceId| {
+        let hashes = shared_hashes(&[&version.0, id.0.as_bytes()], chunk as usize + 1);
+        hashes.last().copied()
     };
     let mut ordered: Vec<&(InstanceId, Hall)> = receivers.iter().collect();
-    ordered.sort_by_cached_key(|(id, _)| (number(id), id.clone()));
+    ordered.sort_by_cached_key(|(id, _)| (hash(id), id.clone()));
     let mut counts: BTreeMap<&Hall, usize> = BTreeMap::new();
     ordered.retain(|(_, hall)| {
         let count = counts.entry(hall).or_default();
         *count += 1;
-        *count <= most
+        *count <= max_per_hall
     });
     ordered.into_iter().map(|(id, _)| id.clone()).collect()
 }
 
-/// The chunks of which an instance keeps the second copy, each with its owner: the instance comes first of all
-/// outside the owner's hall, so that the loss of any one hall leaves each chunk with somebody.
-pub fn second_of(
+/// The chunks of which the instance `me` keeps the second copy, each with its owner. It is the first-ranked
+/// instance outside the owner's hall, so that every chunk survives the loss of any one hall.
+pub fn second_copies_of(
     me: &(InstanceId, Hall),
     version: VersionId,
     chunks: u32,
     receivers: &[(InstanceId, Hall)],
 ) -> BTreeMap<u32, InstanceId> {
     let others = receivers.iter().filter(|it| it.0 != me.0);
-    let numbered = others.chain([me]).map(|it| {
-        let numbers = shared_hashes(&[&version.0, it.0 .0.as_bytes()], chunks as usize);
-        (it, numbers)
+    let hashed = others.chain([me]).map(|it| {
+        let hashes = shared_hashes(&[&version.0, it.0 .0.as_bytes()], chunks as usize);
+        (it, hashes)
     });
-    let numbered: Vec<(&(InstanceId, Hall), Vec<u64>)> = numbered.collect();
+    let hashed: Vec<(&(InstanceId, Hall), Vec<u64>)> = hashed.collect();
     let mut second = BTreeMap::new();
     for chunk in 0..chunks {
-        let all = || numbered.iter().map(|(it, numbers)| (numbers[chunk as usize], *it));
+        let all = || hashed.iter().map(|(it, hashes)| (hashes[chunk as usize], *it));
         let Some((_, owner)) = all().min() else {
             continue;
         };
@@ -253,11 +257,12 @@
     second
 }
 
-/// The time between two turns at an origin whose link takes `chunk_ms` for a chunk, in milliseconds.
-fn step_ms(chunk_ms: f64, chunks: u32, patience_ms: u64) -> f64 {
-    let most_waiting = patience_ms as f64 * WAITING_SHARE;
-    let lead = most_waiting / f64::from(chunks.max(1));
-    (chunk_ms - lead).max(chunk_ms * TIMETABLE_SHARE)
+/// Interval between two scheduled chunks at an origin whose link takes `chunk_ms` for a chunk, in
+/// milliseconds.
+fn interval_ms(chunk_ms: f64, chunks: u32, patience_ms: u64) -> f64 {
+    let max_queueing_ms = patience_ms as f64 * MAX_QUEUEING_SHARE;
+    let lead = max_queueing_ms / f64::from(chunks.max(1));
+    (chunk_ms - lead).max(chunk_ms * MIN_INTERVAL_SHARE)
 }
 
 #[cfg(test)]
--- a/components/reducer/src/spread/mod.rs
+++ b/components/reducer/src/spread/mod.rs
@@ -1,5 +1,5 @@
-//! How one version reaches this instance: which chunk is drawn next, from whom, and when the origin
-//! may be asked. Every receiver decides for itself; there is no coordinator.
+//! Distribution of one version to this instance: which chunk is downloaded next, from whom, and when the
+//! origin may be asked. Every receiver decides for itself; there is no coordinator.
 
 mod gate;
 mod neighbour;
--- a/components/reducer/src/spread/tests.rs
+++ b/components/reducer/src/spread/tests.rs
@@ -1,5 +1,5 @@
-//! Spreads against their naive versions, in rounds: a fake network in which a source serves a few
-//! chunks a round and refuses the rest.
+//! Compares spreads with baseline strategies on a simulated network. In each round a source serves a few
+//! chunks; the upload queues of peers are bounded.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,21 +9,21 @@
 
 use super::*;
 
-/// Chunks that an instance sends and takes in a round.
-const LINK: usize = 2;
-/// Chunks that the origin sends in a round.
-const ORIGIN: usize = 4;
-/// Requests that wait at a source at most.
-const QUEUE: usize = 8;
-/// Chunks in flight to a receiver.
+/// Chunks that an instance can send, and can receive, in a round.
+const LINK_CHUNKS: usize = 2;
+/// Chunks that the origin can send in a round.
+const ORIGIN_CHUNKS: usize = 4;
+/// Most requests that are queued at a peer.
+const MAX_QUEUED: usize = 8;
+/// Most chunks in flight to a receiver.
 const WINDOW: usize = 8;
-/// The time of a round, in milliseconds.
-const ROUND: u64 = 100;
-const CHUNK: u32 = 4096;
+/// Duration of a round.
+const ROUND_MS: u64 = 100;
+const CHUNK_BYTES: u32 = 4096;
 
-/// What a spread over a fleet took.
+/// The cost of distributing a version to all receivers.
 #[derive(Debug)]
-struct Outcome {
+struct Cost {
     rounds: usize,
     origin_draws: usize,
 }
@@ -45,17 +45,17 @@
 }
 
 fn start(replicas: usize, chunks: u32, choice: Choice, copies: u32) -> Vec<Spread> {
-    let content: Vec<u8> = (0..chunks * CHUNK).map(|n| (n / CHUNK) as u8).collect();
-    let manifest = Arc::new(Manifest::describe_with("m", &content, CHUNK).unwrap());
+    let content: Vec<u8> = (0..chunks * CHUNK_BYTES).map(|n| (n / CHUNK_BYTES) as u8).collect();
+    let manifest = Arc::new(Manifest::describe_with("m", &content, CHUNK_BYTES).unwrap());
     let receivers: Vec<(InstanceId, Hall)> =
         (0..replicas).map(|n| (id(n), place(n).hall)).collect();
-    let rate = |chunks: usize| chunks as u64 * u64::from(CHUNK) * 1000 / ROUND;
+    let rate = |chunks: usize| chunks as u64 * u64::from(CHUNK_BYTES) * 1000 / ROUND_MS;
     let options = SpreadOptions {
         patience_ms: None,
         reach: crate::Reach::default(),
         copies,
-        origin_bytes_per_s: rate(ORIGIN),
-        download_bytes_per_s: rate(LINK),
+        origin_bytes_per_s: rate(ORIGIN_CHUNKS),
+        download_bytes_per_s: rate(LINK_CHUNKS),
         control_bytes_per_s: 3000,
         choice,
     };
@@ -77,60 +77,60 @@
     (0..replicas).map(one).collect()
 }
 
-/// A request that waits at its source.
-struct Waiting {
-    asker: usize,
+/// A request that is queued at its source.
+struct QueuedRequest {
+    receiver: usize,
     draw: Draw,
 }
 
-/// The fake network.
+/// The simulated network.
 struct Network {
     spreads: Vec<Spread>,
-    /// For each instance, what waits in its upload queue; last, what waits at the origin.
-    queues: Vec<Vec<Waiting>>,
-    outcome: Outcome,
+    /// The upload queue of each instance, followed by that of the origin.
+    queues: Vec<Vec<QueuedRequest>>,
+    cost: Cost,
 }
 
-/// Runs rounds until every spread is whole.
-fn run(replicas: usize, chunks: u32, choice: Choice, copies: u32) -> Outcome {
+/// Runs rounds until every spread is complete.
+fn run(replicas: usize, chunks: u32, choice: Choice, copies: u32) -> Cost {
     let mut network = Network {
         spreads: start(replicas, chunks, choice, copies),
         queues: (0..=replicas).map(|_| Vec::new()).collect(),
-        outcome: Outcome { rounds: 0, origin_draws: 0 },
+        cost: Cost { rounds: 0, origin_draws: 0 },
     };
     while network.spreads.iter().any(|it| it.phase() == SpreadPhase::Drawing) {
-        network.outcome.rounds += 1;
-        assert!(network.outcome.rounds < 5000, "the spread does not end");
-        network.round();
+        network.cost.rounds += 1;
+        assert!(network.cost.rounds < 5000, "the spread does not end");
+        network.run_round();
     }
-    network.outcome
+    network.cost
 }
 
 impl Network {
     fn now(&self) -> Millis {
-        Millis(self.outcome.rounds as u64 * ROUND)
+        Millis(self.cost.rounds as u64 * ROUND_MS)
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         let now = self.now();
         for number in 0..self.spreads.len() {
             let drawn = self.spreads[number].draw(now, WINDOW);
-            let said = self.spreads[number].summarize(now);
-            for effect in drawn.into_iter().chain(said) {
+            let summaries = self.spreads[number].summarize(now);
+            for effect in drawn.into_iter().chain(summaries) {
                 self.carry_out(number, effect);
             }
         }
-        let mut taken = vec![0; self.spreads.len()];
+        let mut received = vec![0; self.spreads.len()];
         for source in 0..self.queues.len() {
-            self.serve(source, &mut taken);
+            self.serve(source, &mut received);
         }
     }
 
-    fn carry_out(&mut self, asker: usize, effect: SpreadEffect) {
+    fn carry_out(&mut self, receiver: usize, effect: SpreadEffect) {
         let now = self.now();
         match effect {
             SpreadEffect::Summarize { to, have } => {
-                let (id, from, place) = (id(asker), address(asker), place(asker));
+                let (id, from, place) = (id(receiver), address(receiver), place(receiver));
                 self.spreads[number_of(to)].take_summary(now, &id, from, &place, have);
             }
             SpreadEffect::Draw(draw) => {
@@ -139,61 +139,65 @@
                     DrawSource::Origin => origin,
                     DrawSource::Peer(_, at) => number_of(*at),
                 };
-                if source != origin && self.queues[source].len() >= QUEUE {
-                    let spread = &mut self.spreads[asker];
-                    spread.fail_chunk(now, draw.index, &draw.source, Code::PeerBusy, ROUND);
+                if source != origin && self.queues[source].len() >= MAX_QUEUED {
+                    let spread = &mut self.spreads[receiver];
+                    spread.fail_chunk(now, draw.index, &draw.source, Code::PeerBusy, ROUND_MS);
                     return;
                 }
-                self.queues[source].push(Waiting { asker, draw });
+                self.queues[source].push(QueuedRequest { receiver, draw });
             }
         }
     }
 
-    /// Serves what the links of the source and of the askers carry in a round, first come first.
-    fn serve(&mut self, source: usize, taken: &mut [usize]) {
+    /// Serves as many requests as the links of the source and of the receivers carry in a round, in order of
+    /// arrival.
+    fn serve(&mut self, source: usize, received: &mut [usize]) {
         let is_origin = source == self.queues.len() - 1;
-        let mut left = if is_origin { ORIGIN } else { LINK };
-        for waiting in std::mem::take(&mut self.queues[source]) {
-            if left == 0 || taken[waiting.asker] >= LINK {
-                self.queues[source].push(waiting);
+        let mut remaining = if is_origin { ORIGIN_CHUNKS } else { LINK_CHUNKS };
+        for request in std::mem::take(&mut self.queues[source]) {
+            if remaining == 0 || received[request.receiver] >= LINK_CHUNKS {
+                self.queues[source].push(request);
                 continue;
             }
-            left -= 1;
-            taken[waiting.asker] += 1;
-            self.outcome.origin_draws += usize::from(is_origin);
-            self.deliver(source, is_origin, waiting);
+            remaining -= 1;
+            received[request.receiver] += 1;
+            self.cost.origin_draws += usize::from(is_origin);
+            self.deliver(source, is_origin, request);
         }
     }
 
-    fn deliver(&mut self, source: usize, is_origin: bool, waiting: Waiting) {
-        let Waiting { asker, draw } = waiting;
+    fn deliver(&mut self, source: usize, is_origin: bool, request: QueuedRequest) {
+        let QueuedRequest { receiver, draw } = request;
         let now = self.now();
         let have = (!is_origin).then(|| self.spreads[source].have().clone());
         let queue = self.queues[source].len() as u32;
-        let spread = &mut self.spreads[asker];
+        let spread = &mut self.spreads[receiver];
         assert!(spread.take_chunk(now, draw.index, &draw.source, true));
         if let Some(have) = have {
-            assert!(have.contains(draw.index), "a source is asked for what it said it holds");
+            assert!(
+                have.contains(draw.index),
+                "a source is asked only for chunks that it reported to hold"
+            );
             spread.take_summary(now, &id(source), address(source), &place(source), have);
-            spread.take_uploads(now, &id(source), queue);
+            spread.set_upload_queue(now, &id(source), queue);
         }
     }
 }
 
 #[test]
-fn is_no_slower_than_the_naive_versions() {
+fn is_not_slower_than_the_baselines() {
     for replicas in [12, 24] {
-        let ours = run(replicas, 128, Choice::Rarest, 1);
+        let rarest = run(replicas, 128, Choice::Rarest, 1);
         let random = run(replicas, 128, Choice::Random, 1);
         let origin = run(replicas, 128, Choice::OriginOnly, 1);
-        assert!(ours.rounds <= random.rounds + 2, "{replicas}: {ours:?}, random {random:?}");
-        assert!(ours.rounds * 3 < origin.rounds, "{replicas}: {ours:?}, origin {origin:?}");
+        assert!(rarest.rounds <= random.rounds + 2, "{replicas}: {rarest:?}, random {random:?}");
+        assert!(rarest.rounds * 3 < origin.rounds, "{replicas}: {rarest:?}, origin {origin:?}");
         assert_eq!(origin.origin_draws, replicas * 128);
     }
 }
 
 #[test]
-fn draws_one_copy_where_one_is_allowed_and_no_more_than_the_halls_otherwise() {
+fn downloads_one_copy_if_one_is_allowed_and_at_most_one_per_hall_otherwise() {
     let one = run(24, 128, Choice::Rarest, 1);
     assert!(one.origin_draws <= 128 * 105 / 100, "{one:?}");
     let three = run(24, 128, Choice::Rarest, 4);
@@ -201,8 +205,8 @@
 }
 
 #[test]
-fn takes_little_more_than_the_least_possible_time() {
-    // Each receiver takes two chunks a round, so 128 chunks take 64 rounds at least.
-    let ours = run(24, 128, Choice::Rarest, 1);
-    assert!(ours.rounds <= 64 * 140 / 100, "{ours:?}");
+fn takes_at_most_40_percent_more_than_the_minimum_time() {
+    // Each receiver takes at most two chunks a round, so 128 chunks take at least 64 rounds.
+    let rarest = run(24, 128, Choice::Rarest, 1);
+    assert!(rarest.rounds <= 64 * 140 / 100, "{rarest:?}");
 }
--- a/components/reducer/src/spread/version/arrivals.rs
+++ b/components/reducer/src/spread/version/arrivals.rs
@@ -1,16 +1,16 @@
-//! What becomes of the chunks that were asked for.
+//! Completion and failure of chunk downloads.
 
 use errors::Code;
 use fleet::Millis;
 
-use super::{DrawSource, Flight, Spread};
+use super::{DrawSource, PendingDownload, Spread};
 
-/// The part of a new measurement in the smoothed time of chunks.
-const CHUNK_SMOOTHING: f64 = 0.25;
+/// Weight of a new measurement in the moving average of chunk times.
+const CHUNK_SMOOTHING_FACTOR: f64 = 0.25;
 
 impl Spread {
-    /// A chunk arrived; `verified` tells whether its digest is right. Gives `false` when it had
-    /// not been asked for.
+    /// Handles a chunk that was received; `verified` tells whether its digest matches. Returns `false` if it
+    /// had not been requested from this source.
     pub fn take_chunk(
         &mut self,
         now: Millis,
@@ -18,35 +18,37 @@
         source: &DrawSource,
         verified: bool,
     ) -> bool {
-        let Some(flight) = self.end_flight(index, source) else {
+        let Some(download) = self.remove_download(index, source) else {
             return false;
         };
-        let took = now.since(flight.sent).0 as f64;
-        self.chunk_ms += CHUNK_SMOOTHING * (took - self.chunk_ms);
+        let took = now.since(download.sent).0 as f64;
+        self.chunk_ms += CHUNK_SMOOTHING_FACTOR * (took - self.chunk_ms);
         if source == &DrawSource::Origin {
             self.origin_failures = 0;
-            self.news_at = now;
+            self.last_new_chunk_at = now;
         }
         if verified {
             self.announce(index, source);
         }
         if let DrawSource::Peer(id, _) = source {
-            self.note_heard(id);
+            self.record_message(id);
             match self.neighbours.get_mut(id) {
-                Some(neighbour) if verified => neighbour.reward(now.since(flight.sent)),
-                Some(neighbour) => neighbour.punish(now),
+                Some(neighbour) if verified => {
+                    neighbour.record_good_chunk(now.since(download.sent))
+                }
+                Some(neighbour) => neighbour.record_bad_chunk(now),
                 None => {}
             }
         }
         if verified {
-            self.second.note_arrival(index);
+            self.second_copies.handle_arrival(index);
             self.have.insert(index);
             self.last_chunk_at = now;
         }
         true
     }
 
-    /// A chunk did not arrive.
+    /// Handles the failure of a download.
     pub fn fail_chunk(
         &mut self,
         now: Millis,
@@ -55,32 +57,33 @@
         code: Code,
         retry_after: u64,
     ) {
-        if self.end_flight(index, source).is_none() {
+        if self.remove_download(index, source).is_none() {
             return;
         }
-        self.second.note_failure(now, index);
+        self.second_copies.handle_failure(now, index);
         let DrawSource::Peer(id, _) = source else {
-            self.note_origin_failure(now);
+            self.record_origin_failure(now);
             return;
         };
-        self.note_failure_of(now, id, code);
+        self.record_failure_of(now, id, code);
         let Some(neighbour) = self.neighbours.get_mut(id) else {
             return;
         };
         match code {
-            Code::PeerBusy => neighbour.back_off(now, retry_after),
-            // It never said that it has it.
+            Code::PeerBusy => neighbour.record_refusal(now, retry_after),
+            // The neighbour never reported to hold the chunk.
             Code::ChunkMissing if !neighbour.have.contains(index) => {}
             Code::ChunkMissing => {
                 neighbour.have.remove(index);
-                neighbour.punish(now);
+                neighbour.record_bad_chunk(now);
             }
-            _ => neighbour.punish(now),
+            _ => neighbour.record_bad_chunk(now),
         }
     }
 
-    /// A chunk is not on its way any more. `None` when it had not been asked for.
-    fn end_flight(&mut self, index: u32, source: &DrawSource) -> Option<Flight> {
+    /// Removes a download that is no longer in flight. Returns `None` if the chunk had not been requested
+    /// from this source.
+    fn remove_download(&mut self, index: u32, source: &DrawSource) -> Option<PendingDownload> {
         if self.in_flight.get(&index).is_none_or(|it| &it.source != source) {
             return None;
         }
--- a/components/reducer/src/spread/version/choice.rs
+++ b/components/reducer/src/spread/version/choice.rs
@@ -1,25 +1,25 @@
-//! Which chunk is drawn next, and from whom.
+//! Selection of the next chunk and its source.
 
 use fleet::{InstanceId, Millis};
 
-use super::{millis_for, Choice, Draw, DrawSource, Flight, Spread, SpreadEffect};
+use super::{millis_for, Choice, Draw, DrawSource, PendingDownload, Spread, SpreadEffect};
 use crate::seed::shared_hash;
 use crate::spread::neighbour::Neighbour;
 
-/// Chunks in flight from one neighbour.
-const WINDOW_PER_SOURCE: u32 = 2;
-/// A chunk may take this many times as long as usual.
+/// Most chunks in flight from one neighbour.
+const MAX_IN_FLIGHT_PER_SOURCE: u32 = 2;
+/// Deadline of a chunk as a multiple of its usual time.
 const DEADLINE_FACTOR: f64 = 6.0;
-/// The shortest deadline of a chunk, in milliseconds.
-const MIN_DEADLINE: f64 = 1000.0;
-/// The longest deadline of a chunk, in milliseconds.
-const MAX_DEADLINE: f64 = 60_000.0;
-/// Chunks that are expected to wait ahead of ours at a source we know nothing of.
-const EXPECTED_QUEUE: f64 = 16.0;
+/// Shortest deadline of a chunk.
+const MIN_DEADLINE_MS: f64 = 1000.0;
+/// Longest deadline of a chunk.
+const MAX_DEADLINE_MS: f64 = 60_000.0;
+/// Assumed number of chunks queued before ours at a source without measurements.
+const ASSUMED_QUEUE_CHUNKS: f64 = 16.0;
 
 impl Spread {
-    /// The draws to make now, up to `window` chunks in flight from peers. Draws from the origin come
-    /// on top: everyone waits for the chunk that its owner is late with.
+    /// Returns the downloads to start now, up to `window` chunks in flight from peers. Downloads from the
+    /// origin are not limited by it, because all receivers wait for a chunk whose owner is late.
     pub fn draw(&mut self, now: Millis, window: usize) -> Vec<SpreadEffect> {
         let mut effects = Vec::new();
         while let Some(draw) = self.draw_from_origin(now) {
@@ -42,7 +42,7 @@
         effects
     }
 
-    /// For each chunk, how many neighbours hold it.
+    /// For each chunk, the number of neighbours that hold it.
     fn count_holders(&self) -> Vec<u32> {
         let mut counts = vec![0; self.manifest.chunks() as usize];
         for neighbour in self.neighbours.values() {
@@ -53,13 +53,13 @@
         counts
     }
 
-    /// The least busy source first, then the rarest of its chunks: an idle link is worth more than
-    /// a rare chunk behind a queue.
+    /// Selects the least busy source, then the rarest of its chunks. Using an idle link is worth more than a
+    /// rare chunk behind a queue.
     fn draw_from_peer(&mut self, now: Millis, counts: &[u32]) -> Option<Draw> {
         let chunk_ms =
             millis_for(u64::from(self.manifest.chunk_bytes), self.options.download_bytes_per_s);
         let mut sources: Vec<(&InstanceId, &Neighbour)> = self.neighbours.iter().collect();
-        sources.retain(|(_, it)| it.outstanding < WINDOW_PER_SOURCE && now >= it.not_before);
+        sources.retain(|(_, it)| it.outstanding < MAX_IN_FLIGHT_PER_SOURCE && now >= it.not_before);
         sources.sort_by_key(|(id, it)| {
             let queue = it.outstanding * 2 + it.uploads(now, chunk_ms);
             (queue + it.distance, shared_hash(&[self.me.0.as_bytes(), id.0.as_bytes()]))
@@ -68,46 +68,46 @@
             let index = self.rarest(now, neighbour, counts)?;
             Some((index, DrawSource::Peer(id.clone(), neighbour.address)))
         })?;
-        Some(self.launch(now, index, source, false))
+        Some(self.start_download(now, index, source, false))
     }
 
-    /// The naive choice: any wanted chunk from any neighbour that holds it.
+    /// The baseline `Choice::Random`: any missing chunk from any neighbour that holds it.
     fn draw_at_random(&mut self, now: Millis) -> Option<Draw> {
-        let toss = |part: u32| {
+        let pseudorandom = |part: u32| {
             shared_hash(&[self.me.0.as_bytes(), &now.0.to_le_bytes(), &part.to_le_bytes()])
         };
         let wanted: Vec<u32> =
             self.have.missing().filter(|index| !self.in_flight.contains_key(index)).collect();
         let mut offers: Vec<(u32, DrawSource)> = Vec::new();
         for (id, neighbour) in &self.neighbours {
-            if neighbour.outstanding >= WINDOW_PER_SOURCE || now < neighbour.not_before {
+            if neighbour.outstanding >= MAX_IN_FLIGHT_PER_SOURCE || now < neighbour.not_before {
                 continue;
             }
             let held = wanted.iter().filter(|index| neighbour.have.contains(**index));
             let source = DrawSource::Peer(id.clone(), neighbour.address);
             offers.extend(held.map(|index| (*index, source.clone())));
         }
-        let pick = toss(self.in_flight.len() as u32) as usize % offers.len().max(1);
+        let pick = pseudorandom(self.in_flight.len() as u32) as usize % offers.len().max(1);
         let (index, source) = offers.get(pick)?.clone();
-        Some(self.launch(now, index, source, false))
+        Some(self.start_download(now, index, source, false))
     }
 
-    /// The rarest chunk that a neighbour holds and this receiver neither holds nor awaits. Among
-    /// equals each receiver starts elsewhere, which keeps replicas different from one another.
+    /// The rarest chunk that a neighbour holds and that is neither held here nor in flight. Among equally
+    /// rare chunks, each receiver starts at a different one, so that receivers hold different chunks.
     fn rarest(&self, now: Millis, neighbour: &Neighbour, counts: &[u32]) -> Option<u32> {
         let chunks = self.manifest.chunks();
         let start = shared_hash(&[self.me.0.as_bytes()]) as u32 % chunks;
         let wanted = self.have.missing().filter(|index| {
             neighbour.have.contains(*index)
                 && !self.in_flight.contains_key(index)
-                && (neighbour.distance == 0 || self.may_draw_from_afar(now, *index))
+                && (neighbour.distance == 0 || self.may_draw_from_other_hall(now, *index))
         });
         wanted.min_by_key(|index| (counts[*index as usize], (index + chunks - start) % chunks))
     }
 
-    /// Whether a chunk may be drawn from another hall: by its owner in this hall, and by the next in
-    /// rank when the owner had time to draw it since some neighbour offered it.
-    fn may_draw_from_afar(&self, now: Millis, index: u32) -> bool {
+    /// Whether a chunk may be downloaded from another hall: by its owner in this hall, or by the next in rank
+    /// once the owner has had time to download it since a neighbour first offered it.
+    fn may_draw_from_other_hall(&self, now: Millis, index: u32) -> bool {
         let Some(gate) = &self.hall_gate else {
             return true;
         };
@@ -116,7 +116,7 @@
         !held_near && now >= gate.due(offered_at, index)
     }
 
-    pub(super) fn launch(
+    pub(super) fn start_download(
         &mut self,
         now: Millis,
         index: u32,
@@ -124,17 +124,17 @@
         last_resort: bool,
     ) -> Draw {
         let held = self.have.count();
-        let mut usual = EXPECTED_QUEUE
+        let mut expected_ms = ASSUMED_QUEUE_CHUNKS
             * millis_for(u64::from(self.manifest.chunk_bytes), self.options.download_bytes_per_s);
         if let DrawSource::Peer(id, _) = &source {
             if let Some(neighbour) = self.neighbours.get_mut(id) {
                 neighbour.outstanding += 1;
-                neighbour.tell(now, held);
-                usual = neighbour.usual_time(usual);
+                neighbour.record_summary(now, held);
+                expected_ms = neighbour.average_ms_or(expected_ms);
             }
         }
-        let span = (usual * DEADLINE_FACTOR).clamp(MIN_DEADLINE, MAX_DEADLINE) as u64;
-        self.in_flight.insert(index, Flight { source: source.clone(), sent: now });
+        let span = (expected_ms * DEADLINE_FACTOR).clamp(MIN_DEADLINE_MS, MAX_DEADLINE_MS) as u64;
+        self.in_flight.insert(index, PendingDownload { source: source.clone(), sent: now });
         let deadline = now.plus(span);
         Draw { version: self.version, index, source, deadline, last_resort }
     }
--- a/components/reducer/src/spread/version/mod.rs
+++ b/components/reducer/src/spread/version/mod.rs
@@ -2,9 +2,9 @@
 
 mod arrivals;
 mod choice;
-mod keeping;
 mod neighbours;
 mod origin;
+mod second_copies;
 mod silence;
 mod summaries;
 mod types;
@@ -15,9 +15,9 @@
 
 use fleet::{Bitmap, Hall, InstanceId, Manifest, Millis, Place, VersionId};
 
-use self::keeping::SecondCopies;
+use self::second_copies::SecondCopies;
 use self::silence::SilentHalls;
-use self::summaries::SUMMARY_BURST;
+use self::summaries::MAX_SUMMARY_BUDGET_BYTES;
 pub use self::types::{
     Choice, Draw, DrawSource, OriginShare, Participant, Reach, SpreadEffect, SpreadOptions,
     SpreadPhase,
@@ -25,14 +25,14 @@
 use super::gate::{Gate, GateOptions};
 use super::neighbour::Neighbour;
 
-/// A chunk on its way.
+/// A chunk that is being downloaded.
 #[derive(Clone, Debug)]
-struct Flight {
+struct PendingDownload {
     source: DrawSource,
     sent: Millis,
 }
 
-/// The spread.
+/// The distribution of one version, as seen by one receiver.
 pub struct Spread {
     /// The version.
     pub version: VersionId,
@@ -41,44 +41,44 @@
     me: InstanceId,
     place: Place,
     options: SpreadOptions,
-    /// Who wants the version, as far as known.
+    /// The receivers of the version, as far as known.
     receivers: Vec<(InstanceId, Hall)>,
     gate_options: GateOptions,
     gate: Gate,
-    /// Who draws a chunk into this hall, where a chunk enters a hall once.
+    /// Decides which receiver downloads a chunk into this hall, if each chunk is to enter a hall only once.
     hall_gate: Option<Gate>,
     have: Bitmap,
-    /// When each chunk was first known to be held by a neighbour.
+    /// When each chunk was first reported by a neighbour.
     offered_at: Vec<Option<Millis>>,
     started: Millis,
     neighbours: BTreeMap<InstanceId, Neighbour>,
-    in_flight: BTreeMap<u32, Flight>,
+    in_flight: BTreeMap<u32, PendingDownload>,
     origin_not_before: Millis,
-    /// How much of the origin may be used.
+    /// The part of the origin that may be used.
     origin_share: OriginShare,
-    /// When a chunk was last heard of that nobody had held before.
-    news_at: Millis,
-    /// Draws from the origin that failed since the last one that did not.
+    /// When a chunk that nobody had held before was last received or reported.
+    last_new_chunk_at: Millis,
+    /// Consecutive failed downloads from the origin.
     origin_failures: u32,
-    /// How long chunks took lately, smoothed, in milliseconds.
+    /// Moving average of the time of a chunk, in milliseconds.
     chunk_ms: f64,
     last_chunk_at: Millis,
-    /// The second copies that this receiver keeps.
-    second: SecondCopies,
-    /// Who is known to be down.
+    /// The second copies that this receiver holds for others.
+    second_copies: SecondCopies,
+    /// The receivers that are known to be down.
     down: BTreeSet<InstanceId>,
-    /// The halls that are silent.
-    silent: SilentHalls,
-    /// Where all others listen.
+    /// The halls that do not respond.
+    silent_halls: SilentHalls,
+    /// The addresses of all other participants that are up.
     addresses: BTreeMap<InstanceId, SocketAddr>,
-    /// Who is told at once of a chunk that has just arrived.
+    /// The addresses that are informed at once of a chunk that has just arrived.
     announce_to: BTreeSet<SocketAddr>,
     summary_budget: f64,
     summary_budget_at: Millis,
 }
 
 impl Spread {
-    /// Starts a spread at a receiver that holds nothing.
+    /// Creates a spread at a receiver that holds no chunk.
     pub fn new(
         now: Millis,
         me: &InstanceId,
@@ -115,31 +115,31 @@
             in_flight: BTreeMap::new(),
             origin_not_before: Millis(0),
             origin_share: OriginShare::Whole,
-            news_at: now,
+            last_new_chunk_at: now,
             origin_failures: 0,
             chunk_ms: 0.0,
             last_chunk_at: now,
-            second: SecondCopies::default(),
+            second_copies: SecondCopies::default(),
             down: BTreeSet::new(),
-            silent: SilentHalls::default(),
+            silent_halls: SilentHalls::default(),
             addresses: BTreeMap::new(),
             announce_to: BTreeSet::new(),
-            summary_budget: SUMMARY_BURST,
+            summary_budget: MAX_SUMMARY_BUDGET_BYTES,
             summary_budget_at: now,
             manifest,
         }
     }
 
-    /// Takes in receivers that were not known yet: everyone's ranks follow from all of them.
+    /// Adds receivers that were not known yet, and ranks all receivers again.
     pub fn add_receivers(&mut self, receivers: &[(InstanceId, Hall)]) {
         let known: BTreeSet<&InstanceId> = self.receivers.iter().map(|(id, _)| id).collect();
-        let fresh = receivers.iter().filter(|(id, _)| !known.contains(id));
-        let fresh: Vec<(InstanceId, Hall)> = fresh.cloned().collect();
-        if fresh.is_empty() {
+        let added = receivers.iter().filter(|(id, _)| !known.contains(id));
+        let added: Vec<(InstanceId, Hall)> = added.cloned().collect();
+        if added.is_empty() {
             return;
         }
-        self.receivers.extend(fresh);
-        self.second.forget();
+        self.receivers.extend(added);
+        self.second_copies.reset_owners();
         let (version, chunks) = (self.version, self.manifest.chunks());
         let gate = |receivers: &[(InstanceId, Hall)], options: &GateOptions| {
             Gate::new(&self.me, version, chunks, receivers, options)
@@ -148,14 +148,14 @@
         let hall_options = hall_gate_options(&self.options, &self.gate_options);
         let hall_gate = hall_options.map(|it| gate(&near, &it));
         let ranked = gate(&self.receivers, &self.gate_options);
-        self.gate = ranked.with_turns_of(&self.gate);
+        self.gate = ranked.with_schedule_of(&self.gate);
         self.hall_gate = hall_gate;
         for (id, neighbour) in &mut self.neighbours {
             neighbour.in_group = self.gate.is_in_group(id);
         }
     }
 
-    /// How far it has come.
+    /// Whether chunks are missing.
     pub fn phase(&self) -> SpreadPhase {
         if self.have.is_full() {
             SpreadPhase::Whole
@@ -169,7 +169,7 @@
         &self.have
     }
 
-    /// Takes in chunks that are here already, verified.
+    /// Adds chunks that are already present on this instance and verified.
     pub fn adopt(&mut self, found: &Bitmap) {
         if !found.is_well_formed(self.manifest.chunks()) {
             return;
@@ -178,34 +178,34 @@
         known.into_iter().for_each(|index| self.have.insert(index));
     }
 
-    /// How long chunks took lately, in milliseconds.
+    /// The moving average of the time of a chunk, in milliseconds.
     pub fn usual_chunk_ms(&self) -> f64 {
         self.chunk_ms
     }
 
-    /// When the last chunk arrived, or the start where none has.
+    /// When the last chunk arrived, or the start if none has.
     pub fn last_chunk_at(&self) -> Millis {
         self.last_chunk_at
     }
 
-    /// Chunks on their way from peers.
+    /// The number of chunks in flight from peers.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len() - self.count_from_origin()
     }
 
-    /// Chunks on their way from the origin.
+    /// The number of chunks in flight from the origin.
     fn count_from_origin(&self) -> usize {
         self.in_flight.values().filter(|it| it.source == DrawSource::Origin).count()
     }
 
-    /// Whether a chunk is here or at a neighbour.
+    /// Whether a chunk is held here or by a neighbour.
     fn is_held(&self, index: u32) -> bool {
         self.have.contains(index) || self.neighbours.values().any(|it| it.have.contains(index))
     }
 }
 
-/// How chunks enter a hall, where they should enter it once. They wait for each other, not for the turns
-/// that the origin's link needs.
+/// The settings of the hall gate, if each chunk is to enter a hall only once. The receivers of a hall wait
+/// for each other, but not for the schedule of the origin's link.
 fn hall_gate_options(options: &SpreadOptions, gate: &GateOptions) -> Option<GateOptions> {
     let patience_ms = options.reach.hall_patience_ms?;
     Some(GateOptions { chunk_ms: 0.0, patience_ms: Some(patience_ms), ..*gate })
--- a/components/reducer/src/spread/version/neighbours.rs
+++ b/components/reducer/src/spread/version/neighbours.rs
@@ -1,4 +1,4 @@
-//! Who a receiver exchanges chunks with, and what they say of themselves.
+//! Selection of the neighbours that a receiver exchanges chunks with, and their reports.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use crate::seed::shared_hash;
 use crate::spread::neighbour::Neighbour;
 
-/// How long holders have to say what they hold before the origin is asked, in milliseconds.
-const HOLDER_GRACE: u64 = 500;
+/// How long the holders of a version have to report their chunks before the origin is asked.
+const HOLDER_GRACE_MS: u64 = 500;
 
 impl Spread {
-    /// Takes in who receives or holds the version, and chooses neighbours among them.
+    /// Updates which daemons receive or hold the version, and selects neighbours among them.
     pub fn set_participants(&mut self, now: Millis, participants: &[Participant]) {
-        self.part_from_those_down(now, participants);
+        self.remove_unavailable(now, participants);
         let up = participants.iter().filter(|it| it.up);
         self.addresses = up.map(|it| (it.id.clone(), it.address)).collect();
         let holders = participants.iter().any(|it| it.up && it.holds);
         if holders && self.have.count() == 0 && self.neighbours.is_empty() {
-            self.origin_not_before = now.plus(HOLDER_GRACE);
+            self.origin_not_before = now.plus(HOLDER_GRACE_MS);
         }
-        for participant in self.choose(participants) {
-            if self.silent.holds(&participant.id) {
+        for participant in self.select_neighbours(participants) {
+            if self.silent_halls.contains(&participant.id) {
                 continue;
             }
-            self.meet(&participant.id, participant.address, &participant.place);
+            self.add_neighbour(&participant.id, participant.address, &participant.place);
         }
         for participant in participants {
             if let Some(neighbour) = self.neighbours.get_mut(&participant.id) {
@@ -35,21 +35,22 @@
         }
     }
 
-    /// Drops neighbours that are down or in silent halls, and ranks the others anew where that changed.
-    fn part_from_those_down(&mut self, now: Millis, participants: &[Participant]) {
+    /// Removes neighbours that are down or in silent halls, and ranks the receivers again if their state has
+    /// changed.
+    fn remove_unavailable(&mut self, now: Millis, participants: &[Participant]) {
         let down = participants.iter().filter(|it| !it.up).map(|it| it.id.clone());
         let down: BTreeSet<InstanceId> = down.collect();
-        participants.iter().for_each(|it| self.silent.learn(&it.id, &it.place.hall));
-        let is_over = self.silent.end_late(now);
-        if is_over || down != self.down {
+        participants.iter().for_each(|it| self.silent_halls.set_hall(&it.id, &it.place.hall));
+        let has_expired = self.silent_halls.expire(now);
+        if has_expired || down != self.down {
             self.down = down;
-            self.rank_those_up();
+            self.update_ranks();
         }
-        let (down, silent) = (&self.down, &self.silent);
-        self.neighbours.retain(|id, _| !down.contains(id) && !silent.holds(id));
+        let (down, silent_halls) = (&self.down, &self.silent_halls);
+        self.neighbours.retain(|id, _| !down.contains(id) && !silent_halls.contains(id));
     }
 
-    /// Takes in which chunks a daemon holds.
+    /// Handles a report of the chunks that a daemon holds. The daemon becomes a neighbour if there is room.
     pub fn take_summary(
         &mut self,
         now: Millis,
@@ -61,40 +62,40 @@
         if !have.is_well_formed(self.manifest.chunks()) {
             return;
         }
-        self.silent.learn(id, &place.hall);
-        self.note_heard(id);
-        self.meet(id, address, place);
+        self.silent_halls.set_hall(id, &place.hall);
+        self.record_message(id);
+        self.add_neighbour(id, address, place);
         if let Some(neighbour) = self.neighbours.get_mut(id) {
             if have.count() == 0 && self.have.count() > 0 {
-                // It has just begun, and what it was told before that is lost.
-                neighbour.forget_told();
+                // The neighbour has restarted and lost the summaries that it was sent.
+                neighbour.reset_summary();
             }
             neighbour.set_have(have.clone());
         }
-        self.note_offers(now, &have);
+        self.handle_offers(now, &have);
     }
 
-    /// Takes in which chunks a known neighbour holds.
+    /// Handles a report of the chunks that a known neighbour holds.
     pub fn take_holdings(&mut self, now: Millis, id: &InstanceId, have: Bitmap) {
         if !have.is_well_formed(self.manifest.chunks()) {
             return;
         }
-        self.note_heard(id);
+        self.record_message(id);
         if let Some(neighbour) = self.neighbours.get_mut(id) {
             neighbour.set_have(have.clone());
         }
-        self.note_offers(now, &have);
+        self.handle_offers(now, &have);
     }
 
-    /// Takes in how long a neighbour's upload queue is.
-    pub fn take_uploads(&mut self, now: Millis, id: &InstanceId, uploads: u32) {
+    /// Sets the length of a neighbour's upload queue.
+    pub fn set_upload_queue(&mut self, now: Millis, id: &InstanceId, uploads: u32) {
         if let Some(neighbour) = self.neighbours.get_mut(id) {
             neighbour.set_uploads(now, uploads);
         }
     }
 
-    /// Makes a participant a neighbour, or takes in where it listens now.
-    fn meet(&mut self, id: &InstanceId, address: SocketAddr, place: &Place) {
+    /// Adds a participant as a neighbour, or updates its address.
+    fn add_neighbour(&mut self, id: &InstanceId, address: SocketAddr, place: &Place) {
         if id == &self.me {
             return;
         }
@@ -110,9 +111,9 @@
         }
     }
 
-    /// A few participants near and a few anywhere. The choice depends on both names, so receivers
-    /// choose differently and the whole stays connected.
-    fn choose<'a>(&self, participants: &'a [Participant]) -> Vec<&'a Participant> {
+    /// Selects some participants in this hall and some elsewhere. The order depends on both ids, so that
+    /// receivers select different neighbours and the graph of neighbours stays connected.
+    fn select_neighbours<'a>(&self, participants: &'a [Participant]) -> Vec<&'a Participant> {
         let reach = self.options.reach;
         let mut others: Vec<&Participant> =
             participants.iter().filter(|it| it.up && it.id != self.me).collect();
@@ -125,7 +126,7 @@
     }
 }
 
-/// Zero in the same hall, one in the same region, two beyond.
+/// 0 in the same hall, 1 in the same region, 2 elsewhere.
 fn distance(a: &Place, b: &Place) -> u32 {
     if a == b {
         0
--- a/components/reducer/src/spread/version/types.rs
+++ b/components/reducer/src/spread/version/types.rs
@@ -1,34 +1,35 @@
-//! What a spread is told and what it wants done.
+//! Settings, inputs and effects of a spread.
 
 use std::net::SocketAddr;
 
 use fleet::{Bitmap, InstanceId, Millis, Place, VersionId};
 
-/// How chunks and sources are chosen. Only the first is meant for use; the others are the naive
-/// versions that it is measured against.
+/// How chunks and sources are selected. Only `Rarest` is meant for production; the others are baselines for
+/// comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Choice {
-    /// The least busy source, then the rarest of its chunks; the origin by its timetable.
+    /// The least busy source, then the rarest of its chunks; the origin according to its schedule.
     #[default]
     Rarest,
-    /// Everyone draws everything from the origin.
+    /// Every receiver downloads every chunk from the origin.
     OriginOnly,
-    /// A chunk and a source picked without looking at load or rarity; the origin by its timetable.
+    /// A random chunk from a random source, regardless of load and rarity; the origin according to its
+    /// schedule.
     Random,
 }
 
-/// With whom chunks are exchanged.
+/// Limits on the neighbours that chunks are exchanged with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reach {
-    /// Neighbours that a receiver chooses by itself.
+    /// Number of neighbours that a receiver selects itself.
     pub chosen: usize,
-    /// Of the chosen ones, how many stand in the same hall where there are as many.
+    /// Number of the selected ones that are in the same hall, if there are as many.
     pub near: usize,
-    /// Neighbours at most, with those that chose this receiver.
+    /// Most neighbours, including those that selected this receiver.
     pub most: usize,
-    /// How long a receiver waits for the one before it in rank in its hall before it draws a chunk from
-    /// another one, in milliseconds. A chunk then enters a hall about once, which is meant for links between
-    /// halls that are narrow or dear. `None`: everyone draws from everywhere.
+    /// How long a receiver waits for the one ranked before it in its hall before it downloads a chunk from
+    /// another hall, in milliseconds. A chunk then enters a hall about once, which suits links between halls
+    /// that are narrow or expensive. `None` allows all downloads from other halls.
     pub hall_patience_ms: Option<u64>,
 }
 
@@ -38,76 +39,76 @@
     }
 }
 
-/// Numbers that a spread works with.
+/// Settings of a spread.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpreadOptions {
-    /// Copies that may be drawn from the origin; each group of halls draws one.
+    /// Number of copies that may be downloaded from the origin; each group of halls downloads one.
     pub copies: u32,
-    /// The origin's link, in bytes a second.
+    /// Rate of the origin's link, in bytes per second.
     pub origin_bytes_per_s: u64,
-    /// This instance's link down, in bytes a second.
+    /// Rate of this instance's downlink, in bytes per second.
     pub download_bytes_per_s: u64,
-    /// What control messages may cost, in bytes a second.
+    /// Bandwidth for control messages, in bytes per second.
     pub control_bytes_per_s: u64,
-    /// How long a receiver waits for the one before it in rank at the origin, in milliseconds.
+    /// How long a receiver waits for the one ranked before it to download from the origin, in milliseconds.
     /// `None` derives it from the time that the whole version takes.
     pub patience_ms: Option<u64>,
-    /// With whom chunks are exchanged.
+    /// Limits on the neighbours.
     pub reach: Reach,
-    /// How chunks and sources are chosen.
+    /// How chunks and sources are selected.
     pub choice: Choice,
 }
 
-/// How much of the origin the spread of a version may use while it spreads another one too.
+/// The part of the origin that the spread of a version may use while another version is being distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OriginShare {
-    /// All of it.
+    /// The whole origin.
     Whole,
-    /// A few chunks, to find out whether it works.
+    /// A few chunks, to test whether the origin responds.
     Probes,
-    /// Nothing: its link carries the other version.
+    /// Nothing, because its link carries the other version.
     Nothing,
 }
 
-/// Where a chunk is drawn from.
+/// The source of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrawSource {
-    /// From the origin.
+    /// The origin.
     Origin,
-    /// From another daemon.
+    /// Another daemon.
     Peer(InstanceId, SocketAddr),
 }
 
-/// A chunk to draw.
+/// A download of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draw {
     /// The version.
     pub version: VersionId,
     /// The chunk.
     pub index: u32,
-    /// From where.
+    /// The source.
     pub source: DrawSource,
-    /// When to give up, in the reducer's time.
+    /// When the download fails, in the time of the reducer.
     pub deadline: Millis,
-    /// Whether the origin is asked although peers say that they hold the chunk.
+    /// Whether the origin is asked although peers report to hold the chunk.
     pub last_resort: bool,
 }
 
-/// What a spread wants done.
+/// An action for the driver of a spread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadEffect {
-    /// Draw a chunk.
+    /// Download a chunk.
     Draw(Draw),
-    /// Tell a neighbour which chunks are held.
+    /// Send a neighbour a summary of the chunks held.
     Summarize {
-        /// Whom.
+        /// The address of the neighbour.
         to: SocketAddr,
-        /// The chunks.
+        /// The chunks that are held.
         have: Bitmap,
     },
 }
 
-/// How far a spread has come.
+/// The state of a spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpreadPhase {
     /// Chunks are missing.
@@ -119,11 +120,11 @@
 /// A daemon that receives or holds the version.
 #[derive(Clone, Debug)]
 pub struct Participant {
-    /// Its name.
+    /// Its id.
     pub id: InstanceId,
-    /// Where it stands.
+    /// The region and hall.
     pub place: Place,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Whether it is up.
     pub up: bool,
