--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -11,7 +11,7 @@
 use crate::digest::RequestDigest;
 use crate::ledger::{CrashChange, CrashLedger, RequestStatus, SUCCESS_GRACE_MS};
 use crate::life::LifeDigest;
-use crate::told::CrashList;
+use crate::messages::CrashList;
 
 /// How long to wait for a heartbeat of the runner before a suspicion is confirmed as a crash. Longer than the
 /// interval between two reports to other halls.
@@ -195,9 +195,9 @@
         let mut news: Vec<CrashNews> =
             changes.map(|change| CrashNews::Changed { change, is_own: false }).collect();
         // A request that others report may have succeeded here recently.
-        for told in &list.0 {
-            if let Some(at) = self.successes.get(&told.digest).copied() {
-                let change = self.ledger.note_success(now, told.digest, at);
+        for report in &list.0 {
+            if let Some(at) = self.successes.get(&report.digest).copied() {
+                let change = self.ledger.note_success(now, report.digest, at);
                 news.extend(change.map(|change| CrashNews::Changed { change, is_own: true }));
             }
         }
--- a/components/quarantine/src/ledger.rs
+++ b/components/quarantine/src/ledger.rs
@@ -14,7 +14,7 @@
 use self::entry::{Entry, QUARANTINE_THRESHOLD};
 use crate::digest::RequestDigest;
 use crate::life::LifeDigest;
-use crate::told::{CrashList, Told, ToldRequest};
+use crate::messages::{CrashList, Told, ToldRequest};
 
 /// Most requests that are kept, a few hundred bytes each.
 const MAX_REQUESTS: usize = 1024;
@@ -82,8 +82,9 @@
 
     /// Merges a list from another process.
     pub fn take(&mut self, now: Millis, list: &CrashList) -> Vec<CrashChange> {
-        let take =
-            |told: &ToldRequest| self.change(now, told.digest, |entry| entry.merge(now, told));
+        let take = |report: &ToldRequest| {
+            self.change(now, report.digest, |entry| entry.merge(now, report))
+        };
         list.0.iter().filter_map(take).collect()
     }
 
@@ -214,7 +215,8 @@
             size += it.crashes.len().max(1);
             size <= MAX_CRASHES_PER_LIST
         });
-        let mut list: Vec<_> = entries.iter().map(|(digest, it)| it.told(now, **digest)).collect();
+        let mut list: Vec<_> =
+            entries.iter().map(|(digest, it)| it.to_message(now, **digest)).collect();
         if part == Told::Fresh {
             list.extend(self.older_quarantine(now, draw));
         }
@@ -229,6 +231,6 @@
         let older: Vec<_> = self.requests.iter().filter(|it| is_older(&it)).collect();
         let index = draw.checked_rem(older.len() as u64)?;
         let (digest, entry) = older.get(index as usize)?;
-        Some(entry.told(now, **digest))
+        Some(entry.to_message(now, **digest))
     }
 }
--- a/components/quarantine/src/ledger/entry.rs
+++ b/components/quarantine/src/ledger/entry.rs
@@ -6,7 +6,7 @@
 
 use crate::digest::RequestDigest;
 use crate::life::LifeDigest;
-use crate::told::{ToldCrash, ToldRequest};
+use crate::messages::{ToldCrash, ToldRequest};
 
 /// Number of runners that must crash under a request, with no success in between, to quarantine it. One or
 /// two may crash under a harmless request, because every request on a runner fails when another one crashes
@@ -68,12 +68,12 @@
 
     /// When the entry expires.
     pub(super) fn expires_at(&self) -> Millis {
-        let memory = match self.crashes.len() {
+        let ttl = match self.crashes.len() {
             0 => SUCCESS_TTL_MS,
             crashes if crashes < QUARANTINE_THRESHOLD => SUSPECT_TTL_MS,
             _ => QUARANTINE_TTL_MS,
         };
-        self.changed_at.max(self.asked_at).plus(memory)
+        self.changed_at.max(self.asked_at).plus(ttl)
     }
 
     /// Adds a crash. Returns whether the entry changed.
@@ -105,13 +105,13 @@
     }
 
     /// Merges what another process reports of the request. Returns whether the entry changed.
-    pub(super) fn merge(&mut self, now: Millis, told: &ToldRequest) -> bool {
-        let is_recorded = told.is_recorded && !self.is_recorded;
-        self.is_recorded |= told.is_recorded;
-        let success = told.success_age_ms.map(|age| now.minus(u64::from(age)));
+    pub(super) fn merge(&mut self, now: Millis, report: &ToldRequest) -> bool {
+        let is_recorded = report.is_recorded && !self.is_recorded;
+        self.is_recorded |= report.is_recorded;
+        let success = report.success_age_ms.map(|age| now.minus(u64::from(age)));
         let is_cleared = success.is_some_and(|at| self.clear(at));
         let mut is_changed = is_cleared || is_recorded;
-        for crash in &told.crashes {
+        for crash in &report.crashes {
             is_changed |= self.add(crash.life, now.minus(u64::from(crash.age_ms)));
         }
         is_changed
@@ -120,12 +120,12 @@
     /// When the request may be probed, if it may.
     pub(super) fn probe_at(&self) -> Option<Millis> {
         let last = self.crashes.values().max()?;
-        let pause = FIRST_PROBE_DELAY_MS << (2 * (self.crashes.len() - QUARANTINE_THRESHOLD));
-        (self.crashes.len() <= MAX_CRASHES_FOR_PROBE).then(|| last.plus(pause))
+        let delay = FIRST_PROBE_DELAY_MS << (2 * (self.crashes.len() - QUARANTINE_THRESHOLD));
+        (self.crashes.len() <= MAX_CRASHES_FOR_PROBE).then(|| last.plus(delay))
     }
 
     /// The entry in the form that is sent to other processes.
-    pub(super) fn told(&self, now: Millis, digest: RequestDigest) -> ToldRequest {
+    pub(super) fn to_message(&self, now: Millis, digest: RequestDigest) -> ToldRequest {
         let age = |at: Millis| u32::try_from(now.since(at).0).unwrap_or(u32::MAX);
         let crash =
             |(life, at): (&LifeDigest, &Millis)| ToldCrash { life: *life, age_ms: age(*at) };
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -8,12 +8,12 @@
 mod digest;
 mod ledger;
 mod life;
+mod messages;
 mod record;
-mod told;
 
 pub use crashes::{Admission, CrashNews, Crashes, Sign};
 pub use digest::RequestDigest;
 pub use ledger::{CrashChange, CrashLedger, RequestStatus};
 pub use life::LifeDigest;
+pub use messages::{CrashList, Told, ToldCrash, ToldRequest};
 pub use record::{QuarantineAnswer, QuarantineCall, QuarantineRecord};
-pub use told::{CrashList, Told, ToldCrash, ToldRequest};
--- a/components/quarantine/src/record.rs
+++ b/components/quarantine/src/record.rs
@@ -11,7 +11,7 @@
 use crate::digest::RequestDigest;
 use crate::ledger::CrashChange;
 use crate::life::LifeDigest;
-use crate::told::CrashList;
+use crate::messages::CrashList;
 
 /// Delay before a gateway writes the row of a request that another gateway quarantined: time for two calls by
 /// that gateway. The other gateways are spread at random over a further period of the same length. The row is
@@ -164,11 +164,11 @@
                 None
             }
             (QuarantineCall::Write(digest, _), QuarantineAnswer::Done) => {
-                self.settle(*digest, &[TargetState::Present, TargetState::PresentAgain]);
+                self.complete(*digest, &[TargetState::Present, TargetState::PresentAgain]);
                 Some(*digest)
             }
             (QuarantineCall::Remove(digest), QuarantineAnswer::Done) => {
-                self.settle(*digest, &[TargetState::Absent]);
+                self.complete(*digest, &[TargetState::Absent]);
                 self.removed.insert(*digest, now);
                 None
             }
@@ -180,7 +180,7 @@
     }
 
     /// Unschedules a row that is in its target state, unless the target has changed since.
-    fn settle(&mut self, digest: RequestDigest, done: &[TargetState]) {
+    fn complete(&mut self, digest: RequestDigest, done: &[TargetState]) {
         self.failures = 0;
         if self.rows.get(&digest).is_some_and(|it| done.contains(&it.0)) {
             self.rows.remove(&digest);
--- a/components/quarantine/tests/ledger.rs
+++ b/components/quarantine/tests/ledger.rs
@@ -7,7 +7,7 @@
 use quarantine::{CrashChange, CrashLedger, LifeDigest, RequestDigest, RequestStatus, Told};
 
 const REQUEST: RequestDigest = RequestDigest(7);
-const SECOND: u64 = 1000;
+const SECOND_MS: u64 = 1000;
 
 fn life(number: u8) -> LifeDigest {
     LifeDigest::of(&format!("i-{number}").as_str().into(), None)
@@ -25,7 +25,7 @@
 fn crashed(runners: u8) -> CrashLedger {
     let mut ledger = CrashLedger::default();
     (0..runners).for_each(|it| {
-        crash(&mut ledger, u64::from(it) * SECOND, it);
+        crash(&mut ledger, u64::from(it) * SECOND_MS, it);
     });
     ledger
 }
@@ -85,9 +85,9 @@
     other.take(at(2500), &ledger.list(at(2500), Told::FreshSuspects, 0));
     assert!(is_quarantined(status(&mut other, 2500)));
     ledger.note_success(at(4000), REQUEST, at(4000));
-    let told = ledger.list(at(5000), Told::FreshSuspects, 0);
+    let report = ledger.list(at(5000), Told::FreshSuspects, 0);
     let change = CrashChange::Cleared { digest: REQUEST, was_quarantined: true };
-    assert_eq!(other.take(at(5000), &told), [change]);
+    assert_eq!(other.take(at(5000), &report), [change]);
 }
 
 #[test]
@@ -129,7 +129,7 @@
 #[test]
 fn quarantine_ends_an_hour_after_the_last_request() {
     let mut ledger = crashed(3);
-    let hour = 3600 * SECOND;
+    let hour = 3600 * SECOND_MS;
     assert!(is_quarantined(status(&mut ledger, hour)));
     ledger.forget_old(at(2 * hour - 1));
     assert!(is_quarantined(status(&mut ledger, 2 * hour - 1)));
@@ -144,9 +144,9 @@
         ledger.note_crash(at(4000), RequestDigest(number), life(9), at(4000));
     }
     assert_eq!(ledger.count(), (1024, 1));
-    let told = ledger.list(at(4500), Told::Fresh, 0);
-    assert_eq!(told.0[0].digest, REQUEST);
-    let crashes: usize = told.0.iter().map(|it| it.crashes.len()).sum();
+    let report = ledger.list(at(4500), Told::Fresh, 0);
+    assert_eq!(report.0[0].digest, REQUEST);
+    let crashes: usize = report.0.iter().map(|it| it.crashes.len()).sum();
     assert_eq!(crashes, 32);
 }
 
@@ -160,9 +160,9 @@
     }
     let mut other = CrashLedger::default();
     for draw in 0..3 {
-        let told = ledger.list(at(60_000), Told::Fresh, draw);
-        assert_eq!(told.0.len(), 1);
-        other.take(at(60_000), &told);
+        let report = ledger.list(at(60_000), Told::Fresh, draw);
+        assert_eq!(report.0.len(), 1);
+        other.take(at(60_000), &report);
     }
     assert_eq!(other.count(), (3, 3));
 }
@@ -202,15 +202,15 @@
                 Observation::Success => {}
             }
             for (from, to, _) in exchanges.iter().filter(|it| it.2 == step) {
-                let told = ledgers[*from].list(at(now), Told::Fresh, 0);
-                ledgers[*to].take(at(now), &told);
+                let report = ledgers[*from].list(at(now), Told::Fresh, 0);
+                ledgers[*to].take(at(now), &report);
             }
         }
         let end = observations.len() as u64 * 100;
         for _ in 0..2 {
             for from in 0..4 {
-                let told = ledgers[from].list(at(end), Told::Fresh, 0);
-                ledgers.iter_mut().for_each(|it| { it.take(at(end), &told); });
+                let report = ledgers[from].list(at(end), Told::Fresh, 0);
+                ledgers.iter_mut().for_each(|it| { it.take(at(end), &report); });
             }
         }
         let crashes: BTreeSet<usize> = ledgers.iter().map(|it| it.crashes(REQUEST)).collect();
--- a/components/reducer/src/admission/tests.rs
+++ b/components/reducer/src/admission/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `admission`.
-
 use super::*;
 use fleet::Incarnation;
 
--- a/components/reducer/src/agent/engine.rs
+++ b/components/reducer/src/agent/engine.rs
@@ -91,7 +91,7 @@
             self.manifest_retry_at.insert(version, now.plus(MEMORY_RECHECK_MS));
             return vec![AgentEffect::CountRefusal(Code::TooLarge)];
         }
-        // The result of the read replaces this entry; the distant time prevents a second read until then.
+        // The result of the read removes or replaces this entry; the distant time prevents a second read until then.
         self.manifest_retry_at.insert(version, Millis(u64::MAX));
         let holders =
             self.control.members.others().filter(|it| {
--- a/components/reducer/src/agent/tests.rs
+++ b/components/reducer/src/agent/tests.rs
@@ -22,7 +22,7 @@
 
 const CHUNK_BYTES: u32 = 4096;
 /// Most steps until the required version is live after the last fault.
-const MAX_SETTLE_STEPS: usize = 3000;
+const MAX_RECOVERY_STEPS: usize = 3000;
 
 /// A step of the test.
 #[derive(Clone, Debug)]
@@ -344,7 +344,7 @@
 
     /// Runs without faults until the required version is live.
     fn run_until_live(&mut self) {
-        for _ in 0..MAX_SETTLE_STEPS {
+        for _ in 0..MAX_RECOVERY_STEPS {
             if self.loaded == self.required() && self.orders.is_empty() {
                 return;
             }
--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -223,8 +223,8 @@
         }
         if self.uploads >= UPLOAD_QUEUE_LIMIT {
             let chunk = u64::from(spread.manifest.chunk_bytes) * 1000;
-            let wait = chunk / self.options.upload_bytes_per_s.max(1);
-            return vec![refuse_upload(upload, Code::PeerBusy, wait, load)];
+            let retry_after_ms = chunk / self.options.upload_bytes_per_s.max(1);
+            return vec![refuse_upload(upload, Code::PeerBusy, retry_after_ms, load)];
         }
         self.uploads += 1;
         spread.note_told(now, from);
--- a/components/reducer/src/changes.rs
+++ b/components/reducer/src/changes.rs
@@ -8,7 +8,7 @@
 use fleet::{Configuration, Intent, Millis, Plan, Release, Revision};
 
 /// Most reads and writes of the head row for one confirmation before its outcome is reported as unknown.
-const MAX_SETTLE_ATTEMPTS: u32 = 5;
+const MAX_CONFIRM_ATTEMPTS: u32 = 5;
 
 /// The head row: the configuration, and the tag that the next write must name.
 pub type Head = Option<(Box<Configuration>, String)>;
@@ -178,7 +178,7 @@
                 vec![ChangeEffect::MakePlan { call, intent, release, base }]
             }
             (Some(Pending::Confirming { plan, written, attempts }), Ok(head)) => {
-                self.settle(now, call, plan, written, attempts, head)
+                self.resolve_confirmation(now, call, plan, written, attempts, head)
             }
             (Some(Pending::Confirming { plan, written: Some(written), attempts }), Err(_)) => {
                 // The write may have taken effect, so the reply must not say that nothing was written.
@@ -199,7 +199,7 @@
 
     /// Compares the head row with the plan, which may be in force already, still to be written, or based on
     /// an outdated revision.
-    fn settle(
+    fn resolve_confirmation(
         &mut self,
         now: Millis,
         call: u64,
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Continues a confirmation, unless it has reached `MAX_SETTLE_ATTEMPTS`.
+    /// Continues a confirmation, unless it has reached `MAX_CONFIRM_ATTEMPTS`.
     fn retry(
         &mut self,
         call: u64,
@@ -265,7 +265,7 @@
         attempts: u32,
         effect: ChangeEffect,
     ) -> Vec<ChangeEffect> {
-        if attempts >= MAX_SETTLE_ATTEMPTS {
+        if attempts >= MAX_CONFIRM_ATTEMPTS {
             let error = Error::new(Code::OutcomeUnknown, "the table's answers were lost");
             return self.reply(call, Outcome::Failed(error));
         }
--- a/components/reducer/src/entry/plans.rs
+++ b/components/reducer/src/entry/plans.rs
@@ -80,15 +80,15 @@
 
     /// For each instance of a plain service, the number of other instances of that service that take work.
     fn services(&self, base: &Configuration) -> BTreeMap<InstanceId, usize> {
-        let open = |it: &&crate::Member| {
+        let takes_work = |it: &&crate::Member| {
             let id = &it.record.id;
             it.is_up() && !base.leaving.contains(id) && !self.control.is_leaving(id)
         };
         let is_service = |it: &&crate::Member| matches!(it.record.process, Process::Service(_));
         let all: Vec<&crate::Member> = self.control.members.others().filter(is_service).collect();
-        let others = |one: &crate::Member| {
-            let same = all.iter().filter(|it| it.record.process == one.record.process);
-            same.filter(|it| it.record.id != one.record.id && open(it)).count()
+        let others = |member: &crate::Member| {
+            let same = all.iter().filter(|it| it.record.process == member.record.process);
+            same.filter(|it| it.record.id != member.record.id && takes_work(it)).count()
         };
         all.iter().map(|it| (it.record.id.clone(), others(it))).collect()
     }
--- a/components/reducer/src/members/mod.rs
+++ b/components/reducer/src/members/mod.rs
@@ -240,11 +240,11 @@
     ) -> Vec<Outgoing> {
         let targets = self.up_addresses();
         let targets: Vec<SocketAddr> = seed.sample(&targets, count).into_iter().copied().collect();
-        let mut ask = |to| {
+        let mut ping = |to| {
             let nonce = seed.below(u64::MAX);
             (to, self.build(DatagramBody::Ping { nonce }, revision))
         };
-        targets.into_iter().map(&mut ask).collect()
+        targets.into_iter().map(&mut ping).collect()
     }
 
     /// Builds a datagram with as many changed records as fit.
@@ -293,8 +293,8 @@
             member.since = now;
             return;
         }
-        let same_run = member.record.incarnation == incarnation;
-        if same_run && member.record.state == MemberState::Suspect {
+        let same_incarnation = member.record.incarnation == incarnation;
+        if same_incarnation && member.record.state == MemberState::Suspect {
             self.changes += 1;
             member.record.state = MemberState::Alive;
             member.since = now;
--- a/components/reducer/src/members/tests.rs
+++ b/components/reducer/src/members/tests.rs
@@ -12,7 +12,7 @@
 /// Time between two steps.
 const STEP_MS: u64 = 100;
 /// Most steps until the daemons agree after the last fault.
-const MAX_SETTLE_STEPS: usize = 400;
+const MAX_RECOVERY_STEPS: usize = 400;
 
 /// The fault of one step.
 #[derive(Clone, Debug)]
@@ -211,7 +211,7 @@
         while !world.agree() {
             world.step(&Fault::None);
             steps += 1;
-            prop_assert!(steps < MAX_SETTLE_STEPS, "no agreement after {} steps", steps);
+            prop_assert!(steps < MAX_RECOVERY_STEPS, "no agreement after {} steps", steps);
         }
     }
 }
--- a/components/reducer/src/planner/deployed.rs
+++ b/components/reducer/src/planner/deployed.rs
@@ -75,13 +75,14 @@
     let Some(old) = old else {
         return Vec::new();
     };
-    let gone = old.placements.keys().filter(|id| !kept.contains_key(*id));
-    gone.map(|id| Step::Withdraw {
-        instance: id.clone(),
-        model: old.model.clone(),
-        reason: "no longer among the replicas".to_owned(),
-    })
-    .collect()
+    let withdrawn = old.placements.keys().filter(|id| !kept.contains_key(*id));
+    withdrawn
+        .map(|id| Step::Withdraw {
+            instance: id.clone(),
+            model: old.model.clone(),
+            reason: "no longer among the replicas".to_owned(),
+        })
+        .collect()
 }
 
 /// Describes a deployment that a plan overrides.
--- a/components/reducer/src/retry/tests.rs
+++ b/components/reducer/src/retry/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `retry`.
-
 use super::*;
 
 #[test]
--- a/components/reducer/src/spread/gate.rs
+++ b/components/reducer/src/spread/gate.rs
@@ -143,7 +143,7 @@
         let own_hash = hashes(&self.me);
         let mut ranks = vec![0; self.chunks as usize];
         let mut lowest: Vec<Option<(u64, &InstanceId, usize)>> = vec![None; self.chunks as usize];
-        for (place, other) in self.others.iter().enumerate() {
+        for (index, other) in self.others.iter().enumerate() {
             if self.down.contains(other) {
                 continue;
             }
@@ -151,8 +151,8 @@
                 let before = (hash, other) < (*own_hash, &self.me);
                 ranks[chunk] += u32::from(before);
                 let entry = &mut lowest[chunk];
-                if entry.is_none_or(|it| (hash, other, place) < it) {
-                    *entry = Some((hash, other, place));
+                if entry.is_none_or(|it| (hash, other, index) < it) {
+                    *entry = Some((hash, other, index));
                 }
             }
         }
@@ -261,8 +261,8 @@
 /// milliseconds.
 fn interval_ms(chunk_ms: f64, chunks: u32, patience_ms: u64) -> f64 {
     let max_queueing_ms = patience_ms as f64 * MAX_QUEUEING_SHARE;
-    let lead = max_queueing_ms / f64::from(chunks.max(1));
-    (chunk_ms - lead).max(chunk_ms * MIN_INTERVAL_SHARE)
+    let reduction_ms = max_queueing_ms / f64::from(chunks.max(1));
+    (chunk_ms - reduction_ms).max(chunk_ms * MIN_INTERVAL_SHARE)
 }
 
 #[cfg(test)]
--- a/components/reducer/src/spread/gate/tests.rs
+++ b/components/reducer/src/spread/gate/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `gate`.
-
 use super::*;
 
 fn receivers(count: usize) -> Vec<(InstanceId, Hall)> {
--- a/components/reducer/src/spread/tests.rs
+++ b/components/reducer/src/spread/tests.rs
@@ -16,7 +16,7 @@
 /// Most requests that are queued at a peer.
 const MAX_QUEUED: usize = 8;
 /// Most chunks in flight to a receiver.
-const WINDOW: usize = 8;
+const MAX_IN_FLIGHT: usize = 8;
 /// Duration of a round.
 const ROUND_MS: u64 = 100;
 const CHUNK_BYTES: u32 = 4096;
@@ -114,10 +114,10 @@
     fn run_round(&mut self) {
         let now = self.now();
         for number in 0..self.spreads.len() {
-            let drawn = self.spreads[number].draw(now, WINDOW);
+            let drawn = self.spreads[number].draw(now, MAX_IN_FLIGHT);
             let summaries = self.spreads[number].summarize(now);
             for effect in drawn.into_iter().chain(summaries) {
-                self.carry_out(number, effect);
+                self.perform(number, effect);
             }
         }
         let mut received = vec![0; self.spreads.len()];
@@ -126,7 +126,7 @@
         }
     }
 
-    fn carry_out(&mut self, receiver: usize, effect: SpreadEffect) {
+    fn perform(&mut self, receiver: usize, effect: SpreadEffect) {
         let now = self.now();
         match effect {
             SpreadEffect::Summarize { to, have } => {
--- a/components/reducer/src/spread/version/choice.rs
+++ b/components/reducer/src/spread/version/choice.rs
@@ -73,8 +73,8 @@
 
     /// The baseline `Choice::Random`: any missing chunk from any neighbour that holds it.
     fn draw_at_random(&mut self, now: Millis) -> Option<Draw> {
-        let pseudorandom = |part: u32| {
-            shared_hash(&[self.me.0.as_bytes(), &now.0.to_le_bytes(), &part.to_le_bytes()])
+        let pseudorandom = |salt: u32| {
+            shared_hash(&[self.me.0.as_bytes(), &now.0.to_le_bytes(), &salt.to_le_bytes()])
         };
         let wanted: Vec<u32> =
             self.have.missing().filter(|index| !self.in_flight.contains_key(index)).collect();
--- a/components/reducer/src/spread/version/mod.rs
+++ b/components/reducer/src/spread/version/mod.rs
@@ -73,7 +73,7 @@
     addresses: BTreeMap<InstanceId, SocketAddr>,
     /// The addresses that are informed at once of a chunk that has just arrived.
     announce_to: BTreeSet<SocketAddr>,
-    summary_budget: f64,
+    summary_budget_bytes: f64,
     summary_budget_at: Millis,
 }
 
@@ -124,7 +124,7 @@
             silent_halls: SilentHalls::default(),
             addresses: BTreeMap::new(),
             announce_to: BTreeSet::new(),
-            summary_budget: MAX_SUMMARY_BUDGET_BYTES,
+            summary_budget_bytes: MAX_SUMMARY_BUDGET_BYTES,
             summary_budget_at: now,
             manifest,
         }
--- a/components/reducer/src/spread/version/silence.rs
+++ b/components/reducer/src/spread/version/silence.rs
@@ -157,10 +157,10 @@
     }
 
     fn fail_late_downloads(&mut self, now: Millis) {
-        let patience = self.answer_timeout_ms();
+        let timeout_ms = self.answer_timeout_ms();
         let late = self.in_flight.iter().filter(|(_, it)| {
             let is_far = matches!(&it.source, DrawSource::Peer(id, _) if !self.is_in_my_hall(id));
-            is_far && now.since(it.sent).0 > patience
+            is_far && now.since(it.sent).0 > timeout_ms
         });
         let late: Vec<(u32, DrawSource)> =
             late.map(|(index, it)| (*index, it.source.clone())).collect();
--- a/components/reducer/src/spread/version/summaries.rs
+++ b/components/reducer/src/spread/version/summaries.rs
@@ -55,10 +55,10 @@
             self.neighbours.values_mut().filter(|it| is_due(it)).collect();
         due.sort_by_key(|it| it.summarized_count());
         for neighbour in due {
-            if self.summary_budget < cost.min(MAX_SUMMARY_BUDGET_BYTES) {
+            if self.summary_budget_bytes < cost.min(MAX_SUMMARY_BUDGET_BYTES) {
                 break;
             }
-            self.summary_budget -= cost;
+            self.summary_budget_bytes -= cost;
             neighbour.record_summary(now, held);
             let have = self.have.clone();
             effects.push(SpreadEffect::Summarize { to: neighbour.address, have });
@@ -70,7 +70,8 @@
     /// instance downloads few chunks from other halls or the origin.
     fn announcements(&mut self, now: Millis, cost: f64) -> Vec<SpreadEffect> {
         let targets = std::mem::take(&mut self.announce_to);
-        self.summary_budget = (self.summary_budget - cost * targets.len() as f64).max(0.0);
+        self.summary_budget_bytes =
+            (self.summary_budget_bytes - cost * targets.len() as f64).max(0.0);
         let held = self.have.count();
         let known = self.neighbours.values_mut().filter(|it| targets.contains(&it.address));
         known.for_each(|it| it.record_summary(now, held));
@@ -89,7 +90,8 @@
     fn refill_summaries(&mut self, now: Millis) {
         let rate = SUMMARY_SHARE * self.options.control_bytes_per_s as f64;
         let gained = now.since(self.summary_budget_at).0 as f64 / 1000.0 * rate;
-        self.summary_budget = (self.summary_budget + gained).min(MAX_SUMMARY_BUDGET_BYTES);
+        self.summary_budget_bytes =
+            (self.summary_budget_bytes + gained).min(MAX_SUMMARY_BUDGET_BYTES);
         self.summary_budget_at = now;
     }
 }
