--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -1,7 +1,7 @@
 //! Detects crashes of runners and attributes them to requests.
 //!
 //! An attempt that fails midway makes both the request and the runner suspect. The suspicion is confirmed as
-//! a crash if no heartbeat of the runner is received afterwards. `CrashLedger` describes how gateways combine
+//! a crash if no report of the runner is received afterwards. `CrashLedger` describes how gateways combine
 //! their observations.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,12 +13,12 @@
 use crate::life::LifeDigest;
 use crate::messages::CrashList;
 
-/// How long to wait for a heartbeat of the runner before a suspicion is confirmed as a crash. Longer than the
+/// How long to wait for a report of the runner before a suspicion is confirmed as a crash. Longer than the
 /// interval between two reports to other halls.
 const CRASH_CONFIRM_DELAY_MS: u64 = 600;
-/// Transit time of a heartbeat: one received within this time after the attempt failed may have been sent
+/// Transit time of a report: one received within this time after the attempt failed may have been sent
 /// before the runner terminated.
-const HEARTBEAT_TRANSIT_MS: u64 = 60;
+const REPORT_TRANSIT_MS: u64 = 60;
 /// Shortest retry delay returned to callers while a probe is due at another gateway.
 const PROBE_ELSEWHERE_RETRY_MS: u64 = 1000;
 /// Retry delay returned to callers when no further probe is planned.
@@ -31,7 +31,7 @@
 /// Whether a runner is still running, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// The runner is listed; its last heartbeat was received at this time.
+    /// The runner is listed; its last report was received at this time.
     Heard(Millis),
     /// The runner is no longer listed, or has restarted.
     Over,
@@ -140,7 +140,7 @@
         for suspicion in std::mem::take(&mut self.pending) {
             let is_due = now.since(suspicion.at).0 >= CRASH_CONFIRM_DELAY_MS;
             match sign(&suspicion.runner, suspicion.life) {
-                Sign::Heard(at) if at >= suspicion.at.plus(HEARTBEAT_TRANSIT_MS) => {}
+                Sign::Heard(at) if at >= suspicion.at.plus(REPORT_TRANSIT_MS) => {}
                 Sign::Heard(_) if !is_due => self.pending.push(suspicion),
                 Sign::Heard(_) | Sign::Over => news.extend(self.confirm(now, suspicion)),
             }
--- a/components/reducer/src/entry/crashes.rs
+++ b/components/reducer/src/entry/crashes.rs
@@ -2,7 +2,7 @@
 //! to the other entries.
 //!
 //! An agent runs beside its upstream and outlives it, so an answer that the agent reports as incomplete
-//! counts as a crash without waiting for a missing heartbeat.
+//! counts as a crash without waiting for missing reports.
 
 use errors::Code;
 use fleet::{InstanceId, Millis, Process, RequestId};
