--- a/components/reducer/src/members/mod.rs
+++ b/components/reducer/src/members/mod.rs
@@ -219,7 +219,7 @@
         outgoing
     }
 
-    /// Sends a datagram to a few random members at once, outside the gossip rounds.
+    /// Sends a datagram with changed records to `fanout` random members.
     pub fn send_to_random_members(
         &mut self,
         revision: Revision,
