--- /dev/null
+++ b/components/quarantine/src/messages.rs
@@ -0,0 +1,45 @@
+//! The messages in which processes report crashes to each other.
+
+use serde::{Deserialize, Serialize};
+
+use crate::digest::RequestDigest;
+use crate::life::LifeDigest;
+
+/// A crash.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ToldCrash {
+    /// The runner incarnation that crashed.
+    pub life: LifeDigest,
+    /// How long ago the crash was, in milliseconds.
+    pub age_ms: u32,
+}
+
+/// What one process knows of a request.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ToldRequest {
+    /// The request.
+    pub digest: RequestDigest,
+    /// The crashes under the request.
+    pub crashes: Vec<ToldCrash>,
+    /// How long ago the request last succeeded, in milliseconds, if that success is still kept.
+    pub success_age_ms: Option<u32>,
+    /// Whether the platform's store contains the quarantine of the request.
+    pub is_recorded: bool,
+}
+
+/// A part of a ledger, in the form that is sent to other processes.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct CrashList(pub Vec<ToldRequest>);
+
+/// Which part of a ledger is sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Told {
+    /// The entries that changed recently.
+    Fresh,
+    /// The recently changed entries of requests that at least two runners crashed under, whose next crash may
+    /// be the third, and of requests that succeeded.
+    FreshSuspects,
+    /// The entries of all requests that at least two runners crashed under, and all that changed recently.
+    Suspects,
+}
