--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of one runner.
+//! The state of one runner as a gateway knows it.
 
 use std::net::SocketAddr;
 
@@ -11,28 +11,29 @@
 
 use crate::notices::{Notice, Notices};
 
-/// The part of a new measurement in a smoothed one.
+/// Weight of a new measurement in the smoothed value.
 const SMOOTHING: f64 = 0.3;
-/// The time after which what was seen of a runner counts for a third, in milliseconds.
+/// Decay time of the measured time to first byte, in milliseconds: after it a measurement counts
+/// for about a third (1/e).
 const FIRST_MEMORY: f64 = 4000.0;
 /// How long a load report counts, in milliseconds.
 const REPORT_LIFE: u64 = 1000;
-/// The shortest time that a runner is left alone after a failure, in milliseconds.
+/// The shortest pause after a failure of a runner, in milliseconds.
 const MIN_SUSPICION: u64 = 300;
-/// The longest such time, in milliseconds.
+/// The longest pause after a failure of a runner, in milliseconds.
 const MAX_SUSPICION: u64 = 4000;
-/// How long it takes until the list tells of a runner that has turned cold, in milliseconds: the time
-/// between two writes of its entry and the one between two readings of the list.
+/// Delay until the list shows that a runner has become cold, in milliseconds: the time between two
+/// writes of its entry plus the time between two reads of the list.
 const ENTRY_LAG: u64 = 2000;
-/// How often the time is doubled at most.
+/// Maximum number of doublings of the pause.
 const MOST_DOUBLINGS: u32 = 4;
 
-/// Whether a runner takes new work.
+/// Whether a runner accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunnerState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is leaving.
+    /// It is draining.
     Draining,
 }
 
@@ -43,136 +44,143 @@
     pub model: ModelName,
     /// The version.
     pub version: u64,
-    /// Whether every layer is there, all of this version.
+    /// Whether it holds every layer of this version.
     pub whole: bool,
 }
 
-/// One life of a runner, as this process tells it from others.
+/// One life of a runner, that is one lifetime of its process, as this gateway distinguishes it from
+/// others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunnerLife {
-    /// What all processes know it by.
+    /// Digest by which all processes know the life.
     pub digest: LifeDigest,
-    /// Restarts that were seen of a runner that does not tell when it started.
+    /// Number of observed restarts of a runner that does not report its start time.
     pub restarts: u32,
 }
 
-/// What the list of runners says of one.
+/// The entry of a runner in the runner list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerRecord {
-    /// Its name. It may start again under the same one.
+    /// Name of the runner. It may restart under the same name.
     pub id: InstanceId,
     /// The life that the entry is from.
     pub life: LifeWord,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data hall that it is in.
     pub hall: Hall,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: RunnerState,
-    /// The weights that it holds, by the list. `None` for a plain service.
+    /// The weights that it holds, according to the list. `None` for a plain service.
     pub weights: Option<WeightsHeld>,
-    /// How much longer it is cold, in milliseconds from when the entry was written.
+    /// How much longer it is cold, in milliseconds from the time when the entry was written.
     pub cold_ms: u64,
 }
 
 impl RunnerRecord {
-    /// The version of which the runner holds every layer, by the list.
+    /// The version of which the runner holds every layer, according to the list.
     pub fn whole_version(&self) -> Option<u64> {
         self.weights.as_ref().filter(|it| it.whole).map(|it| it.version)
     }
 }
 
-/// What the sidecar beside a runner says of it.
+/// The load report that the sidecar of a runner sends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunnerLoad {
     /// The life that the report is from.
     pub life: LifeWord,
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that wait at the runner.
     pub waiting: u32,
-    /// Whether it is taking other weights and begins nothing new.
+    /// Whether it is loading other weights and starts no new requests.
     pub busy: bool,
     /// How many times slower than usual it is.
     pub pace: f64,
-    /// How long it still reads the prompts that it was given, in milliseconds.
+    /// How long it will take to process the prompts that it has received, in milliseconds.
     pub reading_ms: u32,
     /// The weights that it holds.
     pub weights: Option<WeightsHeld>,
-    /// How long it takes until the runner takes requests, in milliseconds: zero where it does, `None` where
-    /// nobody can tell.
+    /// Time until the runner accepts requests, in milliseconds: zero if it does now, `None` if
+    /// unknown.
     pub serves_in_ms: Option<u32>,
-    /// The version that its weights are to be moved to, while that matters for older ones.
+    /// The version that its weights are to be updated to, while that matters for requests on older
+    /// versions.
     pub named: Option<NamedVersion>,
 }
 
-/// A report with the moment it arrived.
+/// A load report with the time of its arrival.
 #[derive(Clone, Debug)]
 struct Reported {
     load: RunnerLoad,
     at: Millis,
-    /// Own requests there at that moment.
+    /// Requests of this gateway at the runner at that time.
     own: u32,
 }
 
 /// A runner.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// What the list says.
+    /// Its entry in the list.
     pub record: RunnerRecord,
-    /// Its life.
+    /// Its current life.
     pub life: RunnerLife,
-    /// When that life began, by any word of it.
+    /// Start time of that life, from any report about it.
     pub born: Option<u64>,
-    /// The birth of the life before, where the sidecar told of this one's beginning and not of its birth.
+    /// Start time of the previous life, if the sidecar reported the start of this life without its
+    /// start time.
     pub past_birth: Option<u64>,
-    /// The last word of the list, and of the sidecar: each counts orders at other moments.
+    /// The last life reported by the list, and by the sidecar. They are kept apart because each
+    /// counts orders at different times.
     listed: LifeWord,
     told: Option<LifeWord>,
-    /// Own requests there.
+    /// Requests of this gateway at the runner.
     pub in_flight: u32,
-    /// Those of them that runners crashed under before.
+    /// Those of them that crashed runners before.
     pub suspects: u32,
-    /// When it, or the sidecar beside it, last showed that it lives.
+    /// When the runner or its sidecar last showed that it is alive.
     pub heard_at: Millis,
     reported: Option<Reported>,
-    /// How long answers took to begin, smoothed, in milliseconds, and when that was last seen.
+    /// Smoothed time to first byte, in milliseconds, and when it was last measured.
     first_ms: (f64, Millis),
-    /// Until when it is left alone, for whatever reason, and until when after a failure.
+    /// End of the current pause for any reason, and of the last pause after a failure.
     suspect_until: Millis,
     failed_until: Millis,
     failures: u32,
-    /// Until when it is cold by the list, and until when it may be without the list telling it yet.
+    /// Until when the runner is cold according to the list, and until when it may be cold without
+    /// the list showing it yet.
     cold_until: Millis,
     may_be_cold_until: Millis,
-    /// Since when it may be.
+    /// Since when it may be cold.
     doubted_at: Millis,
     /// Its weight for this gateway among the sidecars that may be followed.
     pub weight: u64,
     /// Whether this gateway follows its sidecar.
     pub is_followed: bool,
-    /// What it has said in its answers.
+    /// Information that it has sent in its responses.
     pub notices: Notices,
-    /// Whether its sidecar keeps its places to the rate that it names, by the last answer to a question.
+    /// Whether its sidecar enforces its rate limit for reservations, according to the last answer
+    /// to a query.
     pub is_limit_kept: bool,
-    /// Until when it takes nothing by its rate, as its sidecar told.
+    /// Until when it accepts nothing under its rate limit, according to its sidecar.
     no_turn_until: Millis,
-    /// The incarnation was refused there; nothing is sent until the list changes.
+    /// The runner rejected a request as misdirected; nothing is sent until its list entry changes.
     pub misdirected: bool,
 }
 
 impl Runner {
-    /// A life of a runner of which nothing but an entry is known. `restarts` counts those of a runner that does not tell
-    /// when it started.
+    /// Creates a life of a runner from its list entry. `restarts` is the number of restarts of a
+    /// runner that does not report its start time.
     pub fn new(now: Millis, record: RunnerRecord, restarts: u32) -> Self {
         Self {
             life: RunnerLife {
                 digest: LifeDigest::of(&record.id, record.life.born),
-                // Its birth tells its lives apart, also where the entry was gone for a while.
+                // The start time distinguishes its lives, also if the entry was missing for a
+                // while.
                 restarts: if record.life.born.is_some() { 0 } else { restarts },
             },
             born: record.life.born,
@@ -200,7 +208,7 @@
         }
     }
 
-    /// How a word of the list, or of a sidecar, stands to the life that is known.
+    /// Compares the life reported by the list or a sidecar with the known one.
     pub fn compare(&self, word: LifeWord, is_listed: bool) -> LifeChange {
         let last = if is_listed { Some(self.listed) } else { self.told };
         let sequence = last.map_or(word.sequence, |it| it.sequence);
@@ -209,7 +217,8 @@
             return LifeChange::Earlier;
         }
         if !is_listed && word.born.is_none() && !self.has_report_told_birth() {
-            // Reports of this runner tell no birth, whatever its entry does: its orders tell their lives apart.
+            // Reports of this runner have no start time, even if its entry has one: the order count
+            // distinguishes its lives.
             return LifeWord { born: None, ..known }.compare(word);
         }
         known.compare(word)
@@ -219,7 +228,7 @@
         self.told.is_some_and(|it| it.born.is_some())
     }
 
-    /// Takes in a newer entry of the list.
+    /// Applies a newer list entry.
     pub fn list(&mut self, now: Millis, record: RunnerRecord) {
         self.listed = record.life;
         self.cold_until = now.plus(record.cold_ms);
@@ -227,44 +236,46 @@
         self.note_listed_state(now);
     }
 
-    /// Keeps for its life that the list had it leaving. A store that comes back from an older copy has it ready again.
+    /// Remembers for the life of the runner that the list showed it as draining. A store that is
+    /// restored from an older copy lists it as ready again.
     pub fn note_listed_state(&mut self, now: Millis) {
         let is_leaving = self.record.state == RunnerState::Draining;
         self.notices.take(now, now, Notice { is_leaving, ..Notice::default() });
     }
 
-    /// It may have turned cold lately, for so many milliseconds at the most. The doubt ends with that, or when the list
-    /// can tell.
+    /// Records that the runner may have become cold recently, for at most `start_ms` milliseconds.
+    /// The doubt ends after that time, or when the list shows the state.
     pub fn doubt_warmth(&mut self, now: Millis, start_ms: u64) {
         self.doubted_at = now;
         self.may_be_cold_until = now.plus(start_ms.max(ENTRY_LAG));
     }
 
-    /// The list tells of everything up to now.
+    /// Records that the list is complete up to now.
     pub fn settle_doubt(&mut self, now: Millis) {
         if now.since(self.doubted_at).0 >= ENTRY_LAG {
             self.may_be_cold_until = Millis(0);
         }
     }
 
-    /// How much longer it is cold, as far as known, in milliseconds.
+    /// How much longer it may be cold as far as is known, in milliseconds.
     pub fn cold_left_ms(&self, now: Millis) -> u64 {
         self.cold_until.max(self.may_be_cold_until).since(now).0
     }
 
-    /// The same, as others are told who do not hear when a doubt ends: they are told of it again and again.
+    /// The same for processes that are not notified when a doubt ends. It is limited to a short
+    /// time, because it is reported to them repeatedly.
     pub fn cold_told_ms(&self, now: Millis) -> u64 {
         let doubt = self.may_be_cold_until.min(now.plus(ENTRY_LAG));
         self.cold_until.max(doubt).since(now).0
     }
 
-    /// Takes in what its sidecar told of its rate limit. Gives what changed.
+    /// Applies the rate limit that its sidecar reported. Returns the change, if any.
     pub fn take_limit(&mut self, now: Millis, told: Option<ToldLimit>) -> Option<RateWord> {
         self.is_limit_kept = told.is_some();
         self.learn_limit(now, told?)
     }
 
-    /// Takes in what another process told of its rate limit. Gives what changed.
+    /// Applies the rate limit that another process reported. Returns the change, if any.
     pub fn learn_limit(&mut self, now: Millis, told: ToldLimit) -> Option<RateWord> {
         let limit = &mut self.notices.limit;
         let is_news = limit.learn(now, self.born, told);
@@ -272,12 +283,13 @@
         is_news.then_some(word)
     }
 
-    /// Its sidecar has no place for so many milliseconds, while it names a rate limit.
+    /// Records that its sidecar grants no reservation for this number of milliseconds, while it has
+    /// a rate limit.
     pub fn note_no_turn(&mut self, now: Millis, again_ms: u64) {
         self.no_turn_until = now.plus(again_ms);
     }
 
-    /// In how many milliseconds its sidecar may have a place, as far as its rate goes.
+    /// In how many milliseconds its sidecar may grant a reservation under its rate limit.
     pub fn turn_in_ms(&self, now: Millis) -> u64 {
         match self.notices.limit.rate() {
             Some(_) => self.no_turn_until.since(now).0,
@@ -285,47 +297,47 @@
         }
     }
 
-    /// What its sidecar is told of its rate limit.
+    /// The rate limit to report to its sidecar.
     pub fn told_limit(&self, now: Millis) -> Option<ToldLimit> {
         self.notices.limit.told(now, self.born)
     }
 
-    /// A request is sent there.
+    /// Counts a request that is sent to it.
     pub fn enter(&mut self, is_suspect: bool) {
         self.in_flight += 1;
         self.suspects += u32::from(is_suspect);
     }
 
-    /// A request is there no more.
+    /// Removes a request that has ended there.
     pub fn leave(&mut self, was_suspect: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.suspects = self.suspects.saturating_sub(u32::from(was_suspect));
     }
 
-    /// Whether it takes new work, by the list and by its own answers.
+    /// Whether it accepts new requests, according to the list and its own responses.
     pub fn is_open(&self) -> bool {
         self.record.state == RunnerState::Ready && !self.notices.is_leaving()
     }
 
-    /// Takes in a report.
+    /// Applies a load report.
     pub fn take_load(&mut self, now: Millis, load: RunnerLoad) {
         self.heard_at = now;
         self.told = Some(load.life);
         self.reported = Some(Reported { load, at: now, own: self.in_flight });
     }
 
-    /// The last report, if it still counts.
+    /// The last load report, if it still counts.
     pub fn load(&self, now: Millis) -> Option<&RunnerLoad> {
         let reported = self.reported.as_ref()?;
         (now.since(reported.at).0 <= REPORT_LIFE).then_some(&reported.load)
     }
 
-    /// The age of the last report.
+    /// Age of the last load report.
     pub fn report_age(&self, now: Millis) -> Option<Millis> {
         self.reported.as_ref().map(|it| now.since(it.at))
     }
 
-    /// The weights that it holds, by the newest word on that.
+    /// The weights that it holds, according to the newest information.
     pub fn weights(&self, now: Millis) -> Option<&WeightsHeld> {
         match self.load(now) {
             Some(load) => load.weights.as_ref(),
@@ -333,7 +345,8 @@
         }
     }
 
-    /// Requests there: its own and, by the last report, those of other gateways.
+    /// Requests at the runner: those of this gateway and, according to the last report, those of
+    /// other gateways.
     pub fn occupancy(&self, now: Millis) -> u32 {
         let Some(reported) = self.reported.as_ref() else {
             return self.in_flight;
@@ -345,17 +358,18 @@
         self.in_flight + total.saturating_sub(reported.own)
     }
 
-    /// When the runner takes requests by the last report and its own answers, in milliseconds from now.
+    /// In how many milliseconds the runner accepts requests, according to the last report and its
+    /// own responses.
     pub fn serves_in_ms(&self, now: Millis) -> Option<u64> {
         let reported = self.reported.as_ref()?;
         let age = now.since(reported.at).0;
         let serves_in = u64::from(reported.load.serves_in_ms?);
         let left = serves_in.saturating_sub(age).max(self.notices.rest.left_ms(now));
-        // A moment that has passed without a newer report is worth nothing.
+        // A reported time that has passed without a newer report is not used.
         (age <= REPORT_LIFE + serves_in).then_some(left)
     }
 
-    /// How long the runner still reads prompts before another one has its turn, in milliseconds.
+    /// How long the runner processes prompts before it can start with another one, in milliseconds.
     pub fn reading_ms(&self, now: Millis) -> f64 {
         let Some(reported) = &self.reported else {
             return 0.0;
@@ -364,15 +378,15 @@
         left.max(0.0)
     }
 
-    /// How long an answer is expected to take to begin, in milliseconds. What was seen counts for less
-    /// as it gets older, so that a runner that was slow is tried again.
+    /// Expected time to first byte, in milliseconds. A measurement decays with its age, so that a
+    /// runner that was slow is tried again.
     pub fn usual_first_ms(&self, now: Millis) -> f64 {
         let (seen, at) = self.first_ms;
         let age = now.since(at).0 as f64;
         seen * (-age / FIRST_MEMORY).exp()
     }
 
-    /// An answer took so long to begin, or did not begin by then.
+    /// Records the time to first byte of a response, or the time waited without one.
     pub fn note_first(&mut self, now: Millis, took: Millis) {
         let before = self.usual_first_ms(now);
         let took = took.0 as f64;
@@ -380,24 +394,25 @@
         self.first_ms = (smoothed, now);
     }
 
-    /// Whether it failed a short while ago.
+    /// Whether it is paused after a failure or because it was full.
     pub fn is_suspect(&self, now: Millis) -> bool {
         now < self.suspect_until
     }
 
-    /// How much longer it is left alone after a failure, in milliseconds. A pause of one that is full is none.
+    /// Remaining pause after a failure, in milliseconds. A pause of a runner that was full does not
+    /// count.
     pub fn failed_ms(&self, now: Millis) -> u64 {
         self.failed_until.since(now).0
     }
 
-    /// A request was answered.
+    /// Records a response, which ends its pause.
     pub fn reward(&mut self) {
         self.failures = 0;
         self.suspect_until = Millis(0);
         self.failed_until = Millis(0);
     }
 
-    /// A request failed: the runner is left alone for a while that doubles with each failure.
+    /// Records a failure: the runner is paused for a time that doubles with each failure.
     pub fn punish(&mut self, now: Millis) {
         let span = MIN_SUSPICION << self.failures.min(MOST_DOUBLINGS);
         self.failures += 1;
@@ -405,7 +420,7 @@
         self.suspect_until = self.failed_until;
     }
 
-    /// It turned a request away because it is full.
+    /// Records that it rejected a request because it is full.
     pub fn note_full(&mut self, now: Millis, pause_ms: u64) {
         self.suspect_until = self.suspect_until.max(now.plus(pause_ms));
     }
--- a/components/gateway/src/shares.rs
+++ b/components/gateway/src/shares.rs
@@ -1,20 +1,21 @@
-//! What this gateway may send to runners whose rate it shares with other gateways.
+//! Rate shares of this gateway for runners whose rate it shares with other gateways.
 
 use std::collections::BTreeMap;
 
 use fleet::{Bucket, InstanceId, Millis};
 
-/// Requests of one gateway that may come at once.
+/// Requests of one gateway that may be sent at once.
 pub(crate) const BURST: f64 = 1.0;
 
-/// A bucket for each runner that this gateway may send to. It may send to no other one.
+/// A token bucket for each runner that this gateway may send to. It may send to no other runner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunnerShares {
     buckets: BTreeMap<InstanceId, Bucket>,
 }
 
 impl RunnerShares {
-    /// Sets how many requests a second this gateway may send to a runner. What it did not send before does not count.
+    /// Sets how many requests per second this gateway may send to a runner. Unused capacity from
+    /// before the first call does not count.
     pub(crate) fn set(&mut self, now: Millis, runner: &InstanceId, per_s: f64) {
         let bucket = self.buckets.entry(runner.clone()).or_insert_with(|| {
             let mut bucket = Bucket::default();
@@ -24,12 +25,12 @@
         bucket.set(now, per_s, BURST);
     }
 
-    /// Lets nothing through to a runner.
+    /// Removes the share for a runner.
     pub(crate) fn close(&mut self, runner: &InstanceId) {
         self.buckets.remove(runner);
     }
 
-    /// Whether this gateway is one of those that send to a runner.
+    /// Whether this gateway has a share for a runner.
     pub(crate) fn is_open(&self, runner: &InstanceId) -> bool {
         self.buckets.contains_key(runner)
     }
@@ -39,12 +40,13 @@
         self.buckets.get(runner).is_some_and(|it| it.has_one(now))
     }
 
-    /// In how many milliseconds a request may be sent to a runner. `None` where this gateway sends none.
+    /// In how many milliseconds a request may be sent to a runner. `None` if this gateway has no
+    /// share.
     pub(crate) fn turn_in_ms(&self, now: Millis, runner: &InstanceId) -> Option<u64> {
         self.buckets.get(runner)?.ready_in_ms(now)
     }
 
-    /// Counts a request that is sent to a runner, if its turn has come.
+    /// Counts a request that is sent to a runner, if the share allows one now.
     pub(crate) fn take_turn(&mut self, now: Millis, runner: &InstanceId) -> bool {
         self.buckets.get_mut(runner).is_some_and(|it| it.take(now))
     }
--- a/components/gateway/src/standstill.rs
+++ b/components/gateway/src/standstill.rs
@@ -1,38 +1,43 @@
-//! A gateway that stood still: what binds may have changed meanwhile, so nothing is sent until the store has confirmed what
-//! is known of its tables, or has not done so for a while.
+//! Holds requests after the process was stopped for a while, for example by a suspension of its
+//! machine.
+//!
+//! Configuration may have changed meanwhile, so nothing is sent until the store has confirmed the
+//! gateway's copies of its tables, or a timeout has passed.
 
 use fleet::Millis;
 
-/// How long nothing is sent at most, in milliseconds: a connection that was cut meanwhile, another one and the call behind
-/// it. A gateway that does not reach the store goes on with what it knows, as it did before.
+/// Maximum duration of the hold, in milliseconds: the time to detect a connection that was cut
+/// meanwhile, to open another one and to make the call. A gateway that does not reach the store
+/// continues with the data it has.
 const LONGEST_HOLD: u64 = 800;
 
 /// A table of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreTable {
-    /// What operators write.
+    /// The table that operators write.
     Operator,
     /// The list of runners.
     Runners,
 }
 
-/// Whether the gateway has just gone on, and what was confirmed since.
+/// The state of the hold after a process pause, and the tables confirmed since then.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Standstill {
-    /// When it went on, while anything is to be confirmed.
+    /// When the process resumed, while any table is unconfirmed.
     woke_at: Option<Millis>,
     operator: bool,
     runners: bool,
 }
 
 impl Standstill {
-    /// The process goes on after it stood still.
+    /// Starts the hold when the process resumes.
     pub(crate) fn note_woke(&mut self, now: Millis) {
         *self = Self { woke_at: Some(now), operator: false, runners: false };
     }
 
-    /// The store answered a question that was asked then. An answer to one from before may have waited as long as this
-    /// process. Tells whether nothing is left to be confirmed.
+    /// Records that the store answered a query sent at `asked`. An answer to an earlier query is
+    /// ignored, since it may have been delayed as long as this process. Returns whether all tables
+    /// are confirmed now.
     pub(crate) fn confirm(&mut self, table: StoreTable, asked: Millis) -> bool {
         let Some(woke_at) = self.woke_at.filter(|at| asked >= *at) else {
             return false;
@@ -46,12 +51,12 @@
         is_over
     }
 
-    /// Ends the hold where its time is over, and tells whether it did.
+    /// Ends the hold if its time is over, and returns whether it did.
     pub(crate) fn settle(&mut self, now: Millis) -> bool {
         self.woke_at.take_if(|at| now.since(*at).0 >= LONGEST_HOLD).is_some()
     }
 
-    /// Whether nothing is sent now.
+    /// Whether requests are held now.
     pub(crate) fn holds(&self) -> bool {
         self.woke_at.is_some()
     }
--- a/components/gateway/src/tries.rs
+++ b/components/gateway/src/tries.rs
@@ -1,12 +1,13 @@
-//! Which requests are later tries of a caller that was refused before.
+//! Detects later tries of callers that were refused before.
 //!
-//! Nothing on the wire says so. But a caller that comes back has less time left than it had: its deadline
-//! is shorter than is usual on its route by the time that it stayed away. A first try that is served
-//! is on time and a later one is late, so where places are short the first ones go before.
+//! Nothing on the wire marks them. But a caller that comes back has less time left than before: its
+//! deadline is shorter than usual on its route by the time that it stayed away. A first try that is
+//! served is on time and a later one is late, so first tries are preferred when capacity is short.
 //!
-//! A caller whose deadline is always short looks the same. What is usual is therefore learned for each workspace
-//! as well, and sidecars keep a part of their places for those who stand behind. Where many look like later
-//! tries although nobody was refused, the deadline tells nothing, and nobody stands behind.
+//! A caller whose deadline is always short looks the same. The usual deadline is therefore learned
+//! for each workspace as well, and sidecars keep a part of their slots for later tries. If many
+//! requests look like later tries although none was refused, the deadline is no evidence, and no
+//! request is treated as a later try.
 
 use std::collections::BTreeMap;
 
@@ -14,36 +15,37 @@
 
 use crate::event::Arrival;
 
-/// The part of the usual deadline below which a request is taken for a later try. First tries of one route
+/// Part of the usual deadline below which a request counts as a later try. First tries of one route
 /// differ by less, and a caller that stayed away comes back with less.
 const LATER_SHARE: f64 = 0.8;
-/// The shortest deadline that is reckoned with, in milliseconds: an estimate of zero would never move again.
+/// The shortest deadline used in the estimate, in milliseconds: an estimate of zero would never
+/// change again.
 const LEAST: u64 = 1;
-/// Requests of a route before its usual deadline is known.
+/// Requests of a route before its usual deadline counts as known.
 const MIN_SEEN: u32 = 16;
-/// By which part of itself the estimate of a route moves with one request that is below it. It moves three times as
-/// far with one above, and so comes to rest where three of four are below: later tries, which are fewer than the
-/// first ones, hardly move it.
+/// Relative change of the estimate of a route by one request below it. A request above it changes
+/// it three times as much, so the estimate settles where three of four requests are below. Later
+/// tries, which are fewer than the first ones, hardly change it.
 const ROUTE_STEP: f64 = 0.004;
 /// The same for the estimate of one workspace on a route, which has few requests to learn from.
 const WORKSPACE_STEP: f64 = 0.02;
-/// How many times as far an estimate moves with a request above it.
+/// Factor by which a request above the estimate changes it more than one below.
 const UP: f64 = 3.0;
-/// The share of requests that look like later tries in calm times from which on their deadline tells
-/// nothing: about twice the part of the places that sidecars keep for them. With a larger share few callers whose
-/// deadline is always short would be served.
+/// Maximum share of requests that look like later tries without a shortage. Above it the deadline
+/// is no evidence: it is about twice the part of the slots that sidecars keep for later tries, and
+/// with a larger share few callers whose deadline is always short would be served.
 const MAX_DOUBT: f64 = 0.1;
-/// The part of one request in that share: it is that of the last fifty or so.
+/// Weight of one request in that share, which is thus an average of about the last fifty.
 const DOUBT_STEP: f64 = 0.02;
-/// Estimates that are kept. More are forgotten together.
+/// Maximum number of estimates. When it is reached, all are dropped.
 const MAX_KEPT: usize = 4096;
 
-/// The deadline that is usual somewhere.
+/// An estimate of the usual deadline.
 #[derive(Clone, Copy, Debug)]
 struct Usual {
     deadline_ms: f64,
     seen: u32,
-    /// The share of requests that were far below it in calm times.
+    /// Share of requests that were far below the estimate without a shortage.
     doubt: f64,
 }
 
@@ -54,8 +56,8 @@
         self.seen = self.seen.saturating_add(1);
     }
 
-    /// Takes the least of the first deadlines. One that is far longer than usual would else count for thousands of
-    /// requests, and first tries would look like later ones meanwhile.
+    /// Uses the lowest of the first deadlines. Otherwise a single deadline far longer than usual
+    /// would affect thousands of requests, and first tries would look like later ones.
     fn begin(&mut self, deadline_ms: f64) {
         if self.seen < MIN_SEEN {
             self.deadline_ms = self.deadline_ms.min(deadline_ms);
@@ -66,7 +68,7 @@
         self.doubt += DOUBT_STEP * (f64::from(u8::from(looks_later)) - self.doubt);
     }
 
-    /// Whether a deadline far below it tells that a request is a later try.
+    /// Whether a deadline far below the estimate shows that a request is a later try.
     fn is_evidence(&self) -> bool {
         self.seen >= MIN_SEEN && self.doubt <= MAX_DOUBT
     }
@@ -76,7 +78,8 @@
     }
 }
 
-/// The deadlines that are usual on each route, and for each workspace there, learned from the requests that come.
+/// Estimates of the usual deadline for each route and for each workspace on a route, learned from
+/// the requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UsualDeadlines {
     routes: BTreeMap<String, Usual>,
@@ -84,8 +87,9 @@
 }
 
 impl UsualDeadlines {
-    /// Takes in the deadline of a request and tells whether it looks like a later try. One without a deadline does not.
-    /// `is_calm` tells that no caller was refused of late, so that none comes back.
+    /// Updates the estimates with a request and returns whether it looks like a later try. A
+    /// request without a deadline does not. `is_calm` means that no caller was refused recently, so
+    /// that none comes back.
     pub(crate) fn is_later(&mut self, arrival: &Arrival, is_calm: bool) -> bool {
         let Some(deadline) = arrival.deadline_ms.map(|it| it.max(LEAST) as f64) else {
             return false;
@@ -112,7 +116,7 @@
     }
 }
 
-/// The estimate of a key, which begins with this deadline.
+/// Returns the estimate for a key, which is initialized with this deadline.
 fn kept<K: Ord>(all: &mut BTreeMap<K, Usual>, key: K, deadline_ms: f64) -> &mut Usual {
     if all.len() >= MAX_KEPT && !all.contains_key(&key) {
         all.clear();
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -1,23 +1,25 @@
-//! The versions of weights that were named, and until when requests may start on older ones.
+//! The announced versions of weights, and until when requests may start on older ones.
 
 use std::collections::HashMap;
 
 use fleet::{Millis, ModelName, NamedVersion, VersionName, VersionNames};
 
-/// How long before its bound an older version is left alone, in milliseconds: before a request starts it
-/// may wait for a place, the place may be used a little later, and then it waits in the runner's queue.
+/// Margin before its time bound at which an older version is no longer used, in milliseconds:
+/// before a request starts it may wait for a reservation, the reservation may be used a little
+/// later, and the request then waits in the runner's queue.
 const VERSION_MARGIN: u64 = 1200;
 
-/// The named versions of each model.
+/// The announced versions of each model.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NamedVersions {
-    /// How long requests may start on an older version after a newer one was named, in milliseconds.
+    /// How long requests may start on an older version after a newer one was announced, in
+    /// milliseconds.
     version_ms: u64,
     by_model: HashMap<ModelName, VersionNames>,
 }
 
 impl NamedVersions {
-    /// Starts with no version named.
+    /// Creates an empty set.
     pub(crate) fn new(version_ms: u64) -> Self {
         Self { version_ms, by_model: HashMap::new() }
     }
@@ -27,8 +29,9 @@
         self.version_ms = version_ms;
     }
 
-    /// Takes in a version. Each keeps its own bound when a newer one is named, also where the newer one was heard of first.
-    /// Who hears of a version late, or starts after it was named, is told its age by the others.
+    /// Records a version. Each version keeps its own time bound when a newer one is announced, also
+    /// if the newer one was received first. A process that receives a version late, or starts after
+    /// the announcement, learns its age from other processes.
     pub(crate) fn name(&mut self, now: Millis, named: NamedVersion) {
         let heard = VersionName::heard(now, &named);
         let names = self.by_model.entry(named.model).or_default();
@@ -42,12 +45,13 @@
         names.map_or(0, |it| it.required(now.plus(VERSION_MARGIN), self.version_ms))
     }
 
-    /// From when on no request may start on the version of a model that is held. `None` where there is no newer one.
+    /// The time from which no request may start on a version of a model. `None` if there is no
+    /// newer one.
     pub(crate) fn bound_of(&self, model: &ModelName, held: u64) -> Option<Millis> {
         self.by_model.get(model)?.bound_of(held, self.version_ms)
     }
 
-    /// The versions of each model that other processes should hear of, oldest first.
+    /// The versions of each model to report to other processes, oldest first.
     pub(crate) fn told(&self, now: Millis) -> Vec<NamedVersion> {
         let of_model = |(model, names): (&ModelName, &VersionNames)| {
             let told = names.told(now, self.version_ms).map(|it| {
