--- a/components/gateway/src/choice.rs
+++ b/components/gateway/src/choice.rs
@@ -3,43 +3,43 @@
 use fleet::{InstanceId, Mechanism, Millis, ModelName, Region};
 use rand::Rng;
 
-use crate::cold::ColdGates;
+use crate::cold::ColdRateShares;
 use crate::event::{Arrival, GatewayOptions, Seen, Standing};
-use crate::home_room::{self, HomeRoom};
-use crate::limits::LimitGates;
+use crate::home_demand::{self, HomeDemand};
+use crate::limits::LimitRateShares;
 use crate::pool::Pool;
 use crate::runner::Runner;
 
 /// Cost of a runner in another data hall, in slots of a runner. It keeps requests from crossing
 /// regions when the local hall serves them as well.
-const FAR_PENALTY: f64 = 6.0;
+const OTHER_HALL_PENALTY_SLOTS: f64 = 6.0;
 /// Cost of a runner without a recent load report, in slots of a runner.
-const SILENCE_PENALTY: f64 = 4.0;
+const NO_REPORT_PENALTY_SLOTS: f64 = 4.0;
 
 /// Maximum cost of a runner whose data hall is being evacuated, in slots of a runner. The cost
 /// grows with the elapsed share of the evacuation and exceeds that of any runner with free capacity
 /// elsewhere.
-const LEAVING_PENALTY: f64 = 24.0;
+const EVACUATION_PENALTY_SLOTS: f64 = 24.0;
 
 /// Expected time to first byte that costs as much as one slot of a runner, in milliseconds.
-const FIRST_MS_PER_PLACE: f64 = 100.0;
+const FIRST_BYTE_MS_PER_SLOT: f64 = 100.0;
 /// Remaining prompt processing time that costs as much as one slot of a runner, in milliseconds.
-const READING_MS_PER_PLACE: f64 = 20.0;
+const PROMPT_MS_PER_SLOT: f64 = 20.0;
 /// Factor on the expected time to first byte that bounds how long a request waits at a runner
 /// before it starts.
-const START_FACTOR: f64 = 2.0;
+const START_WAIT_FACTOR: f64 = 2.0;
 
 /// Maximum number of requests that may wait at a sidecar for a reservation.
-const MAX_WAITING: u32 = 4;
+const MAX_WAITING_AT_SIDECAR: u32 = 4;
 
 /// Cost that each suspect request at a runner adds for another suspect, in slots of a runner;
 /// higher than the load cost of a runner. Otherwise requests that were cut by the same crash would
 /// meet at the next runner and be cut again.
-const SUSPECT_PENALTY: f64 = 24.0;
+const SUSPECT_PENALTY_SLOTS: f64 = 24.0;
 
 /// When a runner of a service will be able to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outlook {
+pub enum Availability {
     /// A runner can serve now.
     Serving,
     /// The first runner can serve after this number of milliseconds.
@@ -61,11 +61,11 @@
     /// Options of the gateway, including its data hall.
     pub options: &'a GatewayOptions,
     /// Capacity in tight home regions that is held back from requests without home regions.
-    pub room: &'a HomeRoom,
+    pub room: &'a HomeDemand,
     /// Rate shares for cold runners that have no sidecar.
-    pub cold: &'a ColdGates,
+    pub cold: &'a ColdRateShares,
     /// Rate shares for runners that have a rate limit.
-    pub limits: &'a LimitGates,
+    pub limits: &'a LimitRateShares,
 }
 
 impl Chooser<'_> {
@@ -81,17 +81,17 @@
     ) -> Option<(InstanceId, Seen)> {
         let mut candidates = 0;
         let tight = self.room.tight(now, arrival, &self.options.halls);
-        let only_heard = self.has_heard_runner(now, arrival, tried);
+        let only_responsive = self.has_responsive_runner(now, arrival, tried);
         let usable = self.pool.of_service(&arrival.service).filter(|it| {
             !tried.contains(&it.record.id)
                 && self.can_run(now, it, arrival)
                 && it.notices.admit(now, arrival.key)
-                && !(only_heard && self.pool.silent.defers(now, it))
+                && !(only_responsive && self.pool.silent.skips(now, it))
                 && self.has_room(now, it, arrival, &tight)
         });
         let usable = usable.inspect(|_| candidates += 1);
         let scored = usable.map(|it| {
-            let cost = self.cost(now, it, arrival) + apart_cost(it, is_suspect);
+            let cost = self.cost(now, it, arrival) + suspect_cost(it, is_suspect);
             (cost + random.random::<f64>(), it)
         });
         let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
@@ -109,61 +109,62 @@
     /// regardless of free capacity. Runners of silent halls are only tried when there is none. A
     /// lack of capacity at the other runners is no reason to try them, because each attempt costs
     /// the timeout of a silent sidecar.
-    fn has_heard_runner(&self, now: Millis, arrival: &Arrival, tried: &[InstanceId]) -> bool {
+    fn has_responsive_runner(&self, now: Millis, arrival: &Arrival, tried: &[InstanceId]) -> bool {
         let runners = self.pool.of_service(&arrival.service);
-        let is_heard = |it: &Runner| {
+        let is_responsive = |it: &Runner| {
             !tried.contains(&it.record.id)
-                && !self.pool.silent.defers(now, it)
+                && !self.pool.silent.skips(now, it)
                 && self.can_run(now, it, arrival)
                 && it.notices.admit(now, arrival.key)
         };
-        self.pool.silent.count(now) > 0 && runners.into_iter().any(is_heard)
+        self.pool.silent.count(now) > 0 && runners.into_iter().any(is_responsive)
     }
 
     /// When a runner that a request may use will be able to run it, regardless of free capacity.
-    pub fn outlook(&self, now: Millis, arrival: &Arrival) -> Outlook {
+    pub fn availability(&self, now: Millis, arrival: &Arrival) -> Availability {
         let listed = || self.pool.of_service(&arrival.service);
         let runners = || listed().filter(|it| self.may_wait_for(now, it, arrival));
         if runners().next().is_none() && listed().next().is_some() {
-            return Outlook::NotServing;
+            return Availability::NotServing;
         }
-        if let Some(left) = self.limited_ms(now, arrival) {
-            return Outlook::Limited(left);
+        if let Some(left) = self.rate_limited_for_ms(now, arrival) {
+            return Availability::Limited(left);
         }
         let Some(model) = &arrival.model else {
-            let back_in = self.back_in_ms(now, arrival).or(self.rested_in_ms(now, arrival));
-            return back_in.map_or(Outlook::Serving, Outlook::ServesIn);
+            let unpaused_in =
+                self.unpaused_in_ms(now, arrival).or(self.backoff_ends_in_ms(now, arrival));
+            return unpaused_in.map_or(Availability::Serving, Availability::ServesIn);
         };
         if runners().any(|it| self.can_run(now, it, arrival)) {
-            return Outlook::Serving;
+            return Availability::Serving;
         }
-        if let Some(left) = self.back_in_ms(now, arrival) {
-            return Outlook::ServesIn(left);
+        if let Some(left) = self.unpaused_in_ms(now, arrival) {
+            return Availability::ServesIn(left);
         }
         let serves_in = runners().filter_map(|it| self.serves_in_ms(now, it, model)).min();
-        if let Some(left) = serves_in.or(self.rested_in_ms(now, arrival)) {
-            return Outlook::ServesIn(left);
+        if let Some(left) = serves_in.or(self.backoff_ends_in_ms(now, arrival)) {
+            return Availability::ServesIn(left);
         }
         let mut ready = runners().filter(|it| it.is_open() && it.is_followed).peekable();
-        let all_heard = ready.peek().is_some() && ready.all(|it| it.load(now).is_some());
-        if all_heard {
-            Outlook::NotServing
+        let all_reported = ready.peek().is_some() && ready.all(|it| it.load(now).is_some());
+        if all_reported {
+            Availability::NotServing
         } else {
-            Outlook::Unknown
+            Availability::Unknown
         }
     }
 
     /// When the first runner accepts another request under its rate limit, if all runners that
     /// could run this request have a rate limit or none of them accepts one now.
-    fn limited_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
+    fn rate_limited_for_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
         let is_fit = |it: &&Runner| {
             let is_busy = it.load(now).is_some_and(|load| load.busy);
-            let holds =
+            let holds_version =
                 arrival.model.as_ref().is_none_or(|model| self.holds_required(now, it, model));
-            self.may_serve(now, it, arrival) && holds && !is_busy
+            self.may_serve(now, it, arrival) && holds_version && !is_busy
         };
         let fit = || self.pool.of_service(&arrival.service).filter(is_fit);
-        let left = fit().map(|it| self.turn_in_ms(now, it, arrival)).min()?;
+        let left = fit().map(|it| self.rate_allows_in_ms(now, it, arrival)).min()?;
         // Another gateway may use the turn that is available now.
         let all_limited = || fit().all(|it| it.notices.limit.rate().is_some());
         (left > 0 || all_limited()).then_some(left)
@@ -171,18 +172,19 @@
 
     /// When the first runner ends its failure pause or backoff, if all runners that a request with
     /// home regions may use are paused.
-    fn back_in_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
+    fn unpaused_in_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
         if !arrival.homes.is_bound() {
             return None;
         }
         let runners = self.pool.of_service(&arrival.service);
-        let homes = runners.filter(|it| self.may_serve(now, it, arrival));
-        let back_in_ms = |it: &Runner| it.failed_ms(now).max(it.notices.rest.left_ms(now));
-        homes.map(back_in_ms).min().filter(|left| *left > 0)
+        let allowed = runners.filter(|it| self.may_serve(now, it, arrival));
+        let unpaused_in_ms =
+            |it: &Runner| it.failure_pause_ms(now).max(it.notices.rest.left_ms(now));
+        allowed.map(unpaused_in_ms).min().filter(|left| *left > 0)
     }
 
     /// When the first runner ends its backoff, if all runners that a request may use asked for one.
-    fn rested_in_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
+    fn backoff_ends_in_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
         let runners = self.pool.of_service(&arrival.service);
         let open = runners.filter(|it| self.may_serve(now, it, arrival));
         open.map(|it| it.notices.rest.left_ms(now)).min().filter(|left| *left > 0)
@@ -212,8 +214,8 @@
             standing.runners += 1;
             let fit = !tried.contains(&runner.record.id) && self.can_run(now, runner, arrival);
             standing.usable += u32::from(fit && self.has_room(now, runner, arrival, &tight));
-            let is_left = !self.pool.evacuations.admit(now, &runner.record.hall);
-            standing.evacuated += u32::from(is_left);
+            let is_evacuated = !self.pool.evacuations.admit(now, &runner.record.hall);
+            standing.evacuated += u32::from(is_evacuated);
         }
         standing
     }
@@ -224,15 +226,15 @@
         let hall = &runner.record.hall;
         // A runner in an unknown region only serves requests without home regions.
         let is_home = |region| arrival.homes.allow(region);
-        let may_stand =
+        let is_in_home =
             !arrival.homes.is_bound() || self.options.halls.get(hall).is_some_and(is_home);
-        may_stand && self.pool.evacuations.admit(now, hall)
+        is_in_home && self.pool.evacuations.admit(now, hall)
     }
 
     /// Whether a runner can run a request, regardless of free capacity.
     fn can_run(&self, now: Millis, runner: &Runner, arrival: &Arrival) -> bool {
-        let is_left_alone = runner.is_suspect(now) || runner.notices.rest.left_ms(now) > 0;
-        if is_left_alone || !self.may_serve(now, runner, arrival) {
+        let is_paused = runner.is_paused(now) || runner.notices.rest.left_ms(now) > 0;
+        if is_paused || !self.may_serve(now, runner, arrival) {
             return false;
         }
         let Some(model) = &arrival.model else {
@@ -247,7 +249,7 @@
     /// Whether a runner holds a version on which a request may start.
     fn holds_required(&self, now: Millis, runner: &Runner, model: &ModelName) -> bool {
         // A request that is sent now starts later; the version must still be allowed then.
-        let start = now.plus((self.usual_first_ms(now, runner) * START_FACTOR) as u64);
+        let start = now.plus((self.expected_first_byte_ms(now, runner) * START_WAIT_FACTOR) as u64);
         let required = self.pool.required_version(start, model);
         let held = runner.weights(now);
         held.is_some_and(|it| &it.model == model && it.whole && it.version >= required)
@@ -263,17 +265,18 @@
     fn cost(&self, now: Millis, runner: &Runner, arrival: &Arrival) -> f64 {
         let pace = runner.load(now).map_or(1.0, |load| load.pace.max(1.0));
         let mut cost = f64::from(runner.occupancy(now) + 1) * pace;
-        cost += self.usual_first_ms(now, runner) / FIRST_MS_PER_PLACE;
+        cost += self.expected_first_byte_ms(now, runner) / FIRST_BYTE_MS_PER_SLOT;
         if self.options.ablation.keeps(Mechanism::ReadingCredit) {
-            cost += runner.reading_ms(now) / READING_MS_PER_PLACE;
+            cost += runner.reading_ms(now) / PROMPT_MS_PER_SLOT;
         }
-        let far = runner.record.hall != self.options.hall;
-        if far && self.options.ablation.keeps(Mechanism::HallPenalty) {
-            cost += FAR_PENALTY;
+        let is_other_hall = runner.record.hall != self.options.hall;
+        if is_other_hall && self.options.ablation.keeps(Mechanism::HallPenalty) {
+            cost += OTHER_HALL_PENALTY_SLOTS;
         }
-        cost += LEAVING_PENALTY * self.pool.evacuations.left_share(now, &runner.record.hall);
+        cost +=
+            EVACUATION_PENALTY_SLOTS * self.pool.evacuations.left_share(now, &runner.record.hall);
         if arrival.model.is_some() && runner.load(now).is_none() {
-            cost += SILENCE_PENALTY;
+            cost += NO_REPORT_PENALTY_SLOTS;
         }
         cost
     }
@@ -284,26 +287,26 @@
         let region = self.options.halls.get(&runner.record.hall);
         let is_tight = region.is_some_and(|it| tight.contains(&it));
         if is_tight {
-            home_room::held_back(runner.record.slots)
+            home_demand::held_back(runner.record.slots)
         } else {
             0
         }
     }
 
-    fn usual_first_ms(&self, now: Millis, runner: &Runner) -> f64 {
+    fn expected_first_byte_ms(&self, now: Millis, runner: &Runner) -> f64 {
         if !self.options.ablation.keeps(Mechanism::SlowStarts) {
             return 0.0;
         }
-        runner.usual_first_ms(now)
+        runner.expected_first_byte_ms(now)
     }
 
     /// In how many milliseconds a request may be sent to a runner under its rate limit. If a
     /// sidecar grants reservations, the sidecar's answer is used because it may know more.
-    fn turn_in_ms(&self, now: Millis, runner: &Runner, arrival: &Arrival) -> u64 {
+    fn rate_allows_in_ms(&self, now: Millis, runner: &Runner, arrival: &Arrival) -> u64 {
         if arrival.model.is_some() && self.options.ablation.keeps(Mechanism::Reservations) {
-            runner.turn_in_ms(now)
+            runner.rate_allows_in_ms(now)
         } else {
-            self.limits.turn_in_ms(now, runner)
+            self.limits.rate_allows_in_ms(now, runner)
         }
     }
 
@@ -311,18 +314,18 @@
     /// rate limited. At runners with a sidecar a few requests may wait for a reservation.
     fn has_room(&self, now: Millis, runner: &Runner, arrival: &Arrival, tight: &[&Region]) -> bool {
         let held_back = if tight.is_empty() { 0 } else { self.held_back(runner, tight) };
-        let waits_there = arrival.model.is_some() && held_back == 0;
-        let waiting = if waits_there { MAX_WAITING } else { 0 };
-        let has_place = runner.occupancy(now) + held_back < runner.record.slots + waiting;
-        let has_turn = self.turn_in_ms(now, runner, arrival) == 0;
-        has_place && has_turn && self.cold.admit(now, runner)
+        let may_wait_at_sidecar = arrival.model.is_some() && held_back == 0;
+        let extra = if may_wait_at_sidecar { MAX_WAITING_AT_SIDECAR } else { 0 };
+        let has_slot = runner.occupancy(now) + held_back < runner.record.slots + extra;
+        let has_token = self.rate_allows_in_ms(now, runner, arrival) == 0;
+        has_slot && has_token && self.cold.admit(now, runner)
     }
 }
 
 /// The cost that the suspect requests at a runner add for another suspect.
-fn apart_cost(runner: &Runner, is_suspect: bool) -> f64 {
+fn suspect_cost(runner: &Runner, is_suspect: bool) -> f64 {
     if is_suspect {
-        SUSPECT_PENALTY * f64::from(runner.suspects)
+        SUSPECT_PENALTY_SLOTS * f64::from(runner.suspects)
     } else {
         0.0
     }
--- a/components/gateway/src/cold.rs
+++ b/components/gateway/src/cold.rs
@@ -9,12 +9,12 @@
 
 use crate::catalog::ColdProfile;
 use crate::event::ColdBounds;
+use crate::rate_shares::{RateShares, BURST_REQUESTS};
 use crate::runner::Runner;
-use crate::shares::{RunnerShares, BURST};
 
 /// Factor by which the requests sent in one second may spread beyond that second: the time of a
 /// connection, plus a margin for machines that are short of CPU time.
-const SEND_STRETCH: f64 = 1.35;
+const SEND_SPREAD_FACTOR: f64 = 1.35;
 
 /// The limit on what one gateway may send to a cold runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,21 +32,21 @@
     pub fn new(profile: ColdProfile, bounds: ColdBounds) -> Self {
         let gateways = bounds.slack.max(1.0) as usize;
         let bound = profile.requests_per_s * bounds.overrun + bounds.slack;
-        let lasting = (bound - gateways as f64 * BURST) / SEND_STRETCH;
-        let per_s = profile.requests_per_s.min(lasting).max(0.0);
+        let sustained_per_s = (bound - gateways as f64 * BURST_REQUESTS) / SEND_SPREAD_FACTOR;
+        let per_s = profile.requests_per_s.min(sustained_per_s).max(0.0);
         Self { gateways, per_s }
     }
 }
 
 /// Rate shares of this gateway for cold runners.
 #[derive(Clone, Debug, Default)]
-pub struct ColdGates {
+pub struct ColdRateShares {
     /// The plain services whose runners start cold.
     services: BTreeMap<ServiceName, ColdShare>,
-    shares: RunnerShares,
+    rate_shares: RateShares,
 }
 
-impl ColdGates {
+impl ColdRateShares {
     /// Sets the plain services whose runners start cold.
     pub fn set_services(&mut self, services: BTreeMap<ServiceName, ColdShare>) {
         self.services = services;
@@ -61,12 +61,12 @@
     /// Sets the rate of this gateway for a cold runner; `gateways` is the number of gateways that
     /// share the responsibility for it.
     pub fn set(&mut self, now: Millis, runner: &InstanceId, share: ColdShare, gateways: usize) {
-        self.shares.set(now, runner, share.per_s / gateways.max(1) as f64);
+        self.rate_shares.set(now, runner, share.per_s / gateways.max(1) as f64);
     }
 
     /// Removes the share for a runner, so that nothing is sent to it while it is cold.
     pub fn close(&mut self, runner: &InstanceId) {
-        self.shares.close(runner);
+        self.rate_shares.close(runner);
     }
 
     /// Whether a request may be sent to a runner with regard to its cold start.
@@ -74,16 +74,16 @@
         if !self.services.contains_key(&runner.record.service) || runner.cold_left_ms(now) == 0 {
             return true;
         }
-        self.shares.has_turn(now, &runner.record.id)
+        self.rate_shares.has_token(now, &runner.record.id)
     }
 
     /// Whether this gateway has a share for a cold runner.
     pub fn is_open(&self, runner: &InstanceId) -> bool {
-        self.shares.is_open(runner)
+        self.rate_shares.is_open(runner)
     }
 
     /// Counts a request sent to a cold runner, if the share allows one now.
     pub fn take(&mut self, now: Millis, runner: &InstanceId) -> bool {
-        self.shares.take_turn(now, runner)
+        self.rate_shares.take_token(now, runner)
     }
 }
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -16,8 +16,8 @@
 use crate::limits::LifeLimit;
 use crate::members::GatewayList;
 use crate::notices::Notice;
+use crate::resume_hold::StoreTable;
 use crate::runner::{RunnerLoad, RunnerRecord};
-use crate::standstill::StoreTable;
 
 /// Options of a gateway.
 #[derive(Clone, Debug)]
@@ -101,8 +101,8 @@
     }
 
     /// The set of runners that it may use.
-    pub(crate) fn reach(&self) -> Arc<Reach> {
-        Arc::new(Reach { service: self.service.clone(), homes: self.homes.clone() })
+    pub(crate) fn scope(&self) -> Arc<RunnerScope> {
+        Arc::new(RunnerScope { service: self.service.clone(), homes: self.homes.clone() })
     }
 }
 
@@ -110,7 +110,7 @@
 /// are tracked per reach, because a shortage at some of a service's runners does not affect the
 /// others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Reach {
+pub(crate) struct RunnerScope {
     /// Service of the runners.
     service: ServiceName,
     /// Home regions that the runners are in.
--- a/components/gateway/src/followed.rs
+++ b/components/gateway/src/followed.rs
@@ -7,25 +7,27 @@
 
 /// Maximum number of followed sidecars while the number of gateways is uncertain, and when there
 /// are many gateways.
-const MOST: usize = 64;
+const MAX_FOLLOWED: usize = 64;
 /// Number of those in the gateway's own data hall, if it has so many.
-const MOST_NEAR: usize = 40;
+const MAX_FOLLOWED_IN_HALL: usize = 40;
 /// Minimum number of followed sidecars, if the fleet has so many: with fewer there would be little
 /// choice.
-const LEAST: usize = 16;
+const MIN_FOLLOWED: usize = 16;
 /// Range of the mean number of gateways that follow each sidecar. Each follower costs the sidecar
 /// reports.
-const FOLLOWERS: std::ops::RangeInclusive<usize> = 12..=32;
+const FOLLOWERS_PER_SIDECAR: std::ops::RangeInclusive<usize> = 12..=32;
 
 /// How many sidecars a gateway follows. `gateways` is the number of gateways, if it is certain. If
 /// there are few gateways, each follows more sidecars, so that no sidecar is left without a
 /// follower.
 pub fn most(sidecars: usize, gateways: Option<usize>) -> usize {
     let Some(gateways) = gateways.filter(|it| *it > 0) else {
-        return MOST;
+        return MAX_FOLLOWED;
     };
     let share = |followers: usize| (followers * sidecars).div_ceil(gateways);
-    share(*FOLLOWERS.end()).clamp(LEAST, MOST).max(share(*FOLLOWERS.start()))
+    share(*FOLLOWERS_PER_SIDECAR.end())
+        .clamp(MIN_FOLLOWED, MAX_FOLLOWED)
+        .max(share(*FOLLOWERS_PER_SIDECAR.start()))
 }
 
 /// A sidecar that may be followed.
@@ -41,14 +43,15 @@
 
 /// Selects at most `most` sidecars to follow.
 pub fn choose<T>(candidates: Vec<Candidate<T>>, most: usize) -> Vec<T> {
-    let (mut near, mut far): (Vec<_>, Vec<_>) = candidates.into_iter().partition(|it| it.is_near);
-    let for_near = most * MOST_NEAR / MOST;
+    let (mut local, mut remote): (Vec<_>, Vec<_>) =
+        candidates.into_iter().partition(|it| it.is_near);
+    let local_quota = most * MAX_FOLLOWED_IN_HALL / MAX_FOLLOWED;
     // Capacity that one side does not need is given to the other.
-    let near_count = near.len().min(for_near.max(most.saturating_sub(far.len())));
-    let far_count = far.len().min(most - near_count);
-    keep_heaviest(&mut near, near_count);
-    keep_heaviest(&mut far, far_count);
-    near.into_iter().chain(far).map(|it| it.sidecar).collect()
+    let local_count = local.len().min(local_quota.max(most.saturating_sub(remote.len())));
+    let remote_count = remote.len().min(most - local_count);
+    keep_heaviest(&mut local, local_count);
+    keep_heaviest(&mut remote, remote_count);
+    local.into_iter().chain(remote).map(|it| it.sidecar).collect()
 }
 
 fn keep_heaviest<T>(candidates: &mut Vec<Candidate<T>>, count: usize) {
--- a/components/gateway/src/home_room.rs
+++ b/components/gateway/src/home_demand.rs
@@ -13,27 +13,27 @@
 /// Decay time of the request counts, in milliseconds: after it a request counts for about a third
 /// (1/e). It equals the longest retry delay, so that capacity is still held back for callers that
 /// come back.
-const MEMORY_MS: f64 = 2000.0;
+const DECAY_MS: f64 = 2000.0;
 /// A home region is tight when the requests bound to it are at least this part of its even share of
 /// all requests. Below it the other half of its slots is enough for the variation of the bound
 /// requests, and the region is treated like any other.
-const TIGHT: f64 = 0.5;
+const TIGHT_SHARE: f64 = 0.5;
 /// Minimum number of bound requests within the decay time. Fewer are not significant: for a service
 /// that receives seven requests in that time, a single one would be half of an even share.
-const FEW: f64 = 2.0;
+const MIN_BOUND_REQUESTS: f64 = 2.0;
 /// One in this number of slots of a runner in a tight home region is held back.
-const HELD_PART: u32 = 4;
+const HELD_BACK_DIVISOR: u32 = 4;
 
 /// An exponentially decaying count of requests.
 #[derive(Clone, Copy, Debug, Default)]
-struct Recent {
+struct DecayingCount {
     count: f64,
     at: Millis,
 }
 
-impl Recent {
+impl DecayingCount {
     fn now(&self, now: Millis) -> f64 {
-        self.count * (-(now.since(self.at).0 as f64) / MEMORY_MS).exp()
+        self.count * (-(now.since(self.at).0 as f64) / DECAY_MS).exp()
     }
 
     fn add(&mut self, now: Millis, part: f64) {
@@ -43,19 +43,19 @@
 
 /// Recent requests for one service.
 #[derive(Clone, Debug, Default)]
-struct Demand {
-    all: Recent,
-    bound: BTreeMap<Region, Recent>,
+struct ServiceDemand {
+    all: DecayingCount,
+    bound: BTreeMap<Region, DecayingCount>,
 }
 
 /// Tracks which home regions are tight, by the requests that arrived recently. Empty, and without
 /// cost, until a bound request arrives.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HomeRoom {
-    services: BTreeMap<ServiceName, Demand>,
+pub(crate) struct HomeDemand {
+    services: BTreeMap<ServiceName, ServiceDemand>,
 }
 
-impl HomeRoom {
+impl HomeDemand {
     /// Records a request. A request with several home regions counts for a part in each.
     pub fn note(&mut self, now: Millis, arrival: &Arrival) {
         if arrival.homes.is_bound() {
@@ -95,25 +95,25 @@
     }
 }
 
-impl Demand {
+impl ServiceDemand {
     /// The tight regions; none if all are tight.
     fn tight<'a>(&self, now: Millis, halls: &'a BTreeMap<Hall, Region>) -> Vec<&'a Region> {
         let regions: BTreeSet<&Region> = halls.values().collect();
         let count = regions.len();
-        let even = self.all.now(now) / count.max(1) as f64;
+        let even_share = self.all.now(now) / count.max(1) as f64;
         let mut tight: Vec<&Region> = regions.into_iter().collect();
-        tight.retain(|it| self.is_tight(now, it, even));
+        tight.retain(|it| self.is_tight(now, it, even_share));
         if tight.len() == count {
             return Vec::new();
         }
         tight
     }
 
-    /// Whether a region is tight. `even` is the region's share of all requests if all regions had
+    /// Whether a region is tight. `even_share` is the region's share of all requests if all regions had
     /// the same share.
-    fn is_tight(&self, now: Millis, region: &Region, even: f64) -> bool {
+    fn is_tight(&self, now: Millis, region: &Region, even_share: f64) -> bool {
         let bound = self.bound.get(region).map_or(0.0, |it| it.now(now));
-        bound >= even * TIGHT && bound >= FEW
+        bound >= even_share * TIGHT_SHARE && bound >= MIN_BOUND_REQUESTS
     }
 }
 
@@ -122,7 +122,7 @@
 /// that becomes free, whatever the cost of the runner in the comparison. Holding back more does not
 /// help the bound requests, and fewer requests are served in total.
 pub(crate) fn held_back(slots: u32) -> u32 {
-    let held = (slots / HELD_PART).max(1);
+    let held = (slots / HELD_BACK_DIVISOR).max(1);
     // The only slot of a runner is open to all requests.
     held.min(slots.saturating_sub(1))
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -8,23 +8,23 @@
 mod catalog;
 mod choice;
 mod cold;
-mod comeback;
 mod event;
 pub mod followed;
+mod home_demand;
 mod home_faults;
-mod home_room;
+mod later_tries;
 mod limits;
 mod members;
 mod notices;
 mod pool;
+mod rate_shares;
 pub mod readers;
 mod record;
 mod reducer;
+mod resume_hold;
+mod retry_delay;
 mod runner;
-mod shares;
-mod silence;
-mod standstill;
-mod tries;
+mod silent_halls;
 mod versions;
 
 pub use budget::{BudgetLimits, RetryBudget};
@@ -32,7 +32,7 @@
     Catalog, CatalogParts, ColdProfile, EngineProfile, Limits, Origin, Route, RouteKind, Service,
     Workspace,
 };
-pub use cold::{ColdGates, ColdShare};
+pub use cold::{ColdRateShares, ColdShare};
 pub use event::{
     Arrival, AttemptOutcome, ColdBounds, Effect, Event, GatewayOptions, LifeNews, NextStep,
     NoticeNews, RequestKey, RunnerTarget, Seen, Standing,
@@ -44,5 +44,5 @@
 pub use pool::Pool;
 pub use record::{FirstHeard, OlderName, RecordAnswer, RecordCall, RecordRow, VersionRecord};
 pub use reducer::Gateway;
+pub use resume_hold::StoreTable;
 pub use runner::{Runner, RunnerLife, RunnerLoad, RunnerRecord, RunnerState, WeightsHeld};
-pub use standstill::StoreTable;
--- a/components/gateway/src/limits.rs
+++ b/components/gateway/src/limits.rs
@@ -11,42 +11,42 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
+use crate::rate_shares::RateShares;
 use crate::runner::Runner;
-use crate::shares::RunnerShares;
 
 /// The lowest rate share of a gateway, in requests per second: with a lower one no gateway would
 /// send for many seconds.
-const LEAST_SHARE_PER_S: f64 = 0.5;
+const MIN_SHARE_PER_S: f64 = 0.5;
 /// Maximum number of gateways that share a rate, in excess of the requests per second of the rate.
-const SPARE_GATEWAYS: usize = 4;
+const MAX_EXTRA_GATEWAYS: usize = 4;
 /// Interval between checks of which gateways are responsible, in milliseconds: a fraction of the
 /// time after which a disconnected gateway is no longer responsible.
-const LOOK_EVERY: u64 = 500;
+const CHECK_INTERVAL_MS: u64 = 500;
 /// Maximum number of limits in one list, of about 15 bytes each.
-const MOST_TOLD: usize = 8;
+const MAX_LIMITS_PER_MESSAGE: usize = 8;
 /// How long a limit that is no longer reported is remembered, in milliseconds: gateways report
 /// theirs each second.
-const MEMORY: u64 = 10_000;
+const LIMIT_MEMORY_MS: u64 = 10_000;
 
 /// Maximum number of gateways that share a rate. Each may send a request at the same moment, so
 /// within a few seconds the total exceeds the rate by up to this number.
-pub(crate) fn most_gateways(rate: Rate) -> usize {
-    let by_share = (rate.asked_per_s() / LEAST_SHARE_PER_S) as usize;
-    let by_sum = (rate.asked_per_s() as usize).saturating_add(SPARE_GATEWAYS);
-    by_share.min(by_sum).max(1)
+pub(crate) fn max_gateways(rate: Rate) -> usize {
+    let by_share = (rate.asked_per_s() / MIN_SHARE_PER_S) as usize;
+    let by_burst = (rate.asked_per_s() as usize).saturating_add(MAX_EXTRA_GATEWAYS);
+    by_share.min(by_burst).max(1)
 }
 
 /// Rate shares of this gateway for runners that have a rate limit.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LimitGates {
+pub(crate) struct LimitRateShares {
     /// Runners that have a rate limit or had one recently.
     runners: BTreeSet<InstanceId>,
-    shares: RunnerShares,
+    rate_shares: RateShares,
     /// When the shares were last checked.
-    looked_at: Millis,
+    checked_at: Millis,
 }
 
-impl LimitGates {
+impl LimitRateShares {
     /// Adds a runner that reported a rate limit.
     pub(crate) fn add(&mut self, runner: &InstanceId) {
         self.runners.insert(runner.clone());
@@ -55,14 +55,14 @@
     /// Removes a runner that has reported no rate limit for a while or is no longer listed.
     pub(crate) fn forget(&mut self, runner: &InstanceId) {
         self.runners.remove(runner);
-        self.shares.close(runner);
+        self.rate_shares.close(runner);
     }
 
     /// Whether a check of which gateways are responsible is due.
     pub(crate) fn is_due(&mut self, now: Millis) -> bool {
-        let is_due = !self.runners.is_empty() && now.since(self.looked_at).0 >= LOOK_EVERY;
+        let is_due = !self.runners.is_empty() && now.since(self.checked_at).0 >= CHECK_INTERVAL_MS;
         if is_due {
-            self.looked_at = now;
+            self.checked_at = now;
         }
         is_due
     }
@@ -84,25 +84,25 @@
         match gateways {
             Some(gateways) => {
                 let per_s = rate.asked_per_s() / gateways.max(1) as f64;
-                self.shares.set(now, runner, per_s);
+                self.rate_shares.set(now, runner, per_s);
             }
-            None => self.shares.close(runner),
+            None => self.rate_shares.close(runner),
         }
     }
 
     /// In how many milliseconds this gateway may send a request to a runner without its sidecar. If
     /// it has no share, in how many another gateway may.
-    pub(crate) fn turn_in_ms(&self, now: Millis, runner: &Runner) -> u64 {
+    pub(crate) fn rate_allows_in_ms(&self, now: Millis, runner: &Runner) -> u64 {
         let Some(rate) = runner.notices.limit.rate() else {
             return 0;
         };
-        let own = self.shares.turn_in_ms(now, &runner.record.id);
+        let own = self.rate_shares.rate_allows_in_ms(now, &runner.record.id);
         own.unwrap_or((1000.0 / rate.asked_per_s()) as u64)
     }
 
     /// Counts a request sent to a runner, if this gateway's share allows one now.
-    pub(crate) fn take_turn(&mut self, now: Millis, runner: &InstanceId) -> bool {
-        self.shares.take_turn(now, runner)
+    pub(crate) fn take_token(&mut self, now: Millis, runner: &InstanceId) -> bool {
+        self.rate_shares.take_token(now, runner)
     }
 }
 
@@ -116,11 +116,11 @@
 }
 
 /// Selects as many random limits as fit in one list.
-pub(crate) fn draw_told(
+pub(crate) fn draw_limits(
     limits: impl Iterator<Item = LifeLimit>,
     random: &mut impl Rng,
 ) -> Vec<LifeLimit> {
-    limits.choose_multiple(random, MOST_TOLD)
+    limits.choose_multiple(random, MAX_LIMITS_PER_MESSAGE)
 }
 
 /// The rate limits that a sidecar received from gateways.
@@ -138,7 +138,7 @@
             known.learn(now, None, *limit);
             *told_at = now;
         }
-        self.heard.retain(|_, (_, told_at)| now.since(*told_at).0 <= MEMORY);
+        self.heard.retain(|_, (_, told_at)| now.since(*told_at).0 <= LIMIT_MEMORY_MS);
     }
 
     /// The limits that are sent to a gateway. If there are too many for one message, a random
@@ -147,6 +147,6 @@
         let told = self.heard.iter().filter_map(|(life, (limit, _))| {
             Some(LifeLimit { life: *life, limit: limit.told(now, None)? })
         });
-        draw_told(told, random)
+        draw_limits(told, random)
     }
 }
--- a/components/gateway/src/members.rs
+++ b/components/gateway/src/members.rs
@@ -14,39 +14,39 @@
 /// How long a gateway is remembered after the window in which its usage still counts, in
 /// milliseconds: the time after which a gateway that receives no reports gives up its share, plus
 /// the propagation delay of its messages.
-const MEMORY_MARGIN: u64 = 6000;
+const MEMORY_MARGIN_MS: u64 = 6000;
 /// Time without a report from sidecars after which a gateway is unsure, in milliseconds: four
 /// unanswered queries.
-const UNSURE_AFTER: u64 = 4000;
+const UNSURE_AFTER_MS: u64 = 4000;
 /// How long it takes until all other gateways know of a new one, in milliseconds: each asks one
 /// sidecar per second, and some answers are lost.
-const INTRODUCTION: u64 = 5000;
+const INTRODUCTION_MS: u64 = 5000;
 /// How long a gateway counts among those that may be responsible, in milliseconds. Twice the time
 /// after which the gateway itself knows that it is not.
-const RESPONSIBLE_MEMORY: u64 = 8000;
+const RESPONSIBLE_MEMORY_MS: u64 = 8000;
 /// The part of a shared resource that is divided among gateways that are sure of each other.
 const SURE_PART: f64 = 0.8;
 /// Maximum number of simultaneously unsure gateways, if there are not more sidecars than that; they
 /// share the rest of the resource.
-const MOST_UNSURE: usize = 64;
+const MAX_UNSURE: usize = 64;
 /// Upper bound on the ratio of existing to known gateways when each sidecar knows only a part of
 /// them.
 const UNHEARD_MARGIN: f64 = 1.1;
 /// Maximum number of gateways of a deployment that never had a sidecar: their real number is
 /// unknown.
-const MOST_WITHOUT_SIDECARS: usize = 10;
+const MAX_WITHOUT_SIDECARS: usize = 10;
 /// The part of the sidecars that a gateway must receive reports from to be responsible for
 /// anything. Of two partitions that are cut off from each other at most one has it.
 const QUORUM: f64 = 0.5;
 /// Length of the time buckets in which the lowest reach is recorded, in milliseconds.
-const REACH_STEP: u64 = 1000;
+const COVERAGE_BUCKET_MS: u64 = 1000;
 /// Interval between checks of the reach, in milliseconds: a report counts for two seconds.
-const REACH_EVERY: u64 = 200;
+const COVERAGE_CHECK_INTERVAL_MS: u64 = 200;
 /// Maximum number of gateways in one answer: each takes at most ten bytes, and a datagram holds
 /// 1,400.
-const MOST_TOLD: usize = 128;
+const MAX_GATEWAYS_PER_MESSAGE: usize = 128;
 /// Unit in which ages are sent, in milliseconds.
-const AGE_UNIT: u64 = 100;
+const AGE_UNIT_MS: u64 = 100;
 
 /// A gateway that a sidecar received a message from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,12 +77,12 @@
     /// Creates an empty record that remembers gateways for as long as their usage counts in a
     /// window of this length, in milliseconds.
     pub fn new(window_ms: u64) -> Self {
-        Self { memory_ms: window_ms + MEMORY_MARGIN, heard: BTreeMap::new() }
+        Self { memory_ms: window_ms + MEMORY_MARGIN_MS, heard: BTreeMap::new() }
     }
 
     /// Changes the length of the window, in milliseconds.
     pub fn set_window(&mut self, window_ms: u64) {
-        self.memory_ms = window_ms + MEMORY_MARGIN;
+        self.memory_ms = window_ms + MEMORY_MARGIN_MS;
     }
 
     /// Records that a message from a gateway was received.
@@ -102,17 +102,17 @@
     pub fn list(&self, now: Millis, asker: SocketAddr) -> GatewayList {
         let mut gateways: Vec<HeardGateway> =
             self.heard.iter().map(|(address, at)| heard(now, *address, *at)).collect();
-        if gateways.len() > MOST_TOLD {
+        if gateways.len() > MAX_GATEWAYS_PER_MESSAGE {
             let draw = now.0.to_string();
             gateways.sort_by_key(|it| (it.address != asker, weight(&draw, it.address)));
-            gateways.truncate(MOST_TOLD);
+            gateways.truncate(MAX_GATEWAYS_PER_MESSAGE);
         }
         GatewayList { asker, gateways }
     }
 }
 
 fn heard(now: Millis, address: SocketAddr, at: Millis) -> HeardGateway {
-    let tenths = (now.since(at).0 / AGE_UNIT).min(u64::from(u16::MAX)) as u16;
+    let tenths = (now.since(at).0 / AGE_UNIT_MS).min(u64::from(u16::MAX)) as u16;
     HeardGateway { address, tenths }
 }
 
@@ -143,16 +143,16 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     window_ms: u64,
-    me: Option<SocketAddr>,
+    own_address: Option<SocketAddr>,
     heard: BTreeMap<SocketAddr, Millis>,
-    told_at: Option<Millis>,
+    reported_at: Option<Millis>,
     /// Start of the current uninterrupted period of reports.
     since: Millis,
     /// When the window was last made longer. Usage that a shorter window had dropped counts again.
     window_since: Millis,
     /// The lowest part of the sidecars that reported in each time bucket, oldest first.
-    reach: VecDeque<(Millis, f64)>,
-    reach_at: Millis,
+    coverage: VecDeque<(Millis, f64)>,
+    coverage_checked_at: Millis,
     /// The highest number of sidecars that were listed at once.
     sidecars: usize,
     /// Whether each sidecar knows only a part of the gateways.
@@ -167,13 +167,13 @@
     pub fn new(window_ms: u64) -> Self {
         Self {
             window_ms,
-            me: None,
+            own_address: None,
             heard: BTreeMap::new(),
-            told_at: None,
+            reported_at: None,
             since: Millis(0),
             window_since: Millis(0),
-            reach: VecDeque::new(),
-            reach_at: Millis(0),
+            coverage: VecDeque::new(),
+            coverage_checked_at: Millis(0),
             sidecars: 0,
             is_partial: false,
             has_sidecars: false,
@@ -189,8 +189,8 @@
     }
 
     /// Whether a check of which sidecars report is due.
-    pub fn wants_reach(&self, now: Millis) -> bool {
-        now.since(self.reach_at).0 >= REACH_EVERY
+    pub fn wants_coverage(&self, now: Millis) -> bool {
+        now.since(self.coverage_checked_at).0 >= COVERAGE_CHECK_INTERVAL_MS
     }
 
     /// Records how many sidecars are listed, and how many of them this gateway follows.
@@ -201,39 +201,39 @@
     }
 
     /// Records which part of the followed sidecars reports. `None` if none is followed.
-    pub fn note_reach(&mut self, now: Millis, reach: Option<f64>) {
-        self.reach_at = now;
-        self.has_sidecars |= reach.is_some();
-        let reach = reach.unwrap_or(0.0);
-        match self.reach.back_mut().filter(|it| now.since(it.0).0 < REACH_STEP) {
-            Some((_, lowest)) => *lowest = lowest.min(reach),
-            None => self.reach.push_back((now, reach)),
+    pub fn note_coverage(&mut self, now: Millis, coverage: Option<f64>) {
+        self.coverage_checked_at = now;
+        self.has_sidecars |= coverage.is_some();
+        let coverage = coverage.unwrap_or(0.0);
+        match self.coverage.back_mut().filter(|it| now.since(it.0).0 < COVERAGE_BUCKET_MS) {
+            Some((_, lowest)) => *lowest = lowest.min(coverage),
+            None => self.coverage.push_back((now, coverage)),
         }
-        let span = self.window_ms + INTRODUCTION + REACH_STEP;
-        while self.reach.front().is_some_and(|it| now.since(it.0).0 > span) {
-            self.reach.pop_front();
+        let span = self.window_ms + INTRODUCTION_MS + COVERAGE_BUCKET_MS;
+        while self.coverage.front().is_some_and(|it| now.since(it.0).0 > span) {
+            self.coverage.pop_front();
         }
     }
 
     /// Merges the list that a sidecar sent.
     pub fn take(&mut self, now: Millis, list: GatewayList) {
-        if !self.was_told(now) {
+        if !self.receives_reports(now) {
             self.since = now;
         }
-        self.told_at = Some(now);
-        self.me = Some(list.asker);
+        self.reported_at = Some(now);
+        self.own_address = Some(list.asker);
         for HeardGateway { address, tenths } in list.gateways {
-            let at = now.minus(u64::from(tenths) * AGE_UNIT);
+            let at = now.minus(u64::from(tenths) * AGE_UNIT_MS);
             let known = self.heard.entry(address).or_insert(at);
             *known = (*known).max(at);
         }
-        let memory = self.window_ms + MEMORY_MARGIN;
+        let memory = self.window_ms + MEMORY_MARGIN_MS;
         self.heard.retain(|_, at| now.since(*at).0 <= memory);
     }
 
     /// The number of known gateways, at least this one.
     pub fn count(&self, now: Millis) -> usize {
-        self.heard_within(now, self.window_ms + MEMORY_MARGIN).count().max(1)
+        self.heard_within(now, self.window_ms + MEMORY_MARGIN_MS).count().max(1)
     }
 
     /// Whether each sidecar knows only a part of the gateways.
@@ -243,9 +243,10 @@
 
     /// How certain the number of gateways is.
     pub fn sureness(&self, now: Millis) -> Sureness {
-        if !self.was_told(now) {
+        if !self.receives_reports(now) {
             Sureness::Unsure
-        } else if now.since(self.since.max(self.window_since)).0 < self.window_ms + INTRODUCTION {
+        } else if now.since(self.since.max(self.window_since)).0 < self.window_ms + INTRODUCTION_MS
+        {
             Sureness::New
         } else {
             Sureness::Sure
@@ -257,53 +258,54 @@
         match self.sureness(now) {
             Sureness::Sure => {
                 // Usage of gateways that were unreachable counts for one more window.
-                let reach = self.lowest_reach(now, self.window_ms + INTRODUCTION);
+                let coverage = self.lowest_coverage(now, self.window_ms + INTRODUCTION_MS);
                 let margin = if self.is_partial { UNHEARD_MARGIN } else { 1.0 };
-                SURE_PART * reach / (self.count(now) as f64 * margin)
+                SURE_PART * coverage / (self.count(now) as f64 * margin)
             }
-            Sureness::Unsure if !self.has_sidecars => 1.0 / MOST_WITHOUT_SIDECARS as f64,
+            Sureness::Unsure if !self.has_sidecars => 1.0 / MAX_WITHOUT_SIDECARS as f64,
             Sureness::Unsure | Sureness::New => {
-                (1.0 - SURE_PART) / self.sidecars.max(MOST_UNSURE) as f64
+                (1.0 - SURE_PART) / self.sidecars.max(MAX_UNSURE) as f64
             }
         }
     }
 
-    /// The number of gateways, `most` at most, that share the responsibility for `thing` with this
+    /// The number of gateways, `most` at most, that share the responsibility for `resource` with this
     /// one. `None` if this gateway is not responsible.
-    pub fn responsible(&self, now: Millis, thing: &str, most: usize) -> Option<usize> {
-        let me = self.me?;
-        let is_known = self.was_told(now) && now.since(self.since).0 >= INTRODUCTION;
-        if !is_known || self.lowest_reach(now, INTRODUCTION) <= QUORUM {
+    pub fn responsible(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
+        let own_address = self.own_address?;
+        let is_known = self.receives_reports(now) && now.since(self.since).0 >= INTRODUCTION_MS;
+        if !is_known || self.lowest_coverage(now, INTRODUCTION_MS) <= QUORUM {
             return None;
         }
-        let mine = weight(thing, me);
-        let others = self.heard_within(now, RESPONSIBLE_MEMORY).filter(|it| *it != me);
-        let weights: Vec<u64> = others.map(|it| weight(thing, it)).collect();
-        let before = weights.iter().filter(|it| **it > mine).count();
-        (before < most).then_some((weights.len() + 1).min(most))
+        let own_weight = weight(resource, own_address);
+        let others = self.heard_within(now, RESPONSIBLE_MEMORY_MS).filter(|it| *it != own_address);
+        let weights: Vec<u64> = others.map(|it| weight(resource, it)).collect();
+        let higher = weights.iter().filter(|it| **it > own_weight).count();
+        (higher < most).then_some((weights.len() + 1).min(most))
     }
 
     /// The number of gateways, `most` at most, that share a resource. `None` if this gateway has no
     /// share. If there never was a sidecar, responsibility cannot be determined, and the maximum
     /// number of such gateways share it.
-    pub fn sharers(&self, now: Millis, thing: &str, most: usize) -> Option<usize> {
+    pub fn sharers(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
         if !self.has_sidecars {
-            return Some(MOST_WITHOUT_SIDECARS);
+            return Some(MAX_WITHOUT_SIDECARS);
         }
-        self.responsible(now, thing, most)
+        self.responsible(now, resource, most)
     }
 
     /// The lowest part of the sidecars that reported in a time span that ends now.
-    fn lowest_reach(&self, now: Millis, span: u64) -> f64 {
-        let steps = self.reach.iter().filter(|it| now.since(it.0).0 <= span + REACH_STEP);
+    fn lowest_coverage(&self, now: Millis, span: u64) -> f64 {
+        let steps =
+            self.coverage.iter().filter(|it| now.since(it.0).0 <= span + COVERAGE_BUCKET_MS);
         steps
             .map(|it| it.1)
             .fold(None, |low: Option<f64>, it| Some(low.map_or(it, |low| low.min(it))))
             .unwrap_or(0.0)
     }
 
-    fn was_told(&self, now: Millis) -> bool {
-        self.told_at.is_some_and(|at| now.since(at).0 <= UNSURE_AFTER)
+    fn receives_reports(&self, now: Millis) -> bool {
+        self.reported_at.is_some_and(|at| now.since(at).0 <= UNSURE_AFTER_MS)
     }
 
     fn heard_within(&self, now: Millis, span: u64) -> impl Iterator<Item = SocketAddr> + '_ {
@@ -312,10 +314,10 @@
     }
 }
 
-/// The rendezvous hash weight of an address for `thing`, the same in every process: FNV-1a, with a
+/// The rendezvous hash weight of an address for `resource`, the same in every process: FNV-1a, with a
 /// final mix of the bits for addresses that differ only in the last byte.
-pub(crate) fn weight(thing: &str, address: SocketAddr) -> u64 {
-    let text = format!("{thing} {address}");
+pub(crate) fn weight(resource: &str, address: SocketAddr) -> u64 {
+    let text = format!("{resource} {address}");
     let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     });
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -15,19 +15,19 @@
 use crate::members::weight;
 use crate::notices::{Notice, Notices};
 use crate::runner::{Runner, RunnerLife, RunnerLoad, RunnerRecord};
-use crate::silence::SilentHalls;
+use crate::silent_halls::SilentHalls;
 use crate::versions::NamedVersions;
 
 /// How long the information that a runner sent about itself is kept after its list entry has been
 /// removed, in milliseconds: longer than an outage of the store, after which expired entries come
 /// back.
-const DEPARTED_MEMORY: u64 = 60_000;
+const DEPARTED_MEMORY_MS: u64 = 60_000;
 
 /// The runners of every service, and the announced versions of their models.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     /// Name of the gateway.
-    me: InstanceId,
+    own_name: InstanceId,
     runners: BTreeMap<InstanceId, Runner>,
     by_service: HashMap<ServiceName, Vec<InstanceId>>,
     /// The newest runner of each service at an address. Another writer may list a runner of another
@@ -46,7 +46,7 @@
     /// Creates an empty pool.
     pub fn new(options: &GatewayOptions) -> Self {
         Self {
-            me: options.name.clone(),
+            own_name: options.name.clone(),
             named: NamedVersions::new(options.version_ms),
             evacuations: Evacuations::new(options.evacuate_ms, &options.ablation),
             ..Self::default()
@@ -96,11 +96,11 @@
     /// Adds a life of a runner.
     fn add(&mut self, now: Millis, record: RunnerRecord, restarts: u32) {
         let id = record.id.clone();
-        let here = self.by_address.entry(record.address).or_default();
-        here.insert(record.service.clone(), id.clone());
+        let at_address = self.by_address.entry(record.address).or_default();
+        at_address.insert(record.service.clone(), id.clone());
         self.by_service.entry(record.service.clone()).or_default().push(id.clone());
         let mut runner = Runner::new(now, record, restarts);
-        runner.weight = weight(&self.me.0, runner.record.address);
+        runner.weight = weight(&self.own_name.0, runner.record.address);
         // If there are few sidecars, all are followed; the sidecar of a new runner is then followed
         // at once, so that the versions its runner should hold are received.
         let listed = self.by_service.get(&runner.record.service).map_or(0, Vec::len);
@@ -121,13 +121,13 @@
         let Some(runner) = self.runners.remove(id) else {
             return;
         };
-        self.departed.retain(|_, (_, _, at)| now.since(*at).0 <= DEPARTED_MEMORY);
+        self.departed.retain(|_, (_, _, at)| now.since(*at).0 <= DEPARTED_MEMORY_MS);
         if runner.notices.binds(now) {
             self.departed.insert(id.clone(), (runner.life, runner.notices, now));
         }
-        if let Some(here) = self.by_address.get_mut(&runner.record.address) {
-            here.retain(|_, it| it != id);
-            if here.is_empty() {
+        if let Some(at_address) = self.by_address.get_mut(&runner.record.address) {
+            at_address.retain(|_, it| it != id);
+            if at_address.is_empty() {
                 self.by_address.remove(&runner.record.address);
             }
         }
@@ -138,7 +138,7 @@
 
     /// Applies a load report for the runner at an address. Returns reports of lives that differ
     /// from the known ones.
-    pub fn take_load(
+    pub fn apply_load(
         &mut self,
         now: Millis,
         address: SocketAddr,
@@ -147,14 +147,14 @@
         if let Some(named) = load.named.clone() {
             self.named.name(now, named);
         }
-        let here = self.by_address.get(&address).into_iter().flat_map(BTreeMap::values);
-        let ids: Vec<InstanceId> = here.cloned().collect();
-        let news = ids.into_iter().filter_map(|id| self.take_load_of(now, id, load.clone()));
+        let at_address = self.by_address.get(&address).into_iter().flat_map(BTreeMap::values);
+        let ids: Vec<InstanceId> = at_address.cloned().collect();
+        let news = ids.into_iter().filter_map(|id| self.apply_load_of(now, id, load.clone()));
         news.collect()
     }
 
     /// Applies the rate limit that the sidecar of the runner at an address reported.
-    pub fn take_limit(
+    pub fn apply_limit(
         &mut self,
         now: Millis,
         address: SocketAddr,
@@ -163,7 +163,7 @@
         let ids: Vec<InstanceId> =
             self.by_address.get(&address).into_iter().flat_map(BTreeMap::values).cloned().collect();
         let take = |id: InstanceId| {
-            let limit = self.runners.get_mut(&id)?.take_limit(now, told);
+            let limit = self.runners.get_mut(&id)?.apply_limit(now, told);
             let notice = Notice { limit, ..Notice::default() };
             (!notice.is_empty()).then_some(NoticeNews { runner: id, notice })
         };
@@ -171,7 +171,7 @@
     }
 
     /// Applies the rate limit of a life of a runner that another gateway reported.
-    pub fn take_life_limit(&mut self, now: Millis, told: &LifeLimit) -> Vec<NoticeNews> {
+    pub fn apply_life_limit(&mut self, now: Millis, told: &LifeLimit) -> Vec<NoticeNews> {
         let of_life = self.runners.iter_mut().filter(|(_, it)| it.life.digest == told.life);
         let news = of_life.filter_map(|(id, runner)| {
             let limit = runner.learn_limit(now, told.limit);
@@ -187,23 +187,23 @@
     }
 
     /// Applies a load report for a runner.
-    fn take_load_of(&mut self, now: Millis, id: InstanceId, load: RunnerLoad) -> Option<LifeNews> {
+    fn apply_load_of(&mut self, now: Millis, id: InstanceId, load: RunnerLoad) -> Option<LifeNews> {
         let runner = self.runners.get_mut(&id)?;
         self.silent.note_heard(&runner.record.hall);
         let news = life_news(runner, load.life, false);
         match news.as_ref().map(|it| it.change) {
-            None | Some(LifeChange::Same) => runner.take_load(now, load),
+            None | Some(LifeChange::Same) => runner.apply_load(now, load),
             Some(LifeChange::Began) => {
                 // The entry is still that of the previous life: the weights in it no longer apply.
                 let entry = runner.record.clone();
                 let record = RunnerRecord { life: load.life, weights: None, ..entry };
                 let restarts = runner.life.restarts + 1;
-                let past_birth =
-                    runner.born.or(runner.past_birth).filter(|_| load.life.born.is_none());
+                let previous_born =
+                    runner.born.or(runner.previous_born).filter(|_| load.life.born.is_none());
                 self.replace(now, record, restarts);
                 let runner = self.runners.get_mut(&id)?;
-                runner.past_birth = past_birth;
-                runner.take_load(now, load);
+                runner.previous_born = previous_born;
+                runner.apply_load(now, load);
             }
             Some(LifeChange::Earlier | LifeChange::Untold) => {}
         }
@@ -300,16 +300,22 @@
 
     /// Records that the runners of a service in a data hall may have become cold recently, for at
     /// most `start_ms` milliseconds.
-    pub fn doubt_warmth(&mut self, now: Millis, hall: &Hall, service: &ServiceName, start_ms: u64) {
+    pub fn mark_possibly_cold(
+        &mut self,
+        now: Millis,
+        hall: &Hall,
+        service: &ServiceName,
+        start_ms: u64,
+    ) {
         let runners = self.runners.values_mut().filter(|it| &it.record.service == service);
         let there = runners.filter(|it| &it.record.hall == hall);
-        there.for_each(|it| it.doubt_warmth(now, start_ms));
+        there.for_each(|it| it.mark_possibly_cold(now, start_ms));
     }
 
     /// Records that the list is complete up to now, which ends doubts about cold runners that the
     /// list can answer.
-    pub fn settle_doubts(&mut self, now: Millis) {
-        self.runners.values_mut().for_each(|it| it.settle_doubt(now));
+    pub fn end_cold_doubts(&mut self, now: Millis) {
+        self.runners.values_mut().for_each(|it| it.end_cold_doubt(now));
     }
 
     /// The number of runners that reported that they are draining, and of those in a backoff.
--- a/components/gateway/src/shares.rs
+++ b/components/gateway/src/rate_shares.rs
@@ -5,15 +5,15 @@
 use fleet::{Bucket, InstanceId, Millis};
 
 /// Requests of one gateway that may be sent at once.
-pub(crate) const BURST: f64 = 1.0;
+pub(crate) const BURST_REQUESTS: f64 = 1.0;
 
 /// A token bucket for each runner that this gateway may send to. It may send to no other runner.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RunnerShares {
+pub(crate) struct RateShares {
     buckets: BTreeMap<InstanceId, Bucket>,
 }
 
-impl RunnerShares {
+impl RateShares {
     /// Sets how many requests per second this gateway may send to a runner. Unused capacity from
     /// before the first call does not count.
     pub(crate) fn set(&mut self, now: Millis, runner: &InstanceId, per_s: f64) {
@@ -22,7 +22,7 @@
             bucket.empty(now);
             bucket
         });
-        bucket.set(now, per_s, BURST);
+        bucket.set(now, per_s, BURST_REQUESTS);
     }
 
     /// Removes the share for a runner.
@@ -36,18 +36,18 @@
     }
 
     /// Whether a request may be sent to a runner now.
-    pub(crate) fn has_turn(&self, now: Millis, runner: &InstanceId) -> bool {
+    pub(crate) fn has_token(&self, now: Millis, runner: &InstanceId) -> bool {
         self.buckets.get(runner).is_some_and(|it| it.has_one(now))
     }
 
     /// In how many milliseconds a request may be sent to a runner. `None` if this gateway has no
     /// share.
-    pub(crate) fn turn_in_ms(&self, now: Millis, runner: &InstanceId) -> Option<u64> {
+    pub(crate) fn rate_allows_in_ms(&self, now: Millis, runner: &InstanceId) -> Option<u64> {
         self.buckets.get(runner)?.ready_in_ms(now)
     }
 
     /// Counts a request that is sent to a runner, if the share allows one now.
-    pub(crate) fn take_turn(&mut self, now: Millis, runner: &InstanceId) -> bool {
+    pub(crate) fn take_token(&mut self, now: Millis, runner: &InstanceId) -> bool {
         self.buckets.get_mut(runner).is_some_and(|it| it.take(now))
     }
 }
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -14,13 +14,13 @@
 /// Random delay of a write, in milliseconds, so that gateways that receive an announcement together
 /// do not write at once. The first write is sufficient. Power may be lost soon after an
 /// announcement, so the delay is short.
-const WRITE_SPREAD: u64 = 400;
+const WRITE_SPREAD_MS: u64 = 400;
 /// Delay after the first failed call, in milliseconds; it doubles with each failure. Refused calls
 /// load the store too.
-const FIRST_PAUSE: u64 = 250;
+const FIRST_RETRY_DELAY_MS: u64 = 250;
 /// Maximum number of doublings of the delay: it stays well below the time for which a row is
 /// useful.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
 /// When a version was first announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -108,10 +108,10 @@
     /// When the ages of all versions that are known to be announced stop being useful.
     read_until: Millis,
     /// When the last call became due.
-    asked_at: Millis,
+    called_at: Millis,
     pending: BTreeMap<ModelName, Pending>,
     /// Rows that are up to date as far as is known, and until when they are useful.
-    settled: BTreeMap<ModelName, (FirstHeard, Millis)>,
+    written: BTreeMap<ModelName, (FirstHeard, Millis)>,
     /// Last seen revisions of the rows.
     revisions: BTreeMap<ModelName, u64>,
     failures: u32,
@@ -127,9 +127,9 @@
             unknown: BTreeMap::new(),
             read_at: None,
             read_until: Millis(0),
-            asked_at: Millis(0),
+            called_at: Millis(0),
             pending: BTreeMap::new(),
-            settled: BTreeMap::new(),
+            written: BTreeMap::new(),
             revisions: BTreeMap::new(),
             failures: 0,
         }
@@ -160,7 +160,7 @@
         };
         self.remember(now, &model, OlderName { version, not_before_ms });
         let heard = FirstHeard { model: model.clone(), version, not_before_ms, older: Vec::new() };
-        let at = now.plus(seed % WRITE_SPREAD);
+        let at = now.plus(seed % WRITE_SPREAD_MS);
         let until = now.plus(self.version_ms);
         self.pending.insert(model, Pending { heard, at, until, has_differed: false });
     }
@@ -170,9 +170,9 @@
     /// conditions that hold then, by the gateway for which `is_mine` is true.
     pub fn note_went_back(&mut self, now: Millis, seed: u64, is_mine: impl Fn(&ModelName) -> bool) {
         self.revisions.clear();
-        let settled = std::mem::take(&mut self.settled);
-        let at = now.plus(seed % WRITE_SPREAD);
-        for (model, (heard, until)) in settled {
+        let written = std::mem::take(&mut self.written);
+        let at = now.plus(seed % WRITE_SPREAD_MS);
+        for (model, (heard, until)) in written {
             if now < until && is_mine(&model) {
                 let pending = Pending { heard, at, until, has_differed: false };
                 self.pending.entry(model).or_insert(pending);
@@ -199,7 +199,7 @@
             self.unknown.clear();
             self.read_at = None;
         }
-        self.asked_at = now;
+        self.called_at = now;
         if self.read_at.is_some_and(|at| at <= now) {
             return Some(RecordCall::Read);
         }
@@ -241,26 +241,26 @@
         answer: RecordAnswer,
     ) -> Vec<NamedVersion> {
         match (call, answer) {
-            (_, RecordAnswer::Failed) => self.wait(now, seed, call),
+            (_, RecordAnswer::Failed) => self.retry_later(now, seed, call),
             (RecordCall::Read, RecordAnswer::Rows(rows, clock_ms)) => {
                 self.failures = 0;
                 // The store may have read its clock as soon as it received the request, so the
                 // duration of the call is added.
-                let clock_ms = clock_ms.saturating_add(now.since(self.asked_at).0);
-                return self.take_rows(now, rows, clock_ms);
+                let clock_ms = clock_ms.saturating_add(now.since(self.called_at).0);
+                return self.apply_rows(now, rows, clock_ms);
             }
             (RecordCall::Write(heard, _), RecordAnswer::Written(revision)) => {
                 self.failures = 0;
                 self.revisions.insert(heard.model.clone(), revision);
-                self.settle(heard);
+                self.mark_written(heard);
             }
             (RecordCall::Write(heard, expected), RecordAnswer::Differs(row)) => {
-                self.take_other(now, heard, *expected, row);
-                self.pause_if_differed(now, seed, call);
+                self.apply_found_row(now, heard, *expected, row);
+                self.delay_if_differs_again(now, seed, call);
             }
             // The result does not match the call.
             (RecordCall::Read, _) | (RecordCall::Write(..), RecordAnswer::Rows(..)) => {
-                self.wait(now, seed, call);
+                self.retry_later(now, seed, call);
             }
         }
         Vec::new()
@@ -268,7 +268,12 @@
 
     /// Applies all rows. `clock_ms` is the latest time that the store's clock may show now. If no
     /// row was written for a version, its age remains unknown.
-    fn take_rows(&mut self, now: Millis, rows: Vec<RecordRow>, clock_ms: u64) -> Vec<NamedVersion> {
+    fn apply_rows(
+        &mut self,
+        now: Millis,
+        rows: Vec<RecordRow>,
+        clock_ms: u64,
+    ) -> Vec<NamedVersion> {
         self.read_at = None;
         let unknown = std::mem::take(&mut self.unknown);
         let mut ages = Vec::new();
@@ -318,7 +323,7 @@
     }
 
     /// Applies the row that was found instead of the expected one.
-    fn take_other(
+    fn apply_found_row(
         &mut self,
         now: Millis,
         heard: &FirstHeard,
@@ -333,44 +338,44 @@
         let found_version = row.and_then(|it| it.heard).map_or(0, |it| it.version);
         // The same condition would fail forever: the store contradicts itself.
         if found_version >= heard.version || found == expected {
-            self.settle(heard);
+            self.mark_written(heard);
         }
     }
 
     /// Delays the next write of a row that differed again although the write expected its reported
     /// state; otherwise writes would repeat without end.
-    fn pause_if_differed(&mut self, now: Millis, seed: u64, call: &RecordCall) {
+    fn delay_if_differs_again(&mut self, now: Millis, seed: u64, call: &RecordCall) {
         let RecordCall::Write(heard, _) = call else {
             return;
         };
         let pending = self.pending.get_mut(&heard.model);
         let differed = pending.map(|it| std::mem::replace(&mut it.has_differed, true));
         match differed {
-            Some(true) => self.wait(now, seed, call),
+            Some(true) => self.retry_later(now, seed, call),
             Some(false) | None => self.failures = 0,
         }
     }
 
     /// Marks a row as written.
-    fn settle(&mut self, heard: &FirstHeard) {
+    fn mark_written(&mut self, heard: &FirstHeard) {
         let is_it = |it: &Pending| it.heard.version <= heard.version;
         if self.pending.get(&heard.model).is_some_and(is_it) {
             let done = self.pending.remove(&heard.model).map(|it| (it.heard, it.until));
-            self.settled.extend(done.map(|it| (heard.model.clone(), it)));
+            self.written.extend(done.map(|it| (heard.model.clone(), it)));
         }
     }
 
     /// Delays a failed call, longer with each failure.
-    fn wait(&mut self, now: Millis, seed: u64, call: &RecordCall) {
-        let pause = FIRST_PAUSE << self.failures.min(MOST_DOUBLINGS);
+    fn retry_later(&mut self, now: Millis, seed: u64, call: &RecordCall) {
+        let delay = FIRST_RETRY_DELAY_MS << self.failures.min(MAX_RETRY_DOUBLINGS);
         self.failures += 1;
         // Random delays separate gateways that failed at the same time.
-        let again = now.plus(pause / 2 + seed % pause);
+        let retry_at = now.plus(delay / 2 + seed % delay);
         match call {
-            RecordCall::Read => self.read_at = self.read_at.map(|_| again),
+            RecordCall::Read => self.read_at = self.read_at.map(|_| retry_at),
             RecordCall::Write(heard, _) => {
                 if let Some(pending) = self.pending.get_mut(&heard.model) {
-                    pending.at = again;
+                    pending.at = retry_at;
                 }
             }
         }
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -3,11 +3,11 @@
 mod attempts;
 mod cold;
 mod crashes;
-mod following;
+mod followed_sidecars;
 mod limits;
 mod progress;
 mod queue;
-mod sending;
+mod send_checks;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,30 +22,30 @@
 use rand::SeedableRng;
 
 use self::progress::{Chosen, Progress};
-use self::queue::Place;
+use self::queue::QueuePosition;
 use crate::budget::{BudgetLimits, RetryBudget};
 use crate::catalog::Catalog;
 use crate::choice::Chooser;
-use crate::cold::ColdGates;
-use crate::comeback::Shortage;
-use crate::event::{Arrival, Effect, Event, GatewayOptions, LifeNews, Reach, RequestKey};
+use crate::cold::ColdRateShares;
+use crate::event::{Arrival, Effect, Event, GatewayOptions, LifeNews, RequestKey, RunnerScope};
+use crate::home_demand::HomeDemand;
 use crate::home_faults::{self, HomeFault};
-use crate::home_room::HomeRoom;
-use crate::limits::LimitGates;
+use crate::later_tries::UsualDeadlines;
+use crate::limits::LimitRateShares;
 use crate::members::Members;
 use crate::notices::Notice;
 use crate::pool::Pool;
-use crate::standstill::Standstill;
-use crate::tries::UsualDeadlines;
+use crate::resume_hold::ResumeHold;
+use crate::retry_delay::Shortage;
 
 /// Part of its target latency that a request may wait for a slot: an earlier refusal leaves the
 /// caller time to come back.
-const WAIT_SHARE: f64 = 0.22;
+const MAX_WAIT_SHARE: f64 = 0.22;
 /// How much longer a request that was held after a process pause may wait for a slot, in
 /// milliseconds: as long as a request with a target latency of 500 ms.
-const WAIT_AFTER_HOLD: u64 = 110;
+const WAIT_AFTER_HOLD_MS: u64 = 110;
 /// Part of the retry ratio that is used, as a margin for what cannot be counted exactly.
-const RATIO_SHARE: f64 = 0.75;
+const RETRY_RATIO_SHARE: f64 = 0.75;
 
 /// The state of a gateway.
 pub struct Gateway {
@@ -53,18 +53,18 @@
     catalog: Option<Arc<Catalog>>,
     pool: Pool,
     members: Members,
-    cold: ColdGates,
-    limits: LimitGates,
+    cold: ColdRateShares,
+    limits: LimitRateShares,
     budgets: BTreeMap<ServiceName, RetryBudget>,
-    shortages: BTreeMap<Arc<Reach>, Shortage>,
+    shortages: BTreeMap<Arc<RunnerScope>, Shortage>,
     /// Faults of the home regions in the current configuration.
     home_faults: Vec<HomeFault>,
-    home_room: HomeRoom,
+    home_demand: HomeDemand,
     usual_deadlines: UsualDeadlines,
     crashes: Crashes<RequestKey>,
     requests: BTreeMap<RequestKey, Progress>,
-    queue: BTreeSet<Place>,
-    standstill: Standstill,
+    queue: BTreeSet<QueuePosition>,
+    resume_hold: ResumeHold,
 }
 
 impl Gateway {
@@ -73,19 +73,19 @@
         Self {
             pool: Pool::new(&options),
             members: Members::new(options.budget_window_ms),
-            cold: ColdGates::default(),
-            limits: LimitGates::default(),
+            cold: ColdRateShares::default(),
+            limits: LimitRateShares::default(),
             options,
             catalog: None,
             budgets: BTreeMap::new(),
             shortages: BTreeMap::new(),
             home_faults: Vec::new(),
-            home_room: HomeRoom::default(),
+            home_demand: HomeDemand::default(),
             usual_deadlines: UsualDeadlines::default(),
             crashes: Crashes::default(),
             requests: BTreeMap::new(),
             queue: BTreeSet::new(),
-            standstill: Standstill::default(),
+            resume_hold: ResumeHold::default(),
         }
     }
 
@@ -126,7 +126,7 @@
 
     /// Whether a request needs a reservation from the sidecar of its runner.
     fn asks_sidecars(&self, arrival: &Arrival) -> bool {
-        arrival.model.is_some() && self.keeps(Mechanism::Reservations)
+        arrival.model.is_some() && self.is_enabled(Mechanism::Reservations)
     }
 
     /// Faults of the home regions in the current configuration.
@@ -136,7 +136,7 @@
 
     /// The number of tight home regions, summed over all services.
     pub fn tight_homes(&self, now: Millis) -> usize {
-        self.home_room.count_tight(now, &self.options.halls)
+        self.home_demand.count_tight(now, &self.options.halls)
     }
 
     /// The evacuated data halls, as reported to other processes.
@@ -188,22 +188,22 @@
                 effects
             }
             Event::Woke => {
-                self.standstill.note_woke(now);
+                self.resume_hold.begin(now);
                 Vec::new()
             }
-            Event::Confirmed(table, asked) => {
-                if !self.standstill.confirm(table, asked) {
+            Event::Confirmed(table, queries) => {
+                if !self.resume_hold.confirm(table, queries) {
                     return Vec::new();
                 }
-                self.go_on(now, &mut random)
+                self.resume_after_hold(now, &mut random)
             }
             Event::ListHeard => {
-                self.pool.settle_doubts(now);
+                self.pool.end_cold_doubts(now);
                 Vec::new()
             }
             Event::Listed(record) => {
                 let news = self.pool.list(now, record);
-                let mut effects = self.note_lives(news);
+                let mut effects = self.handle_life_news(news);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
@@ -213,36 +213,36 @@
                 Vec::new()
             }
             Event::Load(address, load) => {
-                let news = self.pool.take_load(now, address, load);
-                let mut effects = self.note_lives(news);
+                let news = self.pool.apply_load(now, address, load);
+                let mut effects = self.handle_life_news(news);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
             Event::LimitTold(address, told) => {
-                let news = self.pool.take_limit(now, address, told);
+                let news = self.pool.apply_limit(now, address, told);
                 self.note_limits(now, news)
             }
-            Event::Limits(told) => self.take_limits(now, &told),
+            Event::Limits(told) => self.apply_limits(now, &told),
             Event::Gateways(list) => {
                 self.members.take(now, list);
                 Vec::new()
             }
-            Event::Crashes(list) => self.take_crashes(now, &mut random, &list),
+            Event::Crashes(list) => self.merge_crashes(now, &mut random, &list),
             Event::Recorded(digest) => {
                 self.crashes.ledger.note_recorded(now, digest);
                 Vec::new()
             }
             Event::Arrived(arrival) => self.arrive(now, &mut random, arrival),
-            Event::Noticed(key, notice) => self.take_notice(now, key, notice),
-            Event::Attempt(key, outcome) => self.take_outcome(now, &mut random, key, outcome),
+            Event::Noticed(key, notice) => self.apply_notice(now, key, notice),
+            Event::Attempt(key, outcome) => self.apply_outcome(now, &mut random, key, outcome),
             Event::Gone(key) => self.end(now, &mut random, key),
             Event::Tick => {
-                self.look_around(now);
-                self.tend_cold_runners(now);
-                self.tend_limited_runners(now);
-                let mut effects = self.settle_crashes(now);
-                if self.standstill.settle(now) {
-                    effects.extend(self.go_on(now, &mut random));
+                self.run_periodic_checks(now);
+                self.update_cold_shares(now);
+                self.update_limit_shares(now);
+                let mut effects = self.classify_crashes(now);
+                if self.resume_hold.settle(now) {
+                    effects.extend(self.resume_after_hold(now, &mut random));
                 }
                 let changes = self.pool.evacuations.settle(now);
                 effects.extend(self.note_evacuations(now, changes));
@@ -257,7 +257,7 @@
     fn note_evacuations(&mut self, now: Millis, changes: Vec<EvacuationChange>) -> Vec<Effect> {
         for change in &changes {
             if let EvacuationChange::Ended { hall, .. } = change {
-                self.doubt_warmth(now, hall);
+                self.mark_possibly_cold(now, hall);
             }
         }
         changes.into_iter().map(Effect::Evacuation).collect()
@@ -267,7 +267,7 @@
     fn configure(&mut self, catalog: Arc<Catalog>) -> Vec<Effect> {
         for progress in self.requests.values_mut() {
             progress.arrival.settle(&catalog);
-            progress.reach = progress.arrival.reach();
+            progress.scope = progress.arrival.scope();
         }
         self.note_cold_services(&catalog);
         self.home_faults = home_faults::find(&catalog, &self.options.halls);
@@ -282,34 +282,34 @@
         if let Some(catalog) = &self.catalog {
             arrival.settle(catalog);
         }
-        if self.keeps(Mechanism::HomeRoom) {
-            self.home_room.note(now, &arrival);
+        if self.is_enabled(Mechanism::HomeRoom) {
+            self.home_demand.note(now, &arrival);
         }
         let key = arrival.key;
         self.budget(now, &arrival.service).count_request(now);
         if let Some(refused) = self.refuse_quarantined(now, &arrival) {
             return refused;
         }
-        let share = if self.keeps(Mechanism::Waiting) { WAIT_SHARE } else { 0.0 };
+        let share = if self.is_enabled(Mechanism::Waiting) { MAX_WAIT_SHARE } else { 0.0 };
         let wait = (arrival.aim_ms as f64 * share) as u64;
-        let reach = arrival.reach();
-        let is_calm = self.shortages.get(&reach).is_none_or(|it| it.is_past(now));
+        let scope = arrival.scope();
+        let is_calm = self.shortages.get(&scope).is_none_or(|it| it.is_over(now));
         let looks_later = self.usual_deadlines.is_later(&arrival, is_calm);
         let progress = Progress {
             wait_until: now.plus(wait).min(arrival.limit),
-            aim_until: now.plus(arrival.aim_ms),
-            is_later: looks_later && self.keeps(Mechanism::FirstTries),
+            on_time_until: now.plus(arrival.aim_ms),
+            is_later: looks_later && self.is_enabled(Mechanism::FirstTries),
             tried: Vec::new(),
             current: None,
             sent_at: now,
             was_denied: false,
             short_ms: 0,
             is_suspect: false,
-            asked: 0,
+            queries: 0,
             answered: false,
             may_have_run: false,
             reason: Code::Overloaded,
-            reach,
+            scope,
             arrival,
         };
         self.enqueue(key, &progress);
@@ -332,7 +332,7 @@
     }
 
     /// Applies reports of lives of runners that differ from the known ones.
-    fn note_lives(&mut self, news: impl IntoIterator<Item = LifeNews>) -> Vec<Effect> {
+    fn handle_life_news(&mut self, news: impl IntoIterator<Item = LifeNews>) -> Vec<Effect> {
         let note = |it: LifeNews| {
             if it.change == LifeChange::Began {
                 self.cold.close(&it.runner);
@@ -344,7 +344,7 @@
 
     /// Applies information that the runner of an attempt sent about itself. Information from before
     /// its current life is ignored.
-    fn take_notice(&mut self, now: Millis, key: RequestKey, notice: Notice) -> Vec<Effect> {
+    fn apply_notice(&mut self, now: Millis, key: RequestKey, notice: Notice) -> Vec<Effect> {
         let Some(progress) = self.requests.get(&key) else {
             return Vec::new();
         };
@@ -361,10 +361,10 @@
     }
 
     /// Resumes sending after a hold. Each queued request gets a little more time to find a slot.
-    fn go_on(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
+    fn resume_after_hold(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
         for place in &self.queue {
             if let Some(progress) = self.requests.get_mut(&place.key) {
-                let wait_until = progress.wait_until.max(now.plus(WAIT_AFTER_HOLD));
+                let wait_until = progress.wait_until.max(now.plus(WAIT_AFTER_HOLD_MS));
                 progress.wait_until = wait_until.min(progress.arrival.limit);
             }
         }
@@ -375,14 +375,14 @@
         Chooser {
             pool: &self.pool,
             options: &self.options,
-            room: &self.home_room,
+            room: &self.home_demand,
             cold: &self.cold,
             limits: &self.limits,
         }
     }
 
     /// Whether a mechanism is enabled.
-    fn keeps(&self, mechanism: Mechanism) -> bool {
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.options.ablation.keeps(mechanism)
     }
 
@@ -396,7 +396,7 @@
     fn budget_limits(&self, now: Millis) -> BudgetLimits {
         let options = &self.options;
         let share =
-            if options.ablation.keeps(Mechanism::BudgetReserve) { RATIO_SHARE } else { 1.0 };
+            if options.ablation.keeps(Mechanism::BudgetReserve) { RETRY_RATIO_SHARE } else { 1.0 };
         BudgetLimits {
             window_ms: options.budget_window_ms,
             ratio: options.budget_ratio * share,
@@ -405,21 +405,21 @@
     }
 
     /// Consumes one retry if this gateway has one left.
-    fn take_repeat(&mut self, now: Millis, service: &ServiceName) -> bool {
+    fn take_retry(&mut self, now: Millis, service: &ServiceName) -> bool {
         let limits = self.budget_limits(now);
         let budget = self.budget(now, service);
         budget.set_limits(limits);
-        budget.take_repeat(now)
+        budget.take_retry(now)
     }
 
-    fn look_around(&mut self, now: Millis) {
+    fn run_periodic_checks(&mut self, now: Millis) {
         // Sets of home regions change with configurations; without this, past shortages of each
         // would accumulate.
-        self.shortages.retain(|_, it| !it.is_past(now));
-        if self.members.wants_reach(now) {
+        self.shortages.retain(|_, it| !it.is_over(now));
+        if self.members.wants_coverage(now) {
             self.follow_sidecars(now);
-            let reach = self.reach(now);
-            self.members.note_reach(now, reach);
+            let coverage = self.sidecar_coverage(now);
+            self.members.note_coverage(now, coverage);
         }
     }
 }
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -4,22 +4,22 @@
 use fleet::{Mechanism, Millis};
 use rand::rngs::SmallRng;
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::{Chosen, Gateway};
 use crate::event::{AttemptOutcome, Effect, RequestKey};
 
 /// How long a request that may have run already waits for another slot, in milliseconds.
-const RESUME_WAIT: u64 = 600;
+const RESUME_WAIT_MS: u64 = 600;
 /// Maximum pause of a runner whose sidecar denied a reservation, in milliseconds.
-const MAX_DENIED_PAUSE: u64 = 500;
+const MAX_DENIED_PAUSE_MS: u64 = 500;
 /// The same for a runner that has a rate limit, in milliseconds: its limit may end meanwhile.
-const MAX_NO_TURN: u64 = 2000;
+const MAX_RATE_PAUSE_MS: u64 = 2000;
 /// Pause of a runner that reported that it is full, in milliseconds.
-const FULL_PAUSE: u64 = 60;
+const FULL_PAUSE_MS: u64 = 60;
 
 impl Gateway {
     /// Handles the result of an attempt: the request continues, is retried or ends.
-    pub(super) fn take_outcome(
+    pub(super) fn apply_outcome(
         &mut self,
         now: Millis,
         random: &mut SmallRng,
@@ -64,7 +64,7 @@
         if outcome == AttemptOutcome::Lost && !answered {
             self.note_wait(now, &chosen, waited);
         }
-        self.judge(now, key, &chosen, outcome, was_suspect);
+        self.record_outcome(now, key, &chosen, outcome, was_suspect);
         let mut effects = self.note_end(now, digest, &chosen, outcome);
         if outcome == AttemptOutcome::Finished {
             self.requests.remove(&key);
@@ -72,7 +72,7 @@
             effects.extend(self.dispatch(now, random));
             return effects;
         }
-        effects.extend(self.try_again(now, random, key, outcome));
+        effects.extend(self.retry_or_end(now, random, key, outcome));
         effects.extend(self.dispatch(now, random));
         effects
     }
@@ -80,12 +80,12 @@
     /// Records how long a request waited at a runner.
     fn note_wait(&mut self, now: Millis, chosen: &Chosen, waited: Millis) {
         if let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) {
-            runner.note_first(now, waited);
+            runner.note_first_byte(now, waited);
         }
     }
 
     /// Records the result of an attempt in the state of its runner.
-    fn judge(
+    fn record_outcome(
         &mut self,
         now: Millis,
         key: RequestKey,
@@ -93,7 +93,7 @@
         outcome: AttemptOutcome,
         was_suspect: bool,
     ) {
-        let suspects = self.keeps(Mechanism::Suspicion);
+        let is_suspicion_enabled = self.is_enabled(Mechanism::Suspicion);
         // Results of an earlier life say nothing about the current one.
         let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) else {
             return;
@@ -105,28 +105,28 @@
         runner.notices.rest.note_end(key);
         let is_limited = runner.notices.limit.rate().is_some();
         match outcome {
-            AttemptOutcome::Answered | AttemptOutcome::Finished => runner.reward(),
-            AttemptOutcome::Full => runner.note_full(now, FULL_PAUSE),
+            AttemptOutcome::Answered | AttemptOutcome::Finished => runner.note_response(),
+            AttemptOutcome::Full => runner.note_full(now, FULL_PAUSE_MS),
             // The sidecar enforces the rate limit, so it knows when the next reservation is
             // possible.
             AttemptOutcome::Denied { again_ms, .. } if is_limited => {
-                runner.note_no_turn(now, again_ms.min(MAX_NO_TURN));
+                runner.note_rate_exhausted(now, again_ms.min(MAX_RATE_PAUSE_MS));
             }
             AttemptOutcome::Denied { again_ms, .. } => {
-                runner.note_full(now, again_ms.min(MAX_DENIED_PAUSE));
+                runner.note_full(now, again_ms.min(MAX_DENIED_PAUSE_MS));
             }
             AttemptOutcome::Misdirected => runner.misdirected = true,
             AttemptOutcome::NotSent
             | AttemptOutcome::Silent
             | AttemptOutcome::Lost
             | AttemptOutcome::Cut => {
-                if suspects {
-                    runner.punish(now);
+                if is_suspicion_enabled {
+                    runner.note_failure(now);
                 }
             }
             // Its sidecar does not enforce the rate limit, and this gateway has used its share.
             AttemptOutcome::Withdrawn if is_limited => {
-                runner.note_no_turn(now, MAX_DENIED_PAUSE);
+                runner.note_rate_exhausted(now, MAX_DENIED_PAUSE_MS);
             }
             AttemptOutcome::Failed
             | AttemptOutcome::Expired
@@ -135,13 +135,15 @@
         }
         if outcome.was_answered() {
             self.pool.note_answered(now, &chosen.id, chosen.life);
-        } else if suspects && matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Silent) {
+        } else if is_suspicion_enabled
+            && matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Silent)
+        {
             self.pool.note_unanswered(now, &chosen.id);
         }
     }
 
     /// Queues a request for another attempt, or ends it.
-    fn try_again(
+    fn retry_or_end(
         &mut self,
         now: Millis,
         random: &mut SmallRng,
@@ -152,28 +154,29 @@
             return Vec::new();
         };
         let arrival = &progress.arrival;
-        let allowed = !progress.may_have_run || arrival.kind.is_repeatable();
-        let left = (progress.tried.len() as u32) < arrival.attempts.max(1);
+        let may_repeat = !progress.may_have_run || arrival.kind.is_repeatable();
+        let has_attempts_left = (progress.tried.len() as u32) < arrival.attempts.max(1);
         let (service, limit) = (arrival.service.clone(), arrival.limit);
         // An attempt that never reached a runner causes no load there, so it costs no retry.
-        let free = !outcome.has_arrived();
-        if self.bar(now, key) {
+        let is_free = !outcome.has_arrived();
+        if self.bar_if_quarantined(now, key) {
             return self.finish_without_answer(now, random, key);
         }
-        if !allowed || !left || now >= limit {
+        if !may_repeat || !has_attempts_left || now >= limit {
             return self.finish_without_answer(now, random, key);
         }
-        if !free && !self.take_repeat(now, &service) {
+        if !is_free && !self.take_retry(now, &service) {
             return self.finish_without_answer(now, random, key);
         }
-        let resumes_patiently = self.keeps(Mechanism::ResumeWait);
+        let waits_to_resume = self.is_enabled(Mechanism::ResumeWait);
         let Some(progress) = self.requests.get_mut(&key) else {
             return Vec::new();
         };
-        let wait = if progress.may_have_run && resumes_patiently { RESUME_WAIT } else { 0 };
+        let wait = if progress.may_have_run && waits_to_resume { RESUME_WAIT_MS } else { 0 };
         progress.wait_until = progress.wait_until.max(now.plus(wait)).min(progress.arrival.limit);
-        let place = Place { priority: 0, is_later: progress.stands_behind(), key };
-        self.queue.insert(place);
+        let position =
+            QueuePosition { priority: 0, is_later: progress.yields_to_first_tries(), key };
+        self.queue.insert(position);
         if matches!(outcome, AttemptOutcome::Denied { .. }) {
             return Vec::new();
         }
--- a/components/gateway/src/reducer/cold.rs
+++ b/components/gateway/src/reducer/cold.rs
@@ -24,20 +24,20 @@
 
     /// Records that runners of a data hall may have become cold recently, for services whose
     /// runners start cold.
-    pub(super) fn doubt_warmth(&mut self, now: Millis, hall: &Hall) {
+    pub(super) fn mark_possibly_cold(&mut self, now: Millis, hall: &Hall) {
         let Some(catalog) = self.catalog.clone().filter(|_| self.options.cold.is_some()) else {
             return;
         };
         for service in catalog.services() {
             if let Some(profile) = service.cold {
-                self.pool.doubt_warmth(now, hall, &service.name, profile.start_ms);
+                self.pool.mark_possibly_cold(now, hall, &service.name, profile.start_ms);
             }
         }
     }
 
     /// Updates the rate share for each cold runner, depending on whether this gateway is
     /// responsible for it.
-    pub(super) fn tend_cold_runners(&mut self, now: Millis) {
+    pub(super) fn update_cold_shares(&mut self, now: Millis) {
         let services: Vec<(ServiceName, ColdShare)> = self.cold.services().collect();
         if services.is_empty() {
             return;
@@ -63,7 +63,7 @@
         let services = catalog.into_iter().flat_map(|it| it.services());
         let models = services.filter(|it| it.engine.is_some() && it.cold.is_some());
         let runners = models.flat_map(|it| self.pool.of_service(&it.name));
-        runners.map(|it| (it.record.address.ip(), it.cold_told_ms(now))).collect()
+        runners.map(|it| (it.record.address.ip(), it.cold_reported_ms(now))).collect()
     }
 
     /// The numbers of cold plain runners and of those that this gateway may send to.
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -45,7 +45,7 @@
     }
 
     /// Bars a request from further attempts if it is quarantined now, and returns whether it is.
-    pub(super) fn bar(&mut self, now: Millis, key: RequestKey) -> bool {
+    pub(super) fn bar_if_quarantined(&mut self, now: Millis, key: RequestKey) -> bool {
         let Some(progress) = self.requests.get_mut(&key) else {
             return false;
         };
@@ -74,7 +74,7 @@
     }
 
     /// Decides which of the attempts that were cut off were crashes.
-    pub(super) fn settle_crashes(&mut self, now: Millis) -> Vec<Effect> {
+    pub(super) fn classify_crashes(&mut self, now: Millis) -> Vec<Effect> {
         self.crashes.ledger.forget_old(now);
         let pool = &self.pool;
         let sign = |id: &InstanceId, life: LifeDigest| match pool.runner(id) {
@@ -85,7 +85,7 @@
     }
 
     /// Merges the crashes that other processes report.
-    pub(super) fn take_crashes(
+    pub(super) fn merge_crashes(
         &mut self,
         now: Millis,
         random: &mut SmallRng,
--- a/components/gateway/src/reducer/following.rs
+++ b/components/gateway/src/reducer/followed_sidecars.rs
@@ -8,7 +8,7 @@
 
 /// Maximum age of a report that shows that its sidecar is reachable, in milliseconds: several times
 /// the interval of reports to other data halls.
-const REACH_AGE: u64 = 2000;
+const MAX_REPORT_AGE_MS: u64 = 2000;
 
 impl Gateway {
     /// Selects the sidecars that this gateway follows.
@@ -40,13 +40,13 @@
 
     /// The part of the followed sidecars that this gateway receives reports from. `None` if it
     /// follows none.
-    pub(super) fn reach(&self, now: Millis) -> Option<f64> {
-        let (mut all, mut heard) = (0.0, 0.0);
+    pub(super) fn sidecar_coverage(&self, now: Millis) -> Option<f64> {
+        let (mut all, mut reachable) = (0.0, 0.0);
         for runner in self.followed().filter(|it| it.is_open()) {
             all += 1.0;
-            let is_heard = runner.report_age(now).is_some_and(|age| age.0 <= REACH_AGE);
-            heard += f64::from(u8::from(is_heard));
+            let is_reachable = runner.report_age(now).is_some_and(|age| age.0 <= MAX_REPORT_AGE_MS);
+            reachable += f64::from(u8::from(is_reachable));
         }
-        (all > 0.0).then(|| heard / all)
+        (all > 0.0).then(|| reachable / all)
     }
 }
--- a/components/gateway/src/reducer/limits.rs
+++ b/components/gateway/src/reducer/limits.rs
@@ -6,15 +6,15 @@
 
 use super::Gateway;
 use crate::event::{Effect, NoticeNews};
-use crate::limits::{draw_told, most_gateways, LifeLimit};
+use crate::limits::{draw_limits, max_gateways, LifeLimit};
 use crate::notices::Notice;
 
 impl Gateway {
     /// Applies the limits that other gateways received, as a sidecar reports.
-    pub(super) fn take_limits(&mut self, now: Millis, told: &[LifeLimit]) -> Vec<Effect> {
+    pub(super) fn apply_limits(&mut self, now: Millis, told: &[LifeLimit]) -> Vec<Effect> {
         let mut news = Vec::new();
         for it in told {
-            news.extend(self.pool.take_life_limit(now, it));
+            news.extend(self.pool.apply_life_limit(now, it));
             // A process may not know that a limit has ended, so the runner is added again and its
             // end is reported once more.
             let runners = self.pool.of_life(it.life).map(|it| it.record.id.clone());
@@ -27,7 +27,7 @@
     pub(super) fn note_limits(&mut self, now: Millis, news: Vec<NoticeNews>) -> Vec<Effect> {
         for NoticeNews { runner, .. } in &news {
             self.limits.add(runner);
-            self.tend_limited_runner(now, runner);
+            self.update_limit_share(now, runner);
         }
         news.into_iter().map(Effect::Notice).collect()
     }
@@ -48,17 +48,17 @@
     }
 
     /// Updates the rate share for each runner that has a rate limit.
-    pub(super) fn tend_limited_runners(&mut self, now: Millis) {
+    pub(super) fn update_limit_shares(&mut self, now: Millis) {
         if !self.limits.is_due(now) {
             return;
         }
         let runners: Vec<InstanceId> = self.limits.runners().cloned().collect();
-        runners.iter().for_each(|it| self.tend_limited_runner(now, it));
+        runners.iter().for_each(|it| self.update_limit_share(now, it));
     }
 
     /// Updates the rate share for a runner, depending on whether this gateway is responsible for
     /// it.
-    fn tend_limited_runner(&mut self, now: Millis, id: &InstanceId) {
+    fn update_limit_share(&mut self, now: Millis, id: &InstanceId) {
         let runner = self.pool.runner(id).filter(|it| it.told_limit(now).is_some());
         let Some(runner) = runner else {
             self.limits.forget(id);
@@ -67,7 +67,7 @@
         let Some(rate) = runner.notices.limit.rate() else {
             return;
         };
-        let gateways = self.members.sharers(now, &id.0, most_gateways(rate));
+        let gateways = self.members.sharers(now, &id.0, max_gateways(rate));
         self.limits.set_share(now, id, rate, gateways);
     }
 
@@ -79,6 +79,6 @@
         let told = runners
             .filter(|it| !it.is_limit_kept)
             .filter_map(|it| Some(LifeLimit { life: it.life.digest, limit: it.told_limit(now)? }));
-        draw_told(told, random)
+        draw_limits(told, random)
     }
 }
--- a/components/gateway/src/reducer/progress.rs
+++ b/components/gateway/src/reducer/progress.rs
@@ -5,8 +5,8 @@
 use errors::Code;
 use fleet::{InstanceId, Millis};
 
-use crate::choice::Outlook;
-use crate::event::{Arrival, Reach};
+use crate::choice::Availability;
+use crate::event::{Arrival, RunnerScope};
 use crate::runner::RunnerLife;
 
 /// The life of a runner that a request was sent to.
@@ -16,7 +16,7 @@
     pub(super) life: RunnerLife,
     /// Whether this gateway may send the request without the sidecar, although the runner has a
     /// rate limit.
-    pub(super) has_turn: bool,
+    pub(super) has_token: bool,
 }
 
 /// An active request.
@@ -24,7 +24,7 @@
 pub(super) struct Progress {
     pub(super) arrival: Arrival,
     /// The runners that it may use. Stored here because each pass over the queue needs it.
-    pub(super) reach: Arc<Reach>,
+    pub(super) scope: Arc<RunnerScope>,
     pub(super) tried: Vec<InstanceId>,
     /// The runner of the current attempt.
     pub(super) current: Option<Chosen>,
@@ -37,7 +37,7 @@
     /// Until when it may wait for a slot.
     pub(super) wait_until: Millis,
     /// Until when a response is on time.
-    pub(super) aim_until: Millis,
+    pub(super) on_time_until: Millis,
     /// Whether it looks like a later try of a caller that was refused.
     pub(super) is_later: bool,
     /// Whether the last runner selected for it denied the reservation.
@@ -47,7 +47,7 @@
     /// Whether it was suspected of crashing runners when the current runner was selected.
     pub(super) is_suspect: bool,
     /// How often a runner was selected for it.
-    pub(super) asked: u32,
+    pub(super) queries: u32,
     /// Why it was retried or refused, if it was.
     pub(super) reason: Code,
 }
@@ -57,26 +57,28 @@
     /// before that. If all runners lack a required version, callers are thus refused at once
     /// instead of after their waiting time. A request that may have run waits anyway, because its
     /// caller cannot retry it.
-    pub(super) fn waits_in_vain(&self, now: Millis, outlook: Outlook) -> bool {
-        let serves_too_late = match outlook {
-            Outlook::ServesIn(left) | Outlook::Limited(left) => now.plus(left) >= self.wait_until,
-            Outlook::NotServing => true,
-            Outlook::Serving | Outlook::Unknown => false,
+    pub(super) fn should_stop_waiting(&self, now: Millis, availability: Availability) -> bool {
+        let serves_too_late = match availability {
+            Availability::ServesIn(left) | Availability::Limited(left) => {
+                now.plus(left) >= self.wait_until
+            }
+            Availability::NotServing => true,
+            Availability::Serving | Availability::Unknown => false,
         };
         now >= self.wait_until || (serves_too_late && !self.may_have_run)
     }
 
     /// The code of a refusal in this state of the runners.
-    pub(super) fn refusal(&self, outlook: Outlook) -> Code {
+    pub(super) fn refusal(&self, availability: Availability) -> Code {
         let for_want_of_place =
             matches!(self.reason, Code::Overloaded | Code::Withdrawn | Code::LaterTry);
-        let is_missing = match outlook {
-            Outlook::NotServing => true,
+        let is_missing = match availability {
+            Availability::NotServing => true,
             // A runner that serves and is paused for a moment counts as full.
-            Outlook::ServesIn(left) => left > 0,
-            Outlook::Serving | Outlook::Limited(_) | Outlook::Unknown => false,
+            Availability::ServesIn(left) => left > 0,
+            Availability::Serving | Availability::Limited(_) | Availability::Unknown => false,
         };
-        if for_want_of_place && matches!(outlook, Outlook::Limited(_)) {
+        if for_want_of_place && matches!(availability, Availability::Limited(_)) {
             return Code::RateLimited;
         }
         if for_want_of_place && self.arrival.homes.is_bound() && is_missing {
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -11,31 +11,31 @@
 use rand::Rng;
 
 use super::{Chosen, Gateway, Progress};
-use crate::choice::Outlook;
-use crate::event::{Effect, NextStep, Reach, RequestKey, RunnerTarget};
+use crate::choice::Availability;
+use crate::event::{Effect, NextStep, RequestKey, RunnerScope, RunnerTarget};
 
 /// Retry delay when the estimate of the shortage is disabled, in milliseconds. For measurements
 /// only.
-const UNINFORMED_RETURN: std::ops::Range<u64> = 250..900;
+const UNINFORMED_RETRY_DELAY_MS: std::ops::Range<u64> = 250..900;
 /// The first reservation query, counted from one, that may wait at a sidecar. Earlier queries go to
 /// runners that may have a slot at once.
-const PATIENT_QUESTION: u32 = 5;
+const FIRST_WAITING_QUERY: u32 = 5;
 /// Maximum number of reservation queries for a later try when sidecars keep their slots for first
 /// tries. They deny at once, and the queried ones are those that seem to have the most free
 /// capacity.
-const LATER_QUESTIONS: u32 = 4;
+const MAX_LATER_TRY_QUERIES: u32 = 4;
 
 /// A position in the queue, ordered by priority, then first tries before later ones, then order of
 /// arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) priority: u8,
     pub(super) is_later: bool,
     pub(super) key: RequestKey,
 }
 
 /// The decision on a queued request.
-enum Turn {
+enum QueueDecision {
     /// Send it.
     Send(RunnerTarget),
     /// Keep it in the queue.
@@ -46,51 +46,53 @@
 
 /// The reaches that have no slot for a first attempt now, with the time when one of their runners
 /// can serve.
-type FullServices = BTreeMap<Arc<Reach>, Outlook>;
+type FullScopes = BTreeMap<Arc<RunnerScope>, Availability>;
 
 impl Progress {
     /// Whether another reservation query would only delay it: its waiting time is over, or it is a
     /// later try and sidecars keep their slots for first tries.
-    fn has_asked_enough(&self, now: Millis) -> bool {
-        now >= self.wait_until || (self.stands_behind() && self.asked >= LATER_QUESTIONS)
+    fn has_queried_enough(&self, now: Millis) -> bool {
+        now >= self.wait_until
+            || (self.yields_to_first_tries() && self.queries >= MAX_LATER_TRY_QUERIES)
     }
 
     /// Whether first tries of others are served first. A request that may have run already has
     /// precedence over new ones.
-    pub(super) fn stands_behind(&self) -> bool {
+    pub(super) fn yields_to_first_tries(&self) -> bool {
         self.is_later && !self.may_have_run
     }
 
     /// Time left of its target latency, in milliseconds: zero for a later try, and for nothing
     /// else.
     fn left_ms(&self, now: Millis) -> u64 {
-        if self.stands_behind() {
+        if self.yields_to_first_tries() {
             return 0;
         }
-        self.aim_until.since(now).0.max(1)
+        self.on_time_until.since(now).0.max(1)
     }
 }
 
 impl Gateway {
     /// Adds a new request to the queue.
     pub(super) fn enqueue(&mut self, key: RequestKey, progress: &Progress) {
-        let priority = if self.keeps(Mechanism::Ranks) { progress.arrival.priority } else { 0 };
-        self.queue.insert(Place { priority, is_later: progress.is_later, key });
+        let priority =
+            if self.is_enabled(Mechanism::Ranks) { progress.arrival.priority } else { 0 };
+        self.queue.insert(QueuePosition { priority, is_later: progress.is_later, key });
     }
 
     /// Sends queued requests that have a slot, and refuses those that have waited too long.
     pub(super) fn dispatch(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let mut full = FullServices::new();
-        let places: Vec<Place> = self.queue.iter().copied().collect();
+        let mut full_scopes = FullScopes::new();
+        let places: Vec<QueuePosition> = self.queue.iter().copied().collect();
         for place in places {
-            match self.turn(now, random, place.key, &mut full) {
-                Turn::Wait => {}
-                Turn::Send(target) => {
+            match self.decide(now, random, place.key, &mut full_scopes) {
+                QueueDecision::Wait => {}
+                QueueDecision::Send(target) => {
                     self.queue.remove(&place);
                     effects.push(Effect::Proceed(place.key, NextStep::Send(target)));
                 }
-                Turn::Finish => {
+                QueueDecision::Finish => {
                     self.queue.remove(&place);
                     effects.extend(self.finish_without_answer(now, random, place.key));
                 }
@@ -100,61 +102,62 @@
     }
 
     /// Decides on a queued request. An unknown request is finished at once.
-    fn turn(
+    fn decide(
         &mut self,
         now: Millis,
         random: &mut SmallRng,
         key: RequestKey,
-        full: &mut FullServices,
-    ) -> Turn {
+        full_scopes: &mut FullScopes,
+    ) -> QueueDecision {
         let Some(progress) = self.requests.get_mut(&key) else {
-            return Turn::Finish;
+            return QueueDecision::Finish;
         };
         if Self::is_barred(&self.crashes, now, key, progress) {
             progress.reason = Code::Quarantined;
-            return Turn::Finish;
+            return QueueDecision::Finish;
         }
-        if self.standstill.holds() {
+        if self.resume_hold.is_holding() {
             if now < progress.arrival.limit {
-                return Turn::Wait;
+                return QueueDecision::Wait;
             }
             progress.reason = Code::NotReady;
-            return Turn::Finish;
+            return QueueDecision::Finish;
         }
-        if progress.was_denied && progress.has_asked_enough(now) {
-            if progress.stands_behind() {
+        if progress.was_denied && progress.has_queried_enough(now) {
+            if progress.yields_to_first_tries() {
                 progress.reason = Code::LaterTry;
             }
-            return Turn::Finish;
+            return QueueDecision::Finish;
         }
-        let first = progress.tried.is_empty();
-        let reach = progress.reach.clone();
-        let noted = full.get(&reach).copied();
-        if noted.is_none() || !first {
+        let is_first_attempt = progress.tried.is_empty();
+        let scope = progress.scope.clone();
+        let known = full_scopes.get(&scope).copied();
+        if known.is_none() || !is_first_attempt {
             if let Some(target) = self.choose(now, random, key) {
-                return Turn::Send(target);
+                return QueueDecision::Send(target);
             }
         }
         let Some(progress) = self.requests.get(&key) else {
-            return Turn::Finish;
+            return QueueDecision::Finish;
         };
-        let may_be_barred = progress.arrival.homes.is_bound() || !self.pool.evacuations.is_empty();
-        let outlook = match noted {
-            Some(outlook) => outlook,
-            None if first => {
-                let outlook = self.chooser().outlook(now, &progress.arrival);
-                full.insert(reach, outlook);
-                outlook
+        let may_have_no_runner =
+            progress.arrival.homes.is_bound() || !self.pool.evacuations.is_empty();
+        let availability = match known {
+            Some(availability) => availability,
+            None if is_first_attempt => {
+                let availability = self.chooser().availability(now, &progress.arrival);
+                full_scopes.insert(scope, availability);
+                availability
             }
             // Home regions may have lost their runners, or data halls may have been evacuated,
             // since the first attempt.
-            None if may_be_barred => self.chooser().outlook(now, &progress.arrival),
-            None => Outlook::Serving,
+            None if may_have_no_runner => self.chooser().availability(now, &progress.arrival),
+            None => Availability::Serving,
         };
-        if progress.waits_in_vain(now, outlook) {
-            Turn::Finish
+        if progress.should_stop_waiting(now, availability) {
+            QueueDecision::Finish
         } else {
-            Turn::Wait
+            QueueDecision::Wait
         }
     }
 
@@ -169,15 +172,15 @@
             return Vec::new();
         };
         self.crashes.end(key, progress.arrival.digest);
-        let barred = self.crashes.admits(now, key, progress.arrival.digest);
+        let admission = self.crashes.admits(now, key, progress.arrival.digest);
         let step = if progress.may_have_run {
             NextStep::GiveUp(progress.reason)
         } else {
             let chooser = self.chooser();
             let standing = chooser.standing(now, &progress.arrival, &progress.tried);
-            let outlook = chooser.outlook(now, &progress.arrival);
+            let availability = chooser.availability(now, &progress.arrival);
             let all_evacuated = standing.runners > 0 && standing.evacuated == standing.runners;
-            let code = match progress.refusal(outlook) {
+            let code = match progress.refusal(availability) {
                 // Its home regions, or the crashes it causes, are more specific reasons than the
                 // evacuation of all data halls.
                 Code::NoHome => Code::NoHome,
@@ -185,14 +188,14 @@
                 _ if all_evacuated => Code::Withdrawn,
                 code => code,
             };
-            let estimates = self.keeps(Mechanism::ReturnEstimate);
-            let shortage = self.shortages.entry(progress.reach).or_default();
-            let retry_after_ms = if let Admission::Barred { retry_after_ms } = barred {
+            let is_estimated = self.is_enabled(Mechanism::ReturnEstimate);
+            let shortage = self.shortages.entry(progress.scope).or_default();
+            let retry_after_ms = if let Admission::Barred { retry_after_ms } = admission {
                 retry_after_ms
-            } else if estimates {
-                shortage.refuse(now, random, outlook, progress.short_ms)
+            } else if is_estimated {
+                shortage.note_refusal(now, random, availability, progress.short_ms)
             } else {
-                random.random_range(UNINFORMED_RETURN)
+                random.random_range(UNINFORMED_RETRY_DELAY_MS)
             };
             NextStep::Refuse { code, retry_after_ms, standing }
         };
@@ -215,26 +218,26 @@
         let ablation = self.options.ablation.clone();
         let progress = self.requests.get_mut(&key)?;
         self.cold.take(now, &id);
-        let has_turn = self.limits.take_turn(now, &id);
+        let has_token = self.limits.take_token(now, &id);
         let runner = self.pool.runner_mut(&id)?;
         runner.enter(is_suspect);
         runner.notices.rest.note_sent(key);
         let address = runner.record.address;
         let limit = runner.told_limit(now);
-        let chosen = Chosen { id: id.clone(), life: runner.life, has_turn };
+        let chosen = Chosen { id: id.clone(), life: runner.life, has_token };
         progress.tried.push(id.clone());
         progress.current = Some(chosen);
         progress.is_suspect = is_suspect;
         progress.sent_at = now;
-        progress.asked += 1;
+        progress.queries += 1;
         // While other runners may have a slot at once, the query does not wait at this one.
-        let others = progress.asked < PATIENT_QUESTION && seen.candidates > 1;
-        let others = others || !ablation.keeps(Mechanism::QueuedReservations);
-        let wait_ms = if others { 0 } else { progress.wait_until.since(now).0 };
+        let others_available = progress.queries < FIRST_WAITING_QUERY && seen.candidates > 1;
+        let others_available = others_available || !ablation.keeps(Mechanism::QueuedReservations);
+        let wait_ms = if others_available { 0 } else { progress.wait_until.since(now).0 };
         let left_ms = progress.left_ms(now);
         // A request that may have run already has precedence over new ones.
-        let unranked = progress.may_have_run || !ablation.keeps(Mechanism::Ranks);
-        let rank = if unranked { 0 } else { progress.arrival.priority };
+        let ignores_priority = progress.may_have_run || !ablation.keeps(Mechanism::Ranks);
+        let rank = if ignores_priority { 0 } else { progress.arrival.priority };
         Some(RunnerTarget { id, address, reserve, rank, left_ms, wait_ms, limit, seen })
     }
 }
--- a/components/gateway/src/reducer/sending.rs
+++ b/components/gateway/src/reducer/send_checks.rs
@@ -19,7 +19,7 @@
         let runner = runner.filter(|(runner, life)| runner.life == *life).map(|it| it.0);
         let is_barred = Self::is_barred(&self.crashes, now, key, progress);
         !is_barred
-            && !self.standstill.holds()
+            && !self.resume_hold.is_holding()
             && runner.is_some_and(|it| {
                 it.is_open()
                     && self.may_send_by_rate(progress, it)
@@ -40,7 +40,7 @@
     /// granted the reservation within the limit, or this gateway has a share of the rate.
     fn may_send_by_rate(&self, progress: &Progress, runner: &Runner) -> bool {
         let by_sidecar = self.asks_sidecars(&progress.arrival) && runner.is_limit_kept;
-        let by_itself = progress.current.as_ref().is_some_and(|it| it.has_turn);
+        let by_itself = progress.current.as_ref().is_some_and(|it| it.has_token);
         runner.notices.limit.rate().is_none() || by_sidecar || by_itself
     }
 }
--- a/components/gateway/src/standstill.rs
+++ b/components/gateway/src/resume_hold.rs
@@ -9,7 +9,7 @@
 /// Maximum duration of the hold, in milliseconds: the time to detect a connection that was cut
 /// meanwhile, to open another one and to make the call. A gateway that does not reach the store
 /// continues with the data it has.
-const LONGEST_HOLD: u64 = 800;
+const MAX_HOLD_MS: u64 = 800;
 
 /// A table of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,24 +22,24 @@
 
 /// The state of the hold after a process pause, and the tables confirmed since then.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Standstill {
+pub(crate) struct ResumeHold {
     /// When the process resumed, while any table is unconfirmed.
-    woke_at: Option<Millis>,
+    resumed_at: Option<Millis>,
     operator: bool,
     runners: bool,
 }
 
-impl Standstill {
+impl ResumeHold {
     /// Starts the hold when the process resumes.
-    pub(crate) fn note_woke(&mut self, now: Millis) {
-        *self = Self { woke_at: Some(now), operator: false, runners: false };
+    pub(crate) fn begin(&mut self, now: Millis) {
+        *self = Self { resumed_at: Some(now), operator: false, runners: false };
     }
 
     /// Records that the store answered a query sent at `asked`. An answer to an earlier query is
     /// ignored, since it may have been delayed as long as this process. Returns whether all tables
     /// are confirmed now.
     pub(crate) fn confirm(&mut self, table: StoreTable, asked: Millis) -> bool {
-        let Some(woke_at) = self.woke_at.filter(|at| asked >= *at) else {
+        let Some(resumed_at) = self.resumed_at.filter(|at| asked >= *at) else {
             return false;
         };
         match table {
@@ -47,17 +47,17 @@
             StoreTable::Runners => self.runners = true,
         }
         let is_over = self.operator && self.runners;
-        self.woke_at = (!is_over).then_some(woke_at);
+        self.resumed_at = (!is_over).then_some(resumed_at);
         is_over
     }
 
     /// Ends the hold if its time is over, and returns whether it did.
     pub(crate) fn settle(&mut self, now: Millis) -> bool {
-        self.woke_at.take_if(|at| now.since(*at).0 >= LONGEST_HOLD).is_some()
+        self.resumed_at.take_if(|at| now.since(*at).0 >= MAX_HOLD_MS).is_some()
     }
 
     /// Whether requests are held now.
-    pub(crate) fn holds(&self) -> bool {
-        self.woke_at.is_some()
+    pub(crate) fn is_holding(&self) -> bool {
+        self.resumed_at.is_some()
     }
 }
--- a/components/gateway/src/comeback.rs
+++ b/components/gateway/src/retry_delay.rs
@@ -9,19 +9,19 @@
 use fleet::Millis;
 use rand::Rng;
 
-use crate::choice::Outlook;
+use crate::choice::Availability;
 
 /// The shortest retry delay, in milliseconds: a full runner finishes a few requests in it.
-const MIN_AWAY: u64 = 250;
+const MIN_RETRY_DELAY_MS: u64 = 250;
 /// The longest retry delay, in milliseconds: a third of a usual deadline. Callers wait no longer.
-const MAX_AWAY: u64 = 2000;
+const MAX_RETRY_DELAY_MS: u64 = 2000;
 /// Time without a refusal after which a shortage is over, in milliseconds.
-const SHORTAGE_GAP: u64 = 500;
+const SHORTAGE_END_MS: u64 = 500;
 /// Relative random spread of the retry delay between callers.
-const SPREAD: f64 = 0.5;
+const DELAY_SPREAD: f64 = 0.5;
 /// Time over which callers return once runners serve again, in milliseconds. Runners take about as
 /// long to process the prompts of all of them.
-const RETURN_SPAN: u64 = 900;
+const RETURN_SPREAD_MS: u64 = 900;
 
 /// A shortage of capacity at the runners of one service.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,31 +33,32 @@
 
 impl Shortage {
     /// Whether all refused callers have had time to come back.
-    pub(crate) fn is_past(&self, now: Millis) -> bool {
-        now.since(self.refused_at).0 > MAX_AWAY + RETURN_SPAN
+    pub(crate) fn is_over(&self, now: Millis) -> bool {
+        now.since(self.refused_at).0 > MAX_RETRY_DELAY_MS + RETURN_SPREAD_MS
     }
 
     /// Records a refusal and returns the retry delay for its caller, in milliseconds. `short_ms` is
     /// how long sidecars report that reservations have been short; a gateway of a large fleet has
     /// too few callers of its own to tell.
-    pub(crate) fn refuse(
+    pub(crate) fn note_refusal(
         &mut self,
         now: Millis,
         random: &mut impl Rng,
-        outlook: Outlook,
+        availability: Availability,
         short_ms: u64,
     ) -> u64 {
-        if now.since(self.refused_at).0 > SHORTAGE_GAP {
+        if now.since(self.refused_at).0 > SHORTAGE_END_MS {
             self.since = now;
         }
         self.refused_at = now;
-        if let Outlook::ServesIn(left) = outlook {
-            return left.max(MIN_AWAY) + random.random_range(0..RETURN_SPAN);
+        if let Availability::ServesIn(left) = availability {
+            return left.max(MIN_RETRY_DELAY_MS) + random.random_range(0..RETURN_SPREAD_MS);
         }
-        let turn_in_ms = if let Outlook::Limited(left) = outlook { left } else { 0 };
-        let lasted = now.since(self.since).0.max(short_ms);
-        let lasted = lasted.clamp(MIN_AWAY, MAX_AWAY) as f64;
-        let away = lasted * (1.0 + SPREAD * random.random::<f64>());
-        (away.min(MAX_AWAY as f64) as u64).max(turn_in_ms)
+        let rate_allows_in_ms =
+            if let Availability::Limited(left) = availability { left } else { 0 };
+        let duration = now.since(self.since).0.max(short_ms);
+        let duration = duration.clamp(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS) as f64;
+        let delay = duration * (1.0 + DELAY_SPREAD * random.random::<f64>());
+        (delay.min(MAX_RETRY_DELAY_MS as f64) as u64).max(rate_allows_in_ms)
     }
 }
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -15,18 +15,18 @@
 const SMOOTHING: f64 = 0.3;
 /// Decay time of the measured time to first byte, in milliseconds: after it a measurement counts
 /// for about a third (1/e).
-const FIRST_MEMORY: f64 = 4000.0;
+const FIRST_BYTE_DECAY_MS: f64 = 4000.0;
 /// How long a load report counts, in milliseconds.
-const REPORT_LIFE: u64 = 1000;
+const REPORT_VALIDITY_MS: u64 = 1000;
 /// The shortest pause after a failure of a runner, in milliseconds.
-const MIN_SUSPICION: u64 = 300;
+const MIN_FAILURE_PAUSE_MS: u64 = 300;
 /// The longest pause after a failure of a runner, in milliseconds.
-const MAX_SUSPICION: u64 = 4000;
+const MAX_FAILURE_PAUSE_MS: u64 = 4000;
 /// Delay until the list shows that a runner has become cold, in milliseconds: the time between two
 /// writes of its entry plus the time between two reads of the list.
-const ENTRY_LAG: u64 = 2000;
+const LIST_DELAY_MS: u64 = 2000;
 /// Maximum number of doublings of the pause.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
 /// Whether a runner accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -119,7 +119,7 @@
     load: RunnerLoad,
     at: Millis,
     /// Requests of this gateway at the runner at that time.
-    own: u32,
+    own_requests: u32,
 }
 
 /// A runner.
@@ -133,11 +133,11 @@
     pub born: Option<u64>,
     /// Start time of the previous life, if the sidecar reported the start of this life without its
     /// start time.
-    pub past_birth: Option<u64>,
+    pub previous_born: Option<u64>,
     /// The last life reported by the list, and by the sidecar. They are kept apart because each
     /// counts orders at different times.
-    listed: LifeWord,
-    told: Option<LifeWord>,
+    listed_life: LifeWord,
+    reported_life: Option<LifeWord>,
     /// Requests of this gateway at the runner.
     pub in_flight: u32,
     /// Those of them that crashed runners before.
@@ -146,17 +146,17 @@
     pub heard_at: Millis,
     reported: Option<Reported>,
     /// Smoothed time to first byte, in milliseconds, and when it was last measured.
-    first_ms: (f64, Millis),
+    first_byte_ms: (f64, Millis),
     /// End of the current pause for any reason, and of the last pause after a failure.
-    suspect_until: Millis,
+    paused_until: Millis,
     failed_until: Millis,
     failures: u32,
     /// Until when the runner is cold according to the list, and until when it may be cold without
     /// the list showing it yet.
     cold_until: Millis,
-    may_be_cold_until: Millis,
+    maybe_cold_until: Millis,
     /// Since when it may be cold.
-    doubted_at: Millis,
+    maybe_cold_since: Millis,
     /// Its weight for this gateway among the sidecars that may be followed.
     pub weight: u64,
     /// Whether this gateway follows its sidecar.
@@ -167,7 +167,7 @@
     /// to a query.
     pub is_limit_kept: bool,
     /// Until when it accepts nothing under its rate limit, according to its sidecar.
-    no_turn_until: Millis,
+    rate_exhausted_until: Millis,
     /// The runner rejected a request as misdirected; nothing is sent until its list entry changes.
     pub misdirected: bool,
 }
@@ -184,39 +184,39 @@
                 restarts: if record.life.born.is_some() { 0 } else { restarts },
             },
             born: record.life.born,
-            past_birth: None,
-            listed: record.life,
-            told: None,
+            previous_born: None,
+            listed_life: record.life,
+            reported_life: None,
             cold_until: now.plus(record.cold_ms),
-            may_be_cold_until: Millis(0),
-            doubted_at: Millis(0),
+            maybe_cold_until: Millis(0),
+            maybe_cold_since: Millis(0),
             record,
             in_flight: 0,
             suspects: 0,
             heard_at: Millis(0),
             reported: None,
-            first_ms: (0.0, Millis(0)),
-            suspect_until: Millis(0),
+            first_byte_ms: (0.0, Millis(0)),
+            paused_until: Millis(0),
             failed_until: Millis(0),
             failures: 0,
             weight: 0,
             is_followed: false,
             notices: Notices::default(),
             is_limit_kept: false,
-            no_turn_until: Millis(0),
+            rate_exhausted_until: Millis(0),
             misdirected: false,
         }
     }
 
     /// Compares the life reported by the list or a sidecar with the known one.
     pub fn compare(&self, word: LifeWord, is_listed: bool) -> LifeChange {
-        let last = if is_listed { Some(self.listed) } else { self.told };
+        let last = if is_listed { Some(self.listed_life) } else { self.reported_life };
         let sequence = last.map_or(word.sequence, |it| it.sequence);
         let known = LifeWord { born: self.born, sequence };
-        if word.born.is_some() && word.born <= self.past_birth {
+        if word.born.is_some() && word.born <= self.previous_born {
             return LifeChange::Earlier;
         }
-        if !is_listed && word.born.is_none() && !self.has_report_told_birth() {
+        if !is_listed && word.born.is_none() && !self.reports_contain_birth() {
             // Reports of this runner have no start time, even if its entry has one: the order count
             // distinguishes its lives.
             return LifeWord { born: None, ..known }.compare(word);
@@ -224,13 +224,13 @@
         known.compare(word)
     }
 
-    fn has_report_told_birth(&self) -> bool {
-        self.told.is_some_and(|it| it.born.is_some())
+    fn reports_contain_birth(&self) -> bool {
+        self.reported_life.is_some_and(|it| it.born.is_some())
     }
 
     /// Applies a newer list entry.
     pub fn list(&mut self, now: Millis, record: RunnerRecord) {
-        self.listed = record.life;
+        self.listed_life = record.life;
         self.cold_until = now.plus(record.cold_ms);
         self.record = record;
         self.note_listed_state(now);
@@ -245,54 +245,58 @@
 
     /// Records that the runner may have become cold recently, for at most `start_ms` milliseconds.
     /// The doubt ends after that time, or when the list shows the state.
-    pub fn doubt_warmth(&mut self, now: Millis, start_ms: u64) {
-        self.doubted_at = now;
-        self.may_be_cold_until = now.plus(start_ms.max(ENTRY_LAG));
+    pub fn mark_possibly_cold(&mut self, now: Millis, start_ms: u64) {
+        self.maybe_cold_since = now;
+        self.maybe_cold_until = now.plus(start_ms.max(LIST_DELAY_MS));
     }
 
     /// Records that the list is complete up to now.
-    pub fn settle_doubt(&mut self, now: Millis) {
-        if now.since(self.doubted_at).0 >= ENTRY_LAG {
-            self.may_be_cold_until = Millis(0);
+    pub fn end_cold_doubt(&mut self, now: Millis) {
+        if now.since(self.maybe_cold_since).0 >= LIST_DELAY_MS {
+            self.maybe_cold_until = Millis(0);
         }
     }
 
     /// How much longer it may be cold as far as is known, in milliseconds.
     pub fn cold_left_ms(&self, now: Millis) -> u64 {
-        self.cold_until.max(self.may_be_cold_until).since(now).0
+        self.cold_until.max(self.maybe_cold_until).since(now).0
     }
 
     /// The same for processes that are not notified when a doubt ends. It is limited to a short
     /// time, because it is reported to them repeatedly.
-    pub fn cold_told_ms(&self, now: Millis) -> u64 {
-        let doubt = self.may_be_cold_until.min(now.plus(ENTRY_LAG));
+    pub fn cold_reported_ms(&self, now: Millis) -> u64 {
+        let doubt = self.maybe_cold_until.min(now.plus(LIST_DELAY_MS));
         self.cold_until.max(doubt).since(now).0
     }
 
     /// Applies the rate limit that its sidecar reported. Returns the change, if any.
-    pub fn take_limit(&mut self, now: Millis, told: Option<ToldLimit>) -> Option<RateWord> {
-        self.is_limit_kept = told.is_some();
-        self.learn_limit(now, told?)
+    pub fn apply_limit(
+        &mut self,
+        now: Millis,
+        reported_life: Option<ToldLimit>,
+    ) -> Option<RateWord> {
+        self.is_limit_kept = reported_life.is_some();
+        self.learn_limit(now, reported_life?)
     }
 
     /// Applies the rate limit that another process reported. Returns the change, if any.
-    pub fn learn_limit(&mut self, now: Millis, told: ToldLimit) -> Option<RateWord> {
+    pub fn learn_limit(&mut self, now: Millis, reported_life: ToldLimit) -> Option<RateWord> {
         let limit = &mut self.notices.limit;
-        let is_news = limit.learn(now, self.born, told);
+        let is_news = limit.learn(now, self.born, reported_life);
         let word = limit.rate().map_or(RateWord::Unlimited, RateWord::Limited);
         is_news.then_some(word)
     }
 
     /// Records that its sidecar grants no reservation for this number of milliseconds, while it has
     /// a rate limit.
-    pub fn note_no_turn(&mut self, now: Millis, again_ms: u64) {
-        self.no_turn_until = now.plus(again_ms);
+    pub fn note_rate_exhausted(&mut self, now: Millis, again_ms: u64) {
+        self.rate_exhausted_until = now.plus(again_ms);
     }
 
     /// In how many milliseconds its sidecar may grant a reservation under its rate limit.
-    pub fn turn_in_ms(&self, now: Millis) -> u64 {
+    pub fn rate_allows_in_ms(&self, now: Millis) -> u64 {
         match self.notices.limit.rate() {
-            Some(_) => self.no_turn_until.since(now).0,
+            Some(_) => self.rate_exhausted_until.since(now).0,
             None => 0,
         }
     }
@@ -320,16 +324,16 @@
     }
 
     /// Applies a load report.
-    pub fn take_load(&mut self, now: Millis, load: RunnerLoad) {
+    pub fn apply_load(&mut self, now: Millis, load: RunnerLoad) {
         self.heard_at = now;
-        self.told = Some(load.life);
-        self.reported = Some(Reported { load, at: now, own: self.in_flight });
+        self.reported_life = Some(load.life);
+        self.reported = Some(Reported { load, at: now, own_requests: self.in_flight });
     }
 
     /// The last load report, if it still counts.
     pub fn load(&self, now: Millis) -> Option<&RunnerLoad> {
         let reported = self.reported.as_ref()?;
-        (now.since(reported.at).0 <= REPORT_LIFE).then_some(&reported.load)
+        (now.since(reported.at).0 <= REPORT_VALIDITY_MS).then_some(&reported.load)
     }
 
     /// Age of the last load report.
@@ -351,11 +355,11 @@
         let Some(reported) = self.reported.as_ref() else {
             return self.in_flight;
         };
-        if now.since(reported.at).0 > REPORT_LIFE {
+        if now.since(reported.at).0 > REPORT_VALIDITY_MS {
             return self.in_flight;
         }
         let total = reported.load.running + reported.load.waiting;
-        self.in_flight + total.saturating_sub(reported.own)
+        self.in_flight + total.saturating_sub(reported.own_requests)
     }
 
     /// In how many milliseconds the runner accepts requests, according to the last report and its
@@ -366,7 +370,7 @@
         let serves_in = u64::from(reported.load.serves_in_ms?);
         let left = serves_in.saturating_sub(age).max(self.notices.rest.left_ms(now));
         // A reported time that has passed without a newer report is not used.
-        (age <= REPORT_LIFE + serves_in).then_some(left)
+        (age <= REPORT_VALIDITY_MS + serves_in).then_some(left)
     }
 
     /// How long the runner processes prompts before it can start with another one, in milliseconds.
@@ -380,48 +384,48 @@
 
     /// Expected time to first byte, in milliseconds. A measurement decays with its age, so that a
     /// runner that was slow is tried again.
-    pub fn usual_first_ms(&self, now: Millis) -> f64 {
-        let (seen, at) = self.first_ms;
+    pub fn expected_first_byte_ms(&self, now: Millis) -> f64 {
+        let (measured_ms, at) = self.first_byte_ms;
         let age = now.since(at).0 as f64;
-        seen * (-age / FIRST_MEMORY).exp()
+        measured_ms * (-age / FIRST_BYTE_DECAY_MS).exp()
     }
 
     /// Records the time to first byte of a response, or the time waited without one.
-    pub fn note_first(&mut self, now: Millis, took: Millis) {
-        let before = self.usual_first_ms(now);
+    pub fn note_first_byte(&mut self, now: Millis, took: Millis) {
+        let before = self.expected_first_byte_ms(now);
         let took = took.0 as f64;
         let smoothed = if before == 0.0 { took } else { before + SMOOTHING * (took - before) };
-        self.first_ms = (smoothed, now);
+        self.first_byte_ms = (smoothed, now);
     }
 
     /// Whether it is paused after a failure or because it was full.
-    pub fn is_suspect(&self, now: Millis) -> bool {
-        now < self.suspect_until
+    pub fn is_paused(&self, now: Millis) -> bool {
+        now < self.paused_until
     }
 
     /// Remaining pause after a failure, in milliseconds. A pause of a runner that was full does not
     /// count.
-    pub fn failed_ms(&self, now: Millis) -> u64 {
+    pub fn failure_pause_ms(&self, now: Millis) -> u64 {
         self.failed_until.since(now).0
     }
 
     /// Records a response, which ends its pause.
-    pub fn reward(&mut self) {
+    pub fn note_response(&mut self) {
         self.failures = 0;
-        self.suspect_until = Millis(0);
+        self.paused_until = Millis(0);
         self.failed_until = Millis(0);
     }
 
     /// Records a failure: the runner is paused for a time that doubles with each failure.
-    pub fn punish(&mut self, now: Millis) {
-        let span = MIN_SUSPICION << self.failures.min(MOST_DOUBLINGS);
+    pub fn note_failure(&mut self, now: Millis) {
+        let pause_ms = MIN_FAILURE_PAUSE_MS << self.failures.min(MAX_PAUSE_DOUBLINGS);
         self.failures += 1;
-        self.failed_until = now.plus(span.min(MAX_SUSPICION));
-        self.suspect_until = self.failed_until;
+        self.failed_until = now.plus(pause_ms.min(MAX_FAILURE_PAUSE_MS));
+        self.paused_until = self.failed_until;
     }
 
     /// Records that it rejected a request because it is full.
     pub fn note_full(&mut self, now: Millis, pause_ms: u64) {
-        self.suspect_until = self.suspect_until.max(now.plus(pause_ms));
+        self.paused_until = self.paused_until.max(now.plus(pause_ms));
     }
 }
--- a/components/gateway/src/silence.rs
+++ b/components/gateway/src/silent_halls.rs
@@ -14,13 +14,13 @@
 
 /// Number of runners that have to be unresponsive for the whole data hall to count as silent. A
 /// single one has probably crashed by itself.
-const SILENT_RUNNERS: usize = 2;
+const MIN_SILENT_RUNNERS: usize = 2;
 /// How long a data hall counts as silent after the last runner there did not answer, in
 /// milliseconds: by then the list has dropped runners that are gone.
-const SILENT_FOR: u64 = 4000;
+const SILENT_FOR_MS: u64 = 4000;
 /// Age from which a report is overdue, in milliseconds: longer than the interval of reports to
 /// other data halls.
-const OVERDUE: u64 = 600;
+const OVERDUE_REPORT_AGE_MS: u64 = 600;
 
 /// The silent data halls.
 #[derive(Clone, Debug, Default)]
@@ -43,7 +43,7 @@
             ids.clear();
         }
         ids.insert(id.clone());
-        *until = now.plus(SILENT_FOR);
+        *until = now.plus(SILENT_FOR_MS);
     }
 
     /// The number of silent data halls.
@@ -52,13 +52,13 @@
     }
 
     /// Whether a runner is skipped, because its data hall is silent and its report is overdue.
-    pub(crate) fn defers(&self, now: Millis, runner: &Runner) -> bool {
-        let is_overdue = runner.report_age(now).is_none_or(|it| it.0 > OVERDUE);
+    pub(crate) fn skips(&self, now: Millis, runner: &Runner) -> bool {
+        let is_overdue = runner.report_age(now).is_none_or(|it| it.0 > OVERDUE_REPORT_AGE_MS);
         is_overdue && self.is_silent(now, &runner.record.hall)
     }
 
     fn is_silent(&self, now: Millis, hall: &Hall) -> bool {
         let unanswered = self.unanswered.get(hall);
-        unanswered.is_some_and(|(ids, until)| ids.len() >= SILENT_RUNNERS && now < *until)
+        unanswered.is_some_and(|(ids, until)| ids.len() >= MIN_SILENT_RUNNERS && now < *until)
     }
 }
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -7,7 +7,7 @@
 /// Margin before its time bound at which an older version is no longer used, in milliseconds:
 /// before a request starts it may wait for a reservation, the reservation may be used a little
 /// later, and the request then waits in the runner's queue.
-const VERSION_MARGIN: u64 = 1200;
+const VERSION_MARGIN_MS: u64 = 1200;
 
 /// The announced versions of each model.
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
     /// The oldest version of a model that a request may start on now.
     pub(crate) fn required(&self, now: Millis, model: &ModelName) -> u64 {
         let names = self.by_model.get(model);
-        names.map_or(0, |it| it.required(now.plus(VERSION_MARGIN), self.version_ms))
+        names.map_or(0, |it| it.required(now.plus(VERSION_MARGIN_MS), self.version_ms))
     }
 
     /// The time from which no request may start on a version of a model. `None` if there is no
--- a/components/gateway/tests/membership.rs
+++ b/components/gateway/tests/membership.rs
@@ -12,7 +12,7 @@
 #[test]
 fn what_is_sent_within_a_second_and_what_a_connection_takes_is_bounded_where_the_bound_is_tight() {
     let share = ColdShare::new(PROFILE, ColdBounds { overrun: 1.0, slack: 5.0 });
-    let (mut gates, id) = (ColdGates::default(), InstanceId::from("p1"));
+    let (mut gates, id) = (ColdRateShares::default(), InstanceId::from("p1"));
     gates.set(Millis(1_000_000), &id, share, 1);
     let mut moments = VecDeque::new();
     let taken = (1_000_000..1_009_000).filter(|at| gates.take(Millis(*at), &id));
@@ -105,10 +105,10 @@
 #[test]
 fn only_a_gateway_that_never_saw_a_sidecar_takes_a_tenth_without_knowing_the_others() {
     let mut members = Members::new(WINDOW);
-    members.note_reach(Millis(1_000_000), None);
+    members.note_coverage(Millis(1_000_000), None);
     assert_eq!(members.part(Millis(1_000_000)), 0.1);
-    members.note_reach(Millis(1_000_200), Some(0.0));
-    members.note_reach(Millis(1_000_400), None);
+    members.note_coverage(Millis(1_000_200), Some(0.0));
+    members.note_coverage(Millis(1_000_400), None);
     assert!(members.part(Millis(1_000_400)) < 0.01, "the list has lost them");
 }
 
@@ -138,7 +138,7 @@
 fn repeats_of_the_end_of_a_step_count_for_a_whole_window() {
     let mut budget = RetryBudget::new(BudgetLimits { ratio: 0.0, ..limits(10.0) });
     let taken = |budget: &mut RetryBudget, at: u64| {
-        (0..20).filter(|_| budget.take_repeat(Millis(at))).count()
+        (0..20).filter(|_| budget.take_retry(Millis(at))).count()
     };
     budget.count_request(Millis(1_000_000));
     assert_eq!(taken(&mut budget, 1_000_990), 10);
--- a/components/gateway/tests/retries.rs
+++ b/components/gateway/tests/retries.rs
@@ -79,9 +79,9 @@
     for at in 0..10 {
         budget.count_request(Millis(1000 + at));
     }
-    let taken = (0..20).filter(|at| budget.take_repeat(Millis(1100 + at))).count();
+    let taken = (0..20).filter(|at| budget.take_retry(Millis(1100 + at))).count();
     assert_eq!(taken, 7);
-    let later = (0..20).filter(|at| budget.take_repeat(Millis(13_000 + at))).count();
+    let later = (0..20).filter(|at| budget.take_retry(Millis(13_000 + at))).count();
     assert_eq!(later, 2, "a new window starts with the allowance alone");
 }
 
@@ -247,11 +247,11 @@
 fn other_limits_count_what_was_counted_before() {
     let limits = |allowance| BudgetLimits { window_ms: 10_000, ratio: 0.0, allowance };
     let mut budget = RetryBudget::new(limits(5.0));
-    assert!((0..4).all(|at| budget.take_repeat(Millis(1000 + at))));
+    assert!((0..4).all(|at| budget.take_retry(Millis(1000 + at))));
     budget.set_limits(limits(3.0));
-    assert!(!budget.take_repeat(Millis(1100)));
+    assert!(!budget.take_retry(Millis(1100)));
     budget.set_limits(limits(6.0));
-    assert_eq!((0..9).filter(|at| budget.take_repeat(Millis(1200 + at))).count(), 2);
+    assert_eq!((0..9).filter(|at| budget.take_retry(Millis(1200 + at))).count(), 2);
 }
 
 #[test]
--- a/components/gateway/tests/support/town.rs
+++ b/components/gateway/tests/support/town.rs
@@ -27,7 +27,7 @@
 pub struct Life {
     pub members: Members,
     pub budget: RetryBudget,
-    pub gates: ColdGates,
+    pub gates: ColdRateShares,
     pub next_round: u64,
 }
 
@@ -37,7 +37,7 @@
         Self {
             members: Members::new(WINDOW),
             budget,
-            gates: ColdGates::default(),
+            gates: ColdRateShares::default(),
             next_round: starts,
         }
     }
@@ -153,8 +153,8 @@
         let Some(life) = &mut self.lives[gateway] else {
             return;
         };
-        if life.members.wants_reach(now) {
-            life.members.note_reach(now, Some(reach));
+        if life.members.wants_coverage(now) {
+            life.members.note_coverage(now, Some(reach));
             life.look_around(now);
         }
         let step = self.steps.last_mut().unwrap();
@@ -162,7 +162,7 @@
             life.budget.count_request(now);
             step.0 += 1;
         }
-        while life.budget.take_repeat(now) {
+        while life.budget.take_retry(now) {
             step.1 += 1;
             self.most_repeats = self.most_repeats.max(count(&mut self.repeats, at, WINDOW));
         }
