--- a/components/gateway/src/choice.rs
+++ b/components/gateway/src/choice.rs
@@ -61,7 +61,7 @@
     /// Options of the gateway, including its data hall.
     pub options: &'a GatewayOptions,
     /// Capacity in tight home regions that is held back from requests without home regions.
-    pub room: &'a HomeDemand,
+    pub home_demand: &'a HomeDemand,
     /// Rate shares for cold runners that have no sidecar.
     pub cold: &'a ColdRateShares,
     /// Rate shares for runners that have a rate limit.
@@ -80,14 +80,14 @@
         is_suspect: bool,
     ) -> Option<(InstanceId, Seen)> {
         let mut candidates = 0;
-        let tight = self.room.tight(now, arrival, &self.options.halls);
+        let tight = self.home_demand.tight(now, arrival, &self.options.halls);
         let only_responsive = self.has_responsive_runner(now, arrival, tried);
         let usable = self.pool.of_service(&arrival.service).filter(|it| {
             !tried.contains(&it.record.id)
                 && self.can_run(now, it, arrival)
                 && it.notices.admit(now, arrival.key)
                 && !(only_responsive && self.pool.silent.skips(now, it))
-                && self.has_room(now, it, arrival, &tight)
+                && self.has_capacity(now, it, arrival, &tight)
         });
         let usable = usable.inspect(|_| candidates += 1);
         let scored = usable.map(|it| {
@@ -209,11 +209,11 @@
     /// runners already tried.
     pub fn standing(&self, now: Millis, arrival: &Arrival, tried: &[InstanceId]) -> Standing {
         let mut standing = Standing { homes: arrival.homes.clone(), ..Standing::default() };
-        let tight = self.room.tight(now, arrival, &self.options.halls);
+        let tight = self.home_demand.tight(now, arrival, &self.options.halls);
         for runner in self.pool.of_service(&arrival.service) {
             standing.runners += 1;
             let fit = !tried.contains(&runner.record.id) && self.can_run(now, runner, arrival);
-            standing.usable += u32::from(fit && self.has_room(now, runner, arrival, &tight));
+            standing.usable += u32::from(fit && self.has_capacity(now, runner, arrival, &tight));
             let is_evacuated = !self.pool.evacuations.admit(now, &runner.record.hall);
             standing.evacuated += u32::from(is_evacuated);
         }
@@ -312,7 +312,13 @@
 
     /// Whether a runner may have free capacity, and may be sent another request if it is cold or
     /// rate limited. At runners with a sidecar a few requests may wait for a reservation.
-    fn has_room(&self, now: Millis, runner: &Runner, arrival: &Arrival, tight: &[&Region]) -> bool {
+    fn has_capacity(
+        &self,
+        now: Millis,
+        runner: &Runner,
+        arrival: &Arrival,
+        tight: &[&Region],
+    ) -> bool {
         let held_back = if tight.is_empty() { 0 } else { self.held_back(runner, tight) };
         let may_wait_at_sidecar = arrival.model.is_some() && held_back == 0;
         let extra = if may_wait_at_sidecar { MAX_WAITING_AT_SIDECAR } else { 0 };
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -96,7 +96,7 @@
 
 impl Arrival {
     /// Updates its home regions from a configuration that came into force after it was routed.
-    pub(crate) fn settle(&mut self, catalog: &Catalog) {
+    pub(crate) fn update_homes(&mut self, catalog: &Catalog) {
         self.homes = catalog.homes(&self.route, self.workspace.as_ref(), &self.homes);
     }
 
--- a/components/gateway/src/home_demand.rs
+++ b/components/gateway/src/home_demand.rs
@@ -57,15 +57,15 @@
 
 impl HomeDemand {
     /// Records a request. A request with several home regions counts for a part in each.
-    pub fn note(&mut self, now: Millis, arrival: &Arrival) {
+    pub fn record(&mut self, now: Millis, arrival: &Arrival) {
         if arrival.homes.is_bound() {
-            self.note_bound(now, arrival);
+            self.record_bound(now, arrival);
         } else if let Some(demand) = self.services.get_mut(&arrival.service) {
             demand.all.add(now, 1.0);
         }
     }
 
-    fn note_bound(&mut self, now: Millis, arrival: &Arrival) {
+    fn record_bound(&mut self, now: Millis, arrival: &Arrival) {
         let demand = self.services.entry(arrival.service.clone()).or_default();
         demand.all.add(now, 1.0);
         let part = 1.0 / arrival.homes.regions().count().max(1) as f64;
--- a/components/gateway/src/limits.rs
+++ b/components/gateway/src/limits.rs
@@ -132,8 +132,8 @@
 
 impl LimitsHeard {
     /// Records the limits that a gateway reports.
-    pub fn take(&mut self, now: Millis, told: &[LifeLimit]) {
-        for LifeLimit { life, limit } in told {
+    pub fn take(&mut self, now: Millis, reported: &[LifeLimit]) {
+        for LifeLimit { life, limit } in reported {
             let (known, told_at) = self.heard.entry(*life).or_default();
             known.learn(now, None, *limit);
             *told_at = now;
@@ -144,9 +144,9 @@
     /// The limits that are sent to a gateway. If there are too many for one message, a random
     /// selection.
     pub fn list(&self, now: Millis, random: &mut impl Rng) -> Vec<LifeLimit> {
-        let told = self.heard.iter().filter_map(|(life, (limit, _))| {
+        let reported = self.heard.iter().filter_map(|(life, (limit, _))| {
             Some(LifeLimit { life: *life, limit: limit.told(now, None)? })
         });
-        draw_limits(told, random)
+        draw_limits(reported, random)
     }
 }
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -158,12 +158,12 @@
         &mut self,
         now: Millis,
         address: SocketAddr,
-        told: Option<ToldLimit>,
+        reported: Option<ToldLimit>,
     ) -> Vec<NoticeNews> {
         let ids: Vec<InstanceId> =
             self.by_address.get(&address).into_iter().flat_map(BTreeMap::values).cloned().collect();
         let take = |id: InstanceId| {
-            let limit = self.runners.get_mut(&id)?.apply_limit(now, told);
+            let limit = self.runners.get_mut(&id)?.apply_limit(now, reported);
             let notice = Notice { limit, ..Notice::default() };
             (!notice.is_empty()).then_some(NoticeNews { runner: id, notice })
         };
@@ -171,10 +171,10 @@
     }
 
     /// Applies the rate limit of a life of a runner that another gateway reported.
-    pub fn apply_life_limit(&mut self, now: Millis, told: &LifeLimit) -> Vec<NoticeNews> {
-        let of_life = self.runners.iter_mut().filter(|(_, it)| it.life.digest == told.life);
+    pub fn apply_life_limit(&mut self, now: Millis, reported: &LifeLimit) -> Vec<NoticeNews> {
+        let of_life = self.runners.iter_mut().filter(|(_, it)| it.life.digest == reported.life);
         let news = of_life.filter_map(|(id, runner)| {
-            let limit = runner.learn_limit(now, told.limit);
+            let limit = runner.learn_limit(now, reported.limit);
             let notice = Notice { limit, ..Notice::default() };
             (!notice.is_empty()).then(|| NoticeNews { runner: id.clone(), notice })
         });
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -182,9 +182,9 @@
 
     /// Records the ages of versions that processes reported; these need not be read.
     pub fn note_known(&mut self, named: &[NamedVersion]) {
-        for told in named.iter().filter(|it| it.age_ms.is_some()) {
-            if self.unknown.get(&told.model).is_some_and(|it| *it <= told.version) {
-                self.unknown.remove(&told.model);
+        for reported in named.iter().filter(|it| it.age_ms.is_some()) {
+            if self.unknown.get(&reported.model).is_some_and(|it| *it <= reported.version) {
+                self.unknown.remove(&reported.model);
             }
         }
         if self.unknown.is_empty() {
@@ -331,8 +331,8 @@
         row: Option<RecordRow>,
     ) {
         let found = row.as_ref().map_or(0, |it| it.revision);
-        if let Some(told) = row.as_ref().and_then(|it| it.heard.as_ref()) {
-            self.remember_row(now, told);
+        if let Some(reported) = row.as_ref().and_then(|it| it.heard.as_ref()) {
+            self.remember_row(now, reported);
         }
         self.revisions.insert(heard.model.clone(), found);
         let found_version = row.and_then(|it| it.heard).map_or(0, |it| it.version);
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -21,7 +21,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-use self::progress::{Chosen, Progress};
+use self::progress::{Progress, SelectedRunner};
 use self::queue::QueuePosition;
 use crate::budget::{BudgetLimits, RetryBudget};
 use crate::catalog::Catalog;
@@ -241,7 +241,7 @@
                 self.update_cold_shares(now);
                 self.update_limit_shares(now);
                 let mut effects = self.classify_crashes(now);
-                if self.resume_hold.settle(now) {
+                if self.resume_hold.end_if_over(now) {
                     effects.extend(self.resume_after_hold(now, &mut random));
                 }
                 let changes = self.pool.evacuations.settle(now);
@@ -266,7 +266,7 @@
     /// Applies a newer configuration, also to active requests.
     fn configure(&mut self, catalog: Arc<Catalog>) -> Vec<Effect> {
         for progress in self.requests.values_mut() {
-            progress.arrival.settle(&catalog);
+            progress.arrival.update_homes(&catalog);
             progress.scope = progress.arrival.scope();
         }
         self.note_cold_services(&catalog);
@@ -280,10 +280,10 @@
 
     fn arrive(&mut self, now: Millis, random: &mut SmallRng, mut arrival: Arrival) -> Vec<Effect> {
         if let Some(catalog) = &self.catalog {
-            arrival.settle(catalog);
+            arrival.update_homes(catalog);
         }
         if self.is_enabled(Mechanism::HomeRoom) {
-            self.home_demand.note(now, &arrival);
+            self.home_demand.record(now, &arrival);
         }
         let key = arrival.key;
         self.budget(now, &arrival.service).count_request(now);
@@ -321,11 +321,11 @@
         let Some(progress) = self.requests.remove(&key) else {
             return Vec::new();
         };
-        self.queue.retain(|place| place.key != key);
+        self.queue.retain(|position| position.key != key);
         self.crashes.end(key, progress.arrival.digest);
         let current = progress.current.as_ref();
         if let Some(runner) = current.and_then(|it| self.pool.life_mut(&it.id, it.life)) {
-            runner.leave(progress.is_suspect);
+            runner.end_request(progress.is_suspect);
             runner.notices.rest.note_end(key);
         }
         self.dispatch(now, random)
@@ -349,21 +349,21 @@
             return Vec::new();
         };
         let (current, sent_at) = (progress.current.clone(), progress.sent_at);
-        let Some(chosen) = current else {
+        let Some(selected) = current else {
             return Vec::new();
         };
-        let runner = self.pool.life_mut(&chosen.id, chosen.life);
+        let runner = self.pool.life_mut(&selected.id, selected.life);
         let news = runner.map_or(Notice::default(), |it| it.notices.take(now, sent_at, notice));
         if news.is_empty() {
             return Vec::new();
         }
-        self.note_notice(now, chosen.id, news)
+        self.note_notice(now, selected.id, news)
     }
 
     /// Resumes sending after a hold. Each queued request gets a little more time to find a slot.
     fn resume_after_hold(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
-        for place in &self.queue {
-            if let Some(progress) = self.requests.get_mut(&place.key) {
+        for position in &self.queue {
+            if let Some(progress) = self.requests.get_mut(&position.key) {
                 let wait_until = progress.wait_until.max(now.plus(WAIT_AFTER_HOLD_MS));
                 progress.wait_until = wait_until.min(progress.arrival.limit);
             }
@@ -375,7 +375,7 @@
         Chooser {
             pool: &self.pool,
             options: &self.options,
-            room: &self.home_demand,
+            home_demand: &self.home_demand,
             cold: &self.cold,
             limits: &self.limits,
         }
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 
 use super::queue::QueuePosition;
-use super::{Chosen, Gateway};
+use super::{Gateway, SelectedRunner};
 use crate::event::{AttemptOutcome, Effect, RequestKey};
 
 /// How long a request that may have run already waits for another slot, in milliseconds.
@@ -29,19 +29,19 @@
         let Some(progress) = self.requests.get_mut(&key) else {
             return Vec::new();
         };
-        let Some(chosen) = progress.current.clone() else {
+        let Some(selected) = progress.current.clone() else {
             return Vec::new();
         };
-        let id = &chosen.id;
+        let id = &selected.id;
         if outcome == AttemptOutcome::Answered {
             progress.may_have_run = true;
             progress.answered = true;
             let took = now.since(progress.sent_at);
-            self.pool.note_answered(now, &chosen.id, chosen.life);
-            if let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) {
+            self.pool.note_answered(now, &selected.id, selected.life);
+            if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
                 runner.notices.rest.note_run(key);
             }
-            self.note_wait(now, &chosen, took);
+            self.note_wait(now, &selected, took);
             return Vec::new();
         }
         progress.current = None;
@@ -62,10 +62,10 @@
         let was_suspect = std::mem::take(&mut progress.is_suspect);
         let digest = progress.arrival.digest;
         if outcome == AttemptOutcome::Lost && !answered {
-            self.note_wait(now, &chosen, waited);
+            self.note_wait(now, &selected, waited);
         }
-        self.record_outcome(now, key, &chosen, outcome, was_suspect);
-        let mut effects = self.note_end(now, digest, &chosen, outcome);
+        self.record_outcome(now, key, &selected, outcome, was_suspect);
+        let mut effects = self.note_end(now, digest, &selected, outcome);
         if outcome == AttemptOutcome::Finished {
             self.requests.remove(&key);
             self.crashes.end(key, digest);
@@ -78,8 +78,8 @@
     }
 
     /// Records how long a request waited at a runner.
-    fn note_wait(&mut self, now: Millis, chosen: &Chosen, waited: Millis) {
-        if let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) {
+    fn note_wait(&mut self, now: Millis, selected: &SelectedRunner, waited: Millis) {
+        if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
             runner.note_first_byte(now, waited);
         }
     }
@@ -89,16 +89,16 @@
         &mut self,
         now: Millis,
         key: RequestKey,
-        chosen: &Chosen,
+        selected: &SelectedRunner,
         outcome: AttemptOutcome,
         was_suspect: bool,
     ) {
         let is_suspicion_enabled = self.is_enabled(Mechanism::Suspicion);
         // Results of an earlier life say nothing about the current one.
-        let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) else {
+        let Some(runner) = self.pool.life_mut(&selected.id, selected.life) else {
             return;
         };
-        runner.leave(was_suspect);
+        runner.end_request(was_suspect);
         if outcome.has_ended_well() {
             runner.notices.rest.note_run(key);
         }
@@ -134,11 +134,11 @@
             | AttemptOutcome::Outdated => {}
         }
         if outcome.was_answered() {
-            self.pool.note_answered(now, &chosen.id, chosen.life);
+            self.pool.note_answered(now, &selected.id, selected.life);
         } else if is_suspicion_enabled
             && matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Silent)
         {
-            self.pool.note_unanswered(now, &chosen.id);
+            self.pool.note_unanswered(now, &selected.id);
         }
     }
 
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -5,7 +5,7 @@
 use quarantine::{Admission, CrashList, CrashNews, Crashes, LifeDigest, RequestDigest, Sign, Told};
 use rand::rngs::SmallRng;
 
-use super::{Chosen, Gateway, Progress};
+use super::{Gateway, Progress, SelectedRunner};
 use crate::event::{Arrival, AttemptOutcome, Effect, NextStep, RequestKey};
 
 fn effects(news: impl IntoIterator<Item = CrashNews>) -> Vec<Effect> {
@@ -61,11 +61,11 @@
         &mut self,
         now: Millis,
         digest: RequestDigest,
-        chosen: &Chosen,
+        selected: &SelectedRunner,
         outcome: AttemptOutcome,
     ) -> Vec<Effect> {
         if outcome.may_have_crashed() {
-            self.crashes.suspect(now, digest, chosen.id.clone(), chosen.life.digest);
+            self.crashes.suspect(now, digest, selected.id.clone(), selected.life.digest);
         }
         if !outcome.has_ended_well() {
             return Vec::new();
--- a/components/gateway/src/reducer/limits.rs
+++ b/components/gateway/src/reducer/limits.rs
@@ -11,9 +11,9 @@
 
 impl Gateway {
     /// Applies the limits that other gateways received, as a sidecar reports.
-    pub(super) fn apply_limits(&mut self, now: Millis, told: &[LifeLimit]) -> Vec<Effect> {
+    pub(super) fn apply_limits(&mut self, now: Millis, reported: &[LifeLimit]) -> Vec<Effect> {
         let mut news = Vec::new();
-        for it in told {
+        for it in reported {
             news.extend(self.pool.apply_life_limit(now, it));
             // A process may not know that a limit has ended, so the runner is added again and its
             // end is reported once more.
@@ -76,9 +76,9 @@
     /// sidecar reports them itself.
     pub fn told_limits(&self, now: Millis, random: &mut impl Rng) -> Vec<LifeLimit> {
         let runners = self.limits.runners().filter_map(|id| self.pool.runner(id));
-        let told = runners
-            .filter(|it| !it.is_limit_kept)
+        let reported = runners
+            .filter(|it| !it.is_limit_enforced)
             .filter_map(|it| Some(LifeLimit { life: it.life.digest, limit: it.told_limit(now)? }));
-        draw_limits(told, random)
+        draw_limits(reported, random)
     }
 }
--- a/components/gateway/src/reducer/progress.rs
+++ b/components/gateway/src/reducer/progress.rs
@@ -11,7 +11,7 @@
 
 /// The life of a runner that a request was sent to.
 #[derive(Clone, Debug)]
-pub(super) struct Chosen {
+pub(super) struct SelectedRunner {
     pub(super) id: InstanceId,
     pub(super) life: RunnerLife,
     /// Whether this gateway may send the request without the sidecar, although the runner has a
@@ -27,7 +27,7 @@
     pub(super) scope: Arc<RunnerScope>,
     pub(super) tried: Vec<InstanceId>,
     /// The runner of the current attempt.
-    pub(super) current: Option<Chosen>,
+    pub(super) current: Option<SelectedRunner>,
     /// When the current attempt was sent.
     pub(super) sent_at: Millis,
     /// Whether its response has begun.
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-use super::{Chosen, Gateway, Progress};
+use super::{Gateway, Progress, SelectedRunner};
 use crate::choice::Availability;
 use crate::event::{Effect, NextStep, RequestKey, RunnerScope, RunnerTarget};
 
@@ -84,17 +84,17 @@
     pub(super) fn dispatch(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut full_scopes = FullScopes::new();
-        let places: Vec<QueuePosition> = self.queue.iter().copied().collect();
-        for place in places {
-            match self.decide(now, random, place.key, &mut full_scopes) {
+        let positions: Vec<QueuePosition> = self.queue.iter().copied().collect();
+        for position in positions {
+            match self.decide(now, random, position.key, &mut full_scopes) {
                 QueueDecision::Wait => {}
                 QueueDecision::Send(target) => {
-                    self.queue.remove(&place);
-                    effects.push(Effect::Proceed(place.key, NextStep::Send(target)));
+                    self.queue.remove(&position);
+                    effects.push(Effect::Proceed(position.key, NextStep::Send(target)));
                 }
                 QueueDecision::Finish => {
-                    self.queue.remove(&place);
-                    effects.extend(self.finish_without_answer(now, random, place.key));
+                    self.queue.remove(&position);
+                    effects.extend(self.finish_without_answer(now, random, position.key));
                 }
             }
         }
@@ -220,13 +220,13 @@
         self.cold.take(now, &id);
         let has_token = self.limits.take_token(now, &id);
         let runner = self.pool.runner_mut(&id)?;
-        runner.enter(is_suspect);
+        runner.begin_request(is_suspect);
         runner.notices.rest.note_sent(key);
         let address = runner.record.address;
         let limit = runner.told_limit(now);
-        let chosen = Chosen { id: id.clone(), life: runner.life, has_token };
+        let selected = SelectedRunner { id: id.clone(), life: runner.life, has_token };
         progress.tried.push(id.clone());
-        progress.current = Some(chosen);
+        progress.current = Some(selected);
         progress.is_suspect = is_suspect;
         progress.sent_at = now;
         progress.queries += 1;
--- a/components/gateway/src/reducer/send_checks.rs
+++ b/components/gateway/src/reducer/send_checks.rs
@@ -32,14 +32,14 @@
     /// The time by which a request that is sent now must have begun at the selected runner, after
     /// which its version may no longer be used. `None` if there is no such time.
     pub fn begin_by(&self, now: Millis, key: RequestKey) -> Option<Millis> {
-        let chosen = self.requests.get(&key)?.current.as_ref()?;
-        self.pool.bound_of(now, self.pool.runner(&chosen.id)?)
+        let selected = self.requests.get(&key)?.current.as_ref()?;
+        self.pool.bound_of(now, self.pool.runner(&selected.id)?)
     }
 
     /// Whether the runner's rate limit allows sending a request to the selected runner: its sidecar
     /// granted the reservation within the limit, or this gateway has a share of the rate.
     fn may_send_by_rate(&self, progress: &Progress, runner: &Runner) -> bool {
-        let by_sidecar = self.asks_sidecars(&progress.arrival) && runner.is_limit_kept;
+        let by_sidecar = self.asks_sidecars(&progress.arrival) && runner.is_limit_enforced;
         let by_itself = progress.current.as_ref().is_some_and(|it| it.has_token);
         runner.notices.limit.rate().is_none() || by_sidecar || by_itself
     }
--- a/components/gateway/src/resume_hold.rs
+++ b/components/gateway/src/resume_hold.rs
@@ -52,7 +52,7 @@
     }
 
     /// Ends the hold if its time is over, and returns whether it did.
-    pub(crate) fn settle(&mut self, now: Millis) -> bool {
+    pub(crate) fn end_if_over(&mut self, now: Millis) -> bool {
         self.resumed_at.take_if(|at| now.since(*at).0 >= MAX_HOLD_MS).is_some()
     }
 
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -165,7 +165,7 @@
     pub notices: Notices,
     /// Whether its sidecar enforces its rate limit for reservations, according to the last answer
     /// to a query.
-    pub is_limit_kept: bool,
+    pub is_limit_enforced: bool,
     /// Until when it accepts nothing under its rate limit, according to its sidecar.
     rate_exhausted_until: Millis,
     /// The runner rejected a request as misdirected; nothing is sent until its list entry changes.
@@ -202,7 +202,7 @@
             weight: 0,
             is_followed: false,
             notices: Notices::default(),
-            is_limit_kept: false,
+            is_limit_enforced: false,
             rate_exhausted_until: Millis(0),
             misdirected: false,
         }
@@ -275,7 +275,7 @@
         now: Millis,
         reported_life: Option<ToldLimit>,
     ) -> Option<RateWord> {
-        self.is_limit_kept = reported_life.is_some();
+        self.is_limit_enforced = reported_life.is_some();
         self.learn_limit(now, reported_life?)
     }
 
@@ -307,13 +307,13 @@
     }
 
     /// Counts a request that is sent to it.
-    pub fn enter(&mut self, is_suspect: bool) {
+    pub fn begin_request(&mut self, is_suspect: bool) {
         self.in_flight += 1;
         self.suspects += u32::from(is_suspect);
     }
 
     /// Removes a request that has ended there.
-    pub fn leave(&mut self, was_suspect: bool) {
+    pub fn end_request(&mut self, was_suspect: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.suspects = self.suspects.saturating_sub(u32::from(was_suspect));
     }
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -54,12 +54,12 @@
     /// The versions of each model to report to other processes, oldest first.
     pub(crate) fn told(&self, now: Millis) -> Vec<NamedVersion> {
         let of_model = |(model, names): (&ModelName, &VersionNames)| {
-            let told = names.told(now, self.version_ms).map(|it| {
+            let reported = names.told(now, self.version_ms).map(|it| {
                 let age_ms = it.known.then(|| now.since(it.at).0);
                 let (model, version, after_ms) = (model.clone(), it.version, it.after_ms);
                 NamedVersion { model, version, age_ms, after_ms }
             });
-            told.collect::<Vec<_>>()
+            reported.collect::<Vec<_>>()
         };
         self.by_model.iter().flat_map(of_model).collect()
     }
