--- a/components/gateway/src/budget.rs
+++ b/components/gateway/src/budget.rs
@@ -65,8 +65,8 @@
             self.buckets.push_back((now, 0, 0));
         }
         self.drop_expired(now);
-        let last = self.buckets.len() - 1;
-        &mut self.buckets[last]
+        let last_index = self.buckets.len() - 1;
+        &mut self.buckets[last_index]
     }
 
     /// Drops time buckets that are wholly outside the window. A bucket is kept until its end has
--- a/components/gateway/src/choice.rs
+++ b/components/gateway/src/choice.rs
@@ -165,7 +165,7 @@
         };
         let fit = || self.pool.of_service(&arrival.service).filter(is_fit);
         let left = fit().map(|it| self.rate_allows_in_ms(now, it, arrival)).min()?;
-        // Another gateway may use the turn that is available now.
+        // Another gateway may send the request that the rate allows now.
         let all_limited = || fit().all(|it| it.notices.limit.rate().is_some());
         (left > 0 || all_limited()).then_some(left)
     }
@@ -179,7 +179,7 @@
         let runners = self.pool.of_service(&arrival.service);
         let allowed = runners.filter(|it| self.may_serve(now, it, arrival));
         let unpaused_in_ms =
-            |it: &Runner| it.failure_pause_ms(now).max(it.notices.rest.left_ms(now));
+            |it: &Runner| it.failure_pause_ms(now).max(it.notices.backoff.left_ms(now));
         allowed.map(unpaused_in_ms).min().filter(|left| *left > 0)
     }
 
@@ -187,7 +187,7 @@
     fn backoff_ends_in_ms(&self, now: Millis, arrival: &Arrival) -> Option<u64> {
         let runners = self.pool.of_service(&arrival.service);
         let open = runners.filter(|it| self.may_serve(now, it, arrival));
-        open.map(|it| it.notices.rest.left_ms(now)).min().filter(|left| *left > 0)
+        open.map(|it| it.notices.backoff.left_ms(now)).min().filter(|left| *left > 0)
     }
 
     /// Whether a request may wait for a runner. A request without home regions may also wait for
@@ -233,7 +233,7 @@
 
     /// Whether a runner can run a request, regardless of free capacity.
     fn can_run(&self, now: Millis, runner: &Runner, arrival: &Arrival) -> bool {
-        let is_paused = runner.is_paused(now) || runner.notices.rest.left_ms(now) > 0;
+        let is_paused = runner.is_paused(now) || runner.notices.backoff.left_ms(now) > 0;
         if is_paused || !self.may_serve(now, runner, arrival) {
             return false;
         }
--- a/components/gateway/src/limits.rs
+++ b/components/gateway/src/limits.rs
@@ -127,24 +127,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct LimitsHeard {
     /// The limits, and when each was last reported.
-    heard: BTreeMap<LifeDigest, (RateLimit, Millis)>,
+    received: BTreeMap<LifeDigest, (RateLimit, Millis)>,
 }
 
 impl LimitsHeard {
     /// Records the limits that a gateway reports.
     pub fn take(&mut self, now: Millis, reported: &[LifeLimit]) {
         for LifeLimit { life, limit } in reported {
-            let (known, told_at) = self.heard.entry(*life).or_default();
+            let (known, told_at) = self.received.entry(*life).or_default();
             known.learn(now, None, *limit);
             *told_at = now;
         }
-        self.heard.retain(|_, (_, told_at)| now.since(*told_at).0 <= LIMIT_MEMORY_MS);
+        self.received.retain(|_, (_, told_at)| now.since(*told_at).0 <= LIMIT_MEMORY_MS);
     }
 
     /// The limits that are sent to a gateway. If there are too many for one message, a random
     /// selection.
     pub fn list(&self, now: Millis, random: &mut impl Rng) -> Vec<LifeLimit> {
-        let reported = self.heard.iter().filter_map(|(life, (limit, _))| {
+        let reported = self.received.iter().filter_map(|(life, (limit, _))| {
             Some(LifeLimit { life: *life, limit: limit.told(now, None)? })
         });
         draw_limits(reported, random)
--- a/components/gateway/src/members.rs
+++ b/components/gateway/src/members.rs
@@ -20,24 +20,24 @@
 const UNSURE_AFTER_MS: u64 = 4000;
 /// How long it takes until all other gateways know of a new one, in milliseconds: each asks one
 /// sidecar per second, and some answers are lost.
-const INTRODUCTION_MS: u64 = 5000;
+const PROPAGATION_MS: u64 = 5000;
 /// How long a gateway counts among those that may be responsible, in milliseconds. Twice the time
 /// after which the gateway itself knows that it is not.
 const RESPONSIBLE_MEMORY_MS: u64 = 8000;
 /// The part of a shared resource that is divided among gateways that are sure of each other.
-const SURE_PART: f64 = 0.8;
+const SURE_SHARE: f64 = 0.8;
 /// Maximum number of simultaneously unsure gateways, if there are not more sidecars than that; they
 /// share the rest of the resource.
 const MAX_UNSURE: usize = 64;
 /// Upper bound on the ratio of existing to known gateways when each sidecar knows only a part of
 /// them.
-const UNHEARD_MARGIN: f64 = 1.1;
+const UNKNOWN_GATEWAYS_FACTOR: f64 = 1.1;
 /// Maximum number of gateways of a deployment that never had a sidecar: their real number is
 /// unknown.
 const MAX_WITHOUT_SIDECARS: usize = 10;
 /// The part of the sidecars that a gateway must receive reports from to be responsible for
 /// anything. Of two partitions that are cut off from each other at most one has it.
-const QUORUM: f64 = 0.5;
+const MIN_COVERAGE: f64 = 0.5;
 /// Length of the time buckets in which the lowest reach is recorded, in milliseconds.
 const COVERAGE_BUCKET_MS: u64 = 1000;
 /// Interval between checks of the reach, in milliseconds: a report counts for two seconds.
@@ -70,14 +70,14 @@
 #[derive(Clone, Debug)]
 pub struct GatewaysHeard {
     memory_ms: u64,
-    heard: BTreeMap<SocketAddr, Millis>,
+    last_received: BTreeMap<SocketAddr, Millis>,
 }
 
 impl GatewaysHeard {
     /// Creates an empty record that remembers gateways for as long as their usage counts in a
     /// window of this length, in milliseconds.
     pub fn new(window_ms: u64) -> Self {
-        Self { memory_ms: window_ms + MEMORY_MARGIN_MS, heard: BTreeMap::new() }
+        Self { memory_ms: window_ms + MEMORY_MARGIN_MS, last_received: BTreeMap::new() }
     }
 
     /// Changes the length of the window, in milliseconds.
@@ -87,21 +87,24 @@
 
     /// Records that a message from a gateway was received.
     pub fn note(&mut self, now: Millis, gateway: SocketAddr) {
-        self.heard.insert(gateway, now);
+        self.last_received.insert(gateway, now);
         let memory = self.memory_ms;
-        self.heard.retain(|_, at| now.since(*at).0 <= memory);
+        self.last_received.retain(|_, at| now.since(*at).0 <= memory);
     }
 
     /// The number of remembered gateways.
     pub fn count(&self, now: Millis) -> usize {
-        self.heard.values().filter(|at| now.since(**at).0 <= self.memory_ms).count()
+        self.last_received.values().filter(|at| now.since(**at).0 <= self.memory_ms).count()
     }
 
     /// The answer to a gateway that asks. If there are too many gateways for one answer, each
     /// answer holds a different selection, which depends on the time.
     pub fn list(&self, now: Millis, asker: SocketAddr) -> GatewayList {
-        let mut gateways: Vec<HeardGateway> =
-            self.heard.iter().map(|(address, at)| heard(now, *address, *at)).collect();
+        let mut gateways: Vec<HeardGateway> = self
+            .last_received
+            .iter()
+            .map(|(address, at)| heard_gateway(now, *address, *at))
+            .collect();
         if gateways.len() > MAX_GATEWAYS_PER_MESSAGE {
             let draw = now.0.to_string();
             gateways.sort_by_key(|it| (it.address != asker, weight(&draw, it.address)));
@@ -111,7 +114,7 @@
     }
 }
 
-fn heard(now: Millis, address: SocketAddr, at: Millis) -> HeardGateway {
+fn heard_gateway(now: Millis, address: SocketAddr, at: Millis) -> HeardGateway {
     let tenths = (now.since(at).0 / AGE_UNIT_MS).min(u64::from(u16::MAX)) as u16;
     HeardGateway { address, tenths }
 }
@@ -144,7 +147,7 @@
 pub struct Members {
     window_ms: u64,
     own_address: Option<SocketAddr>,
-    heard: BTreeMap<SocketAddr, Millis>,
+    last_received: BTreeMap<SocketAddr, Millis>,
     reported_at: Option<Millis>,
     /// Start of the current uninterrupted period of reports.
     since: Millis,
@@ -168,7 +171,7 @@
         Self {
             window_ms,
             own_address: None,
-            heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
             reported_at: None,
             since: Millis(0),
             window_since: Millis(0),
@@ -209,7 +212,7 @@
             Some((_, lowest)) => *lowest = lowest.min(coverage),
             None => self.coverage.push_back((now, coverage)),
         }
-        let span = self.window_ms + INTRODUCTION_MS + COVERAGE_BUCKET_MS;
+        let span = self.window_ms + PROPAGATION_MS + COVERAGE_BUCKET_MS;
         while self.coverage.front().is_some_and(|it| now.since(it.0).0 > span) {
             self.coverage.pop_front();
         }
@@ -224,16 +227,16 @@
         self.own_address = Some(list.asker);
         for HeardGateway { address, tenths } in list.gateways {
             let at = now.minus(u64::from(tenths) * AGE_UNIT_MS);
-            let known = self.heard.entry(address).or_insert(at);
+            let known = self.last_received.entry(address).or_insert(at);
             *known = (*known).max(at);
         }
         let memory = self.window_ms + MEMORY_MARGIN_MS;
-        self.heard.retain(|_, at| now.since(*at).0 <= memory);
+        self.last_received.retain(|_, at| now.since(*at).0 <= memory);
     }
 
     /// The number of known gateways, at least this one.
     pub fn count(&self, now: Millis) -> usize {
-        self.heard_within(now, self.window_ms + MEMORY_MARGIN_MS).count().max(1)
+        self.known_within(now, self.window_ms + MEMORY_MARGIN_MS).count().max(1)
     }
 
     /// Whether each sidecar knows only a part of the gateways.
@@ -245,8 +248,7 @@
     pub fn sureness(&self, now: Millis) -> Sureness {
         if !self.receives_reports(now) {
             Sureness::Unsure
-        } else if now.since(self.since.max(self.window_since)).0 < self.window_ms + INTRODUCTION_MS
-        {
+        } else if now.since(self.since.max(self.window_since)).0 < self.window_ms + PROPAGATION_MS {
             Sureness::New
         } else {
             Sureness::Sure
@@ -258,13 +260,13 @@
         match self.sureness(now) {
             Sureness::Sure => {
                 // Usage of gateways that were unreachable counts for one more window.
-                let coverage = self.lowest_coverage(now, self.window_ms + INTRODUCTION_MS);
-                let margin = if self.is_partial { UNHEARD_MARGIN } else { 1.0 };
-                SURE_PART * coverage / (self.count(now) as f64 * margin)
+                let coverage = self.lowest_coverage(now, self.window_ms + PROPAGATION_MS);
+                let margin = if self.is_partial { UNKNOWN_GATEWAYS_FACTOR } else { 1.0 };
+                SURE_SHARE * coverage / (self.count(now) as f64 * margin)
             }
             Sureness::Unsure if !self.has_sidecars => 1.0 / MAX_WITHOUT_SIDECARS as f64,
             Sureness::Unsure | Sureness::New => {
-                (1.0 - SURE_PART) / self.sidecars.max(MAX_UNSURE) as f64
+                (1.0 - SURE_SHARE) / self.sidecars.max(MAX_UNSURE) as f64
             }
         }
     }
@@ -273,12 +275,12 @@
     /// one. `None` if this gateway is not responsible.
     pub fn responsible(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
         let own_address = self.own_address?;
-        let is_known = self.receives_reports(now) && now.since(self.since).0 >= INTRODUCTION_MS;
-        if !is_known || self.lowest_coverage(now, INTRODUCTION_MS) <= QUORUM {
+        let is_known = self.receives_reports(now) && now.since(self.since).0 >= PROPAGATION_MS;
+        if !is_known || self.lowest_coverage(now, PROPAGATION_MS) <= MIN_COVERAGE {
             return None;
         }
         let own_weight = weight(resource, own_address);
-        let others = self.heard_within(now, RESPONSIBLE_MEMORY_MS).filter(|it| *it != own_address);
+        let others = self.known_within(now, RESPONSIBLE_MEMORY_MS).filter(|it| *it != own_address);
         let weights: Vec<u64> = others.map(|it| weight(resource, it)).collect();
         let higher = weights.iter().filter(|it| **it > own_weight).count();
         (higher < most).then_some((weights.len() + 1).min(most))
@@ -296,9 +298,9 @@
 
     /// The lowest part of the sidecars that reported in a time span that ends now.
     fn lowest_coverage(&self, now: Millis, span: u64) -> f64 {
-        let steps =
+        let buckets =
             self.coverage.iter().filter(|it| now.since(it.0).0 <= span + COVERAGE_BUCKET_MS);
-        steps
+        buckets
             .map(|it| it.1)
             .fold(None, |low: Option<f64>, it| Some(low.map_or(it, |low| low.min(it))))
             .unwrap_or(0.0)
@@ -308,9 +310,10 @@
         self.reported_at.is_some_and(|at| now.since(at).0 <= UNSURE_AFTER_MS)
     }
 
-    fn heard_within(&self, now: Millis, span: u64) -> impl Iterator<Item = SocketAddr> + '_ {
-        let heard = self.heard.iter().filter(move |(_, at)| now.since(**at).0 <= span);
-        heard.map(|(address, _)| *address)
+    fn known_within(&self, now: Millis, span: u64) -> impl Iterator<Item = SocketAddr> + '_ {
+        let last_received =
+            self.last_received.iter().filter(move |(_, at)| now.since(**at).0 <= span);
+        last_received.map(|(address, _)| *address)
     }
 }
 
--- a/components/gateway/src/notices.rs
+++ b/components/gateway/src/notices.rs
@@ -37,7 +37,7 @@
     /// A runner that is draining never returns to service in the same life.
     is_leaving: bool,
     /// The backoff that it asked for.
-    pub rest: Rest<RequestKey>,
+    pub backoff: Rest<RequestKey>,
     /// The rate that it accepts from all gateways together.
     pub limit: RateLimit,
 }
@@ -48,7 +48,7 @@
     pub fn take(&mut self, now: Millis, sent_at: Millis, notice: Notice) -> Notice {
         let leaves_now = notice.is_leaving && !self.is_leaving;
         self.is_leaving |= notice.is_leaving;
-        let rest_ms = notice.rest_ms.filter(|it| self.rest.begin(now, *it));
+        let rest_ms = notice.rest_ms.filter(|it| self.backoff.begin(now, *it));
         let limit = notice.limit.filter(|it| self.limit.hear(now, sent_at, *it));
         Notice { is_leaving: leaves_now, rest_ms, limit }
     }
@@ -60,11 +60,11 @@
 
     /// Whether the runner's own information allows a request to be sent to it.
     pub fn admit(&self, now: Millis, key: RequestKey) -> bool {
-        !self.is_leaving && self.rest.admit(now, key)
+        !self.is_leaving && self.backoff.admit(now, key)
     }
 
     /// Whether any of the information still has an effect.
-    pub fn binds(&self, now: Millis) -> bool {
-        self.is_leaving || self.rest.left_ms(now) > 0 || self.limit.rate().is_some()
+    pub fn has_effect(&self, now: Millis) -> bool {
+        self.is_leaving || self.backoff.left_ms(now) > 0 || self.limit.rate().is_some()
     }
 }
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -21,7 +21,7 @@
 /// How long the information that a runner sent about itself is kept after its list entry has been
 /// removed, in milliseconds: longer than an outage of the store, after which expired entries come
 /// back.
-const DEPARTED_MEMORY_MS: u64 = 60_000;
+const UNLISTED_MEMORY_MS: u64 = 60_000;
 
 /// The runners of every service, and the announced versions of their models.
 #[derive(Clone, Debug, Default)]
@@ -34,7 +34,7 @@
     /// service there.
     by_address: HashMap<SocketAddr, BTreeMap<ServiceName, InstanceId>>,
     /// Information sent by runners that are no longer listed, and when their entries were removed.
-    departed: BTreeMap<InstanceId, (RunnerLife, Notices, Millis)>,
+    unlisted: BTreeMap<InstanceId, (RunnerLife, Notices, Millis)>,
     named: NamedVersions,
     /// The evacuated data halls.
     pub evacuations: Evacuations,
@@ -105,7 +105,7 @@
         // at once, so that the versions its runner should hold are received.
         let listed = self.by_service.get(&runner.record.service).map_or(0, Vec::len);
         runner.is_followed = listed <= followed::most(listed, None);
-        if let Some((life, notices, _)) = self.departed.remove(&id) {
+        if let Some((life, notices, _)) = self.unlisted.remove(&id) {
             // The entry has come back, and its life is the same.
             if life == runner.life {
                 runner.notices = notices;
@@ -121,9 +121,9 @@
         let Some(runner) = self.runners.remove(id) else {
             return;
         };
-        self.departed.retain(|_, (_, _, at)| now.since(*at).0 <= DEPARTED_MEMORY_MS);
-        if runner.notices.binds(now) {
-            self.departed.insert(id.clone(), (runner.life, runner.notices, now));
+        self.unlisted.retain(|_, (_, _, at)| now.since(*at).0 <= UNLISTED_MEMORY_MS);
+        if runner.notices.has_effect(now) {
+            self.unlisted.insert(id.clone(), (runner.life, runner.notices, now));
         }
         if let Some(at_address) = self.by_address.get_mut(&runner.record.address) {
             at_address.retain(|_, it| it != id);
@@ -162,12 +162,12 @@
     ) -> Vec<NoticeNews> {
         let ids: Vec<InstanceId> =
             self.by_address.get(&address).into_iter().flat_map(BTreeMap::values).cloned().collect();
-        let take = |id: InstanceId| {
+        let apply = |id: InstanceId| {
             let limit = self.runners.get_mut(&id)?.apply_limit(now, reported);
             let notice = Notice { limit, ..Notice::default() };
             (!notice.is_empty()).then_some(NoticeNews { runner: id, notice })
         };
-        ids.into_iter().filter_map(take).collect()
+        ids.into_iter().filter_map(apply).collect()
     }
 
     /// Applies the rate limit of a life of a runner that another gateway reported.
@@ -213,7 +213,7 @@
     /// Records that a runner or its sidecar answered.
     pub fn note_answered(&mut self, now: Millis, id: &InstanceId, life: RunnerLife) {
         if let Some(runner) = self.runners.get_mut(id).filter(|it| it.life == life) {
-            runner.heard_at = now;
+            runner.last_alive_at = now;
             self.silent.note_heard(&runner.record.hall);
         }
     }
@@ -308,8 +308,8 @@
         start_ms: u64,
     ) {
         let runners = self.runners.values_mut().filter(|it| &it.record.service == service);
-        let there = runners.filter(|it| &it.record.hall == hall);
-        there.for_each(|it| it.mark_possibly_cold(now, start_ms));
+        let in_hall = runners.filter(|it| &it.record.hall == hall);
+        in_hall.for_each(|it| it.mark_possibly_cold(now, start_ms));
     }
 
     /// Records that the list is complete up to now, which ends doubts about cold runners that the
@@ -321,7 +321,8 @@
     /// The number of runners that reported that they are draining, and of those in a backoff.
     pub fn count_notices(&self, now: Millis) -> (usize, usize) {
         let leaving = self.runners.values().filter(|it| it.notices.is_leaving()).count();
-        let resting = self.runners.values().filter(|it| it.notices.rest.left_ms(now) > 0).count();
+        let resting =
+            self.runners.values().filter(|it| it.notices.backoff.left_ms(now) > 0).count();
         (leaving, resting)
     }
 
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -85,8 +85,8 @@
     at: Millis,
     /// When the row stops being useful.
     until: Millis,
-    /// Whether the row already differed from the expected one, although the expected one was its
-    /// reported state.
+    /// Whether a write already found another row than expected. The next write expects the row that
+    /// was found then.
     has_differed: bool,
 }
 
@@ -220,11 +220,11 @@
     fn older(&self, now: Millis, newer: &FirstHeard) -> Vec<OlderName> {
         let versions = self.known.get(&newer.model).into_iter().flatten();
         let older = versions.filter(|(version, _)| **version < newer.version);
-        let binds = |(name, until): &(OlderName, Millis)| {
+        let bound_applies = |(name, until): &(OlderName, Millis)| {
             let before_ms = newer.not_before_ms.saturating_sub(name.not_before_ms);
             now < *until && before_ms < self.version_ms
         };
-        older.map(|(_, it)| it).filter(|it| binds(it)).map(|(name, _)| *name).collect()
+        older.map(|(_, it)| it).filter(|it| bound_applies(it)).map(|(name, _)| *name).collect()
     }
 
     /// When the next call is due.
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -326,7 +326,7 @@
         let current = progress.current.as_ref();
         if let Some(runner) = current.and_then(|it| self.pool.life_mut(&it.id, it.life)) {
             runner.end_request(progress.is_suspect);
-            runner.notices.rest.note_end(key);
+            runner.notices.backoff.note_end(key);
         }
         self.dispatch(now, random)
     }
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -39,7 +39,7 @@
             let took = now.since(progress.sent_at);
             self.pool.note_answered(now, &selected.id, selected.life);
             if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
-                runner.notices.rest.note_run(key);
+                runner.notices.backoff.note_run(key);
             }
             self.note_wait(now, &selected, took);
             return Vec::new();
@@ -100,9 +100,9 @@
         };
         runner.end_request(was_suspect);
         if outcome.has_ended_well() {
-            runner.notices.rest.note_run(key);
+            runner.notices.backoff.note_run(key);
         }
-        runner.notices.rest.note_end(key);
+        runner.notices.backoff.note_end(key);
         let is_limited = runner.notices.limit.rate().is_some();
         match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Finished => runner.note_response(),
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -78,7 +78,7 @@
         self.crashes.ledger.forget_old(now);
         let pool = &self.pool;
         let sign = |id: &InstanceId, life: LifeDigest| match pool.runner(id) {
-            Some(runner) if runner.life.digest == life => Sign::Heard(runner.heard_at),
+            Some(runner) if runner.life.digest == life => Sign::Heard(runner.last_alive_at),
             Some(_) | None => Sign::Over,
         };
         effects(self.crashes.settle(now, sign))
--- a/components/gateway/src/reducer/progress.rs
+++ b/components/gateway/src/reducer/progress.rs
@@ -70,18 +70,18 @@
 
     /// The code of a refusal in this state of the runners.
     pub(super) fn refusal(&self, availability: Availability) -> Code {
-        let for_want_of_place =
+        let is_for_lack_of_capacity =
             matches!(self.reason, Code::Overloaded | Code::Withdrawn | Code::LaterTry);
-        let is_missing = match availability {
+        let is_home_unavailable = match availability {
             Availability::NotServing => true,
             // A runner that serves and is paused for a moment counts as full.
             Availability::ServesIn(left) => left > 0,
             Availability::Serving | Availability::Limited(_) | Availability::Unknown => false,
         };
-        if for_want_of_place && matches!(availability, Availability::Limited(_)) {
+        if is_for_lack_of_capacity && matches!(availability, Availability::Limited(_)) {
             return Code::RateLimited;
         }
-        if for_want_of_place && self.arrival.homes.is_bound() && is_missing {
+        if is_for_lack_of_capacity && self.arrival.homes.is_bound() && is_home_unavailable {
             Code::NoHome
         } else {
             self.reason
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -221,7 +221,7 @@
         let has_token = self.limits.take_token(now, &id);
         let runner = self.pool.runner_mut(&id)?;
         runner.begin_request(is_suspect);
-        runner.notices.rest.note_sent(key);
+        runner.notices.backoff.note_sent(key);
         let address = runner.record.address;
         let limit = runner.told_limit(now);
         let selected = SelectedRunner { id: id.clone(), life: runner.life, has_token };
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -12,7 +12,7 @@
 use crate::notices::{Notice, Notices};
 
 /// Weight of a new measurement in the smoothed value.
-const SMOOTHING: f64 = 0.3;
+const SMOOTHING_WEIGHT: f64 = 0.3;
 /// Decay time of the measured time to first byte, in milliseconds: after it a measurement counts
 /// for about a third (1/e).
 const FIRST_BYTE_DECAY_MS: f64 = 4000.0;
@@ -143,7 +143,7 @@
     /// Those of them that crashed runners before.
     pub suspects: u32,
     /// When the runner or its sidecar last showed that it is alive.
-    pub heard_at: Millis,
+    pub last_alive_at: Millis,
     reported: Option<Reported>,
     /// Smoothed time to first byte, in milliseconds, and when it was last measured.
     first_byte_ms: (f64, Millis),
@@ -193,7 +193,7 @@
             record,
             in_flight: 0,
             suspects: 0,
-            heard_at: Millis(0),
+            last_alive_at: Millis(0),
             reported: None,
             first_byte_ms: (0.0, Millis(0)),
             paused_until: Millis(0),
@@ -209,22 +209,22 @@
     }
 
     /// Compares the life reported by the list or a sidecar with the known one.
-    pub fn compare(&self, word: LifeWord, is_listed: bool) -> LifeChange {
+    pub fn compare(&self, other: LifeWord, is_listed: bool) -> LifeChange {
         let last = if is_listed { Some(self.listed_life) } else { self.reported_life };
-        let sequence = last.map_or(word.sequence, |it| it.sequence);
+        let sequence = last.map_or(other.sequence, |it| it.sequence);
         let known = LifeWord { born: self.born, sequence };
-        if word.born.is_some() && word.born <= self.previous_born {
+        if other.born.is_some() && other.born <= self.previous_born {
             return LifeChange::Earlier;
         }
-        if !is_listed && word.born.is_none() && !self.reports_contain_birth() {
+        if !is_listed && other.born.is_none() && !self.reports_contain_start_time() {
             // Reports of this runner have no start time, even if its entry has one: the order count
             // distinguishes its lives.
-            return LifeWord { born: None, ..known }.compare(word);
+            return LifeWord { born: None, ..known }.compare(other);
         }
-        known.compare(word)
+        known.compare(other)
     }
 
-    fn reports_contain_birth(&self) -> bool {
+    fn reports_contain_start_time(&self) -> bool {
         self.reported_life.is_some_and(|it| it.born.is_some())
     }
 
@@ -273,18 +273,18 @@
     pub fn apply_limit(
         &mut self,
         now: Millis,
-        reported_life: Option<ToldLimit>,
+        reported_limit: Option<ToldLimit>,
     ) -> Option<RateWord> {
-        self.is_limit_enforced = reported_life.is_some();
-        self.learn_limit(now, reported_life?)
+        self.is_limit_enforced = reported_limit.is_some();
+        self.learn_limit(now, reported_limit?)
     }
 
     /// Applies the rate limit that another process reported. Returns the change, if any.
-    pub fn learn_limit(&mut self, now: Millis, reported_life: ToldLimit) -> Option<RateWord> {
+    pub fn learn_limit(&mut self, now: Millis, reported_limit: ToldLimit) -> Option<RateWord> {
         let limit = &mut self.notices.limit;
-        let is_news = limit.learn(now, self.born, reported_life);
-        let word = limit.rate().map_or(RateWord::Unlimited, RateWord::Limited);
-        is_news.then_some(word)
+        let is_news = limit.learn(now, self.born, reported_limit);
+        let change = limit.rate().map_or(RateWord::Unlimited, RateWord::Limited);
+        is_news.then_some(change)
     }
 
     /// Records that its sidecar grants no reservation for this number of milliseconds, while it has
@@ -325,7 +325,7 @@
 
     /// Applies a load report.
     pub fn apply_load(&mut self, now: Millis, load: RunnerLoad) {
-        self.heard_at = now;
+        self.last_alive_at = now;
         self.reported_life = Some(load.life);
         self.reported = Some(Reported { load, at: now, own_requests: self.in_flight });
     }
@@ -368,7 +368,7 @@
         let reported = self.reported.as_ref()?;
         let age = now.since(reported.at).0;
         let serves_in = u64::from(reported.load.serves_in_ms?);
-        let left = serves_in.saturating_sub(age).max(self.notices.rest.left_ms(now));
+        let left = serves_in.saturating_sub(age).max(self.notices.backoff.left_ms(now));
         // A reported time that has passed without a newer report is not used.
         (age <= REPORT_VALIDITY_MS + serves_in).then_some(left)
     }
@@ -394,7 +394,8 @@
     pub fn note_first_byte(&mut self, now: Millis, took: Millis) {
         let before = self.expected_first_byte_ms(now);
         let took = took.0 as f64;
-        let smoothed = if before == 0.0 { took } else { before + SMOOTHING * (took - before) };
+        let smoothed =
+            if before == 0.0 { took } else { before + SMOOTHING_WEIGHT * (took - before) };
         self.first_byte_ms = (smoothed, now);
     }
 
--- a/components/gateway/tests/cold_plain.rs
+++ b/components/gateway/tests/cold_plain.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn sidecars_are_told_cold_times_only_if_runners_start_cold() {
+fn cold_times_are_reported_to_sidecars_only_if_runners_start_cold() {
     let mut fixture = fixture_with_cold_services(false);
     let cold = RunnerRecord { cold_ms: 2500, ..record("m2", MODEL_SERVICE, 101) };
     let machine = SocketAddr::from(([10, 9, 9, 9], 101));
--- a/components/gateway/tests/evacuations.rs
+++ b/components/gateway/tests/evacuations.rs
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn where_every_hall_is_evacuated_callers_are_refused_at_once() {
+fn callers_are_refused_at_once_if_every_hall_is_evacuated() {
     let mut fixture = fixture();
     fixture.feed(evacuation_list(10, &[("a", None), ("b", None)]));
     let (code, retry_after_ms) = refusal(send_request(&mut fixture, 1));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn an_older_evacuation_list_is_ignored_whoever_sends_it() {
+fn an_older_evacuation_list_is_ignored_from_any_sender() {
     let mut fixture = fixture();
     fixture.feed(evacuation_list(20, &[("a", None)]));
     fixture.feed(evacuation_list(10, &[]));
--- a/components/gateway/tests/homes.rs
+++ b/components/gateway/tests/homes.rs
@@ -96,8 +96,8 @@
     list(&mut fixture, "n", service);
     list(&mut fixture, "s", service);
     fixture.feed(configuration(2, &["north"], &[]));
-    let places = if service == MODEL_SERVICE { 8 } else { 4 };
-    for key in 1..=places {
+    let capacity = if service == MODEL_SERVICE { 8 } else { 4 };
+    for key in 1..=capacity {
         assert_eq!(sent_to(fixture.arrive(arrival(key, service, kind))), "n".into());
     }
     assert_eq!(fixture.arrive(arrival(9, service, kind)), None);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn callers_are_told_when_a_runner_of_their_homes_serves() {
+fn the_retry_delay_lasts_until_a_runner_in_the_home_serves() {
     let mut fixture = Fixture::new();
     list(&mut fixture, "n", MODEL_SERVICE);
     list(&mut fixture, "s", MODEL_SERVICE);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn callers_are_not_told_of_a_runner_that_is_leaving_their_homes() {
+fn the_retry_delay_ignores_a_draining_runner_in_the_home() {
     let mut fixture = Fixture::new();
     fixture.feed(configuration(2, &["north"], &[]));
     for (id, port, state, serves_in_ms) in
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn callers_are_also_told_when_a_paused_plain_runner_serves() {
+fn the_retry_delay_lasts_until_a_paused_plain_runner_serves() {
     let mut fixture = Fixture::new();
     list(&mut fixture, "n", PLAIN_SERVICE);
     list(&mut fixture, "s", PLAIN_SERVICE);
