--- a/components/gateway/src/cold.rs
+++ b/components/gateway/src/cold.rs
@@ -83,7 +83,7 @@
     }
 
     /// Counts a request sent to a cold runner, if the share allows one now.
-    pub fn take(&mut self, now: Millis, runner: &InstanceId) -> bool {
+    pub fn take_token(&mut self, now: Millis, runner: &InstanceId) -> bool {
         self.rate_shares.take_token(now, runner)
     }
 }
--- a/components/gateway/src/members.rs
+++ b/components/gateway/src/members.rs
@@ -192,7 +192,7 @@
     }
 
     /// Whether a check of which sidecars report is due.
-    pub fn wants_coverage(&self, now: Millis) -> bool {
+    pub fn is_coverage_check_due(&self, now: Millis) -> bool {
         now.since(self.coverage_checked_at).0 >= COVERAGE_CHECK_INTERVAL_MS
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Merges the list that a sidecar sent.
-    pub fn take(&mut self, now: Millis, list: GatewayList) {
+    pub fn merge(&mut self, now: Millis, list: GatewayList) {
         if !self.receives_reports(now) {
             self.since = now;
         }
@@ -289,7 +289,7 @@
     /// The number of gateways, `most` at most, that share a resource. `None` if this gateway has no
     /// share. If there never was a sidecar, responsibility cannot be determined, and the maximum
     /// number of such gateways share it.
-    pub fn sharers(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
+    pub fn sharing_gateways(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
         if !self.has_sidecars {
             return Some(MAX_WITHOUT_SIDECARS);
         }
--- a/components/gateway/src/notices.rs
+++ b/components/gateway/src/notices.rs
@@ -45,7 +45,7 @@
 impl Notices {
     /// Records the information in the response to a request that was sent at `sent_at`. Returns the
     /// part that is new.
-    pub fn take(&mut self, now: Millis, sent_at: Millis, notice: Notice) -> Notice {
+    pub fn apply(&mut self, now: Millis, sent_at: Millis, notice: Notice) -> Notice {
         let leaves_now = notice.is_leaving && !self.is_leaving;
         self.is_leaving |= notice.is_leaving;
         let rest_ms = notice.rest_ms.filter(|it| self.backoff.begin(now, *it));
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -79,7 +79,7 @@
             }
             None | Some(LifeChange::Same) => {
                 runner.misdirected = false;
-                runner.list(now, record);
+                runner.update_entry(now, record);
             }
             Some(LifeChange::Began) => self.replace(now, record, restarts + 1),
             Some(LifeChange::Earlier | LifeChange::Untold) => {}
@@ -145,7 +145,7 @@
         load: RunnerLoad,
     ) -> Vec<LifeNews> {
         if let Some(named) = load.named.clone() {
-            self.named.name(now, named);
+            self.named.record(now, named);
         }
         let at_address = self.by_address.get(&address).into_iter().flat_map(BTreeMap::values);
         let ids: Vec<InstanceId> = at_address.cloned().collect();
@@ -227,7 +227,7 @@
 
     /// Records an announced version.
     pub fn name_version(&mut self, now: Millis, named: NamedVersion) {
-        self.named.name(now, named);
+        self.named.record(now, named);
     }
 
     /// The oldest version of a model that a request may start on now.
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -224,7 +224,7 @@
             }
             Event::Limits(told) => self.apply_limits(now, &told),
             Event::Gateways(list) => {
-                self.members.take(now, list);
+                self.members.merge(now, list);
                 Vec::new()
             }
             Event::Crashes(list) => self.merge_crashes(now, &mut random, &list),
@@ -353,7 +353,7 @@
             return Vec::new();
         };
         let runner = self.pool.life_mut(&selected.id, selected.life);
-        let news = runner.map_or(Notice::default(), |it| it.notices.take(now, sent_at, notice));
+        let news = runner.map_or(Notice::default(), |it| it.notices.apply(now, sent_at, notice));
         if news.is_empty() {
             return Vec::new();
         }
@@ -416,7 +416,7 @@
         // Sets of home regions change with configurations; without this, past shortages of each
         // would accumulate.
         self.shortages.retain(|_, it| !it.is_over(now));
-        if self.members.wants_coverage(now) {
+        if self.members.is_coverage_check_due(now) {
             self.follow_sidecars(now);
             let coverage = self.sidecar_coverage(now);
             self.members.note_coverage(now, coverage);
--- a/components/gateway/src/reducer/limits.rs
+++ b/components/gateway/src/reducer/limits.rs
@@ -67,7 +67,7 @@
         let Some(rate) = runner.notices.limit.rate() else {
             return;
         };
-        let gateways = self.members.sharers(now, &id.0, max_gateways(rate));
+        let gateways = self.members.sharing_gateways(now, &id.0, max_gateways(rate));
         self.limits.set_share(now, id, rate, gateways);
     }
 
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -217,7 +217,7 @@
         let reserve = self.asks_sidecars(arrival);
         let ablation = self.options.ablation.clone();
         let progress = self.requests.get_mut(&key)?;
-        self.cold.take(now, &id);
+        self.cold.take_token(now, &id);
         let has_token = self.limits.take_token(now, &id);
         let runner = self.pool.runner_mut(&id)?;
         runner.begin_request(is_suspect);
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -229,7 +229,7 @@
     }
 
     /// Applies a newer list entry.
-    pub fn list(&mut self, now: Millis, record: RunnerRecord) {
+    pub fn update_entry(&mut self, now: Millis, record: RunnerRecord) {
         self.listed_life = record.life;
         self.cold_until = now.plus(record.cold_ms);
         self.record = record;
@@ -240,7 +240,7 @@
     /// restored from an older copy lists it as ready again.
     pub fn note_listed_state(&mut self, now: Millis) {
         let is_leaving = self.record.state == RunnerState::Draining;
-        self.notices.take(now, now, Notice { is_leaving, ..Notice::default() });
+        self.notices.apply(now, now, Notice { is_leaving, ..Notice::default() });
     }
 
     /// Records that the runner may have become cold recently, for at most `start_ms` milliseconds.
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -32,7 +32,7 @@
     /// Records a version. Each version keeps its own time bound when a newer one is announced, also
     /// if the newer one was received first. A process that receives a version late, or starts after
     /// the announcement, learns its age from other processes.
-    pub(crate) fn name(&mut self, now: Millis, named: NamedVersion) {
+    pub(crate) fn record(&mut self, now: Millis, named: NamedVersion) {
         let heard = VersionName::heard(now, &named);
         let names = self.by_model.entry(named.model).or_default();
         names.take(heard);
--- a/components/gateway/tests/followed.rs
+++ b/components/gateway/tests/followed.rs
@@ -113,7 +113,7 @@
             members.note_sidecars(self.sidecars.len(), followed.len());
             members.note_coverage(now, Some(1.0));
             for sidecar in asked.into_iter().filter(|_| self.random.random_bool(0.81)) {
-                members.take(now, self.sidecars[sidecar].list(now, address(gateway)));
+                members.merge(now, self.sidecars[sidecar].list(now, address(gateway)));
             }
         }
     }
--- a/components/gateway/tests/home_demand.rs
+++ b/components/gateway/tests/home_demand.rs
@@ -23,7 +23,7 @@
 /// Number of requests by result.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
-    asked: u32,
+    request_count: u32,
     served: u32,
     /// Sent to a runner outside the gateway's data hall.
     in_other_hall: u32,
@@ -31,7 +31,7 @@
 
 impl Count {
     fn served_share(&self) -> f64 {
-        f64::from(self.served) / f64::from(self.asked)
+        f64::from(self.served) / f64::from(self.request_count)
     }
 }
 
@@ -100,7 +100,7 @@
                 key += 1;
                 let is_bound = self.random.random::<f64>() < bound_part;
                 self.bound.insert(key, is_bound);
-                self.counts.entry(is_bound).or_default().asked += 1;
+                self.counts.entry(is_bound).or_default().request_count += 1;
                 let north = HomeRegions::only(["north".into()]);
                 let homes = if is_bound { north } else { HomeRegions::anywhere() };
                 let request = arrival(key, PLAIN_SERVICE, RouteKind::Safe);
@@ -130,7 +130,7 @@
 fn served_shares(holds_back: bool, hall: &str, load: f64, bound_part: f64) -> (f64, f64, f64) {
     let (bound, free) = Simulation::new(7, holds_back, hall).simulate(load, bound_part);
     let all = Count {
-        asked: bound.asked + free.asked,
+        request_count: bound.request_count + free.request_count,
         served: bound.served + free.served,
         in_other_hall: 0,
     };
@@ -172,7 +172,7 @@
         let homes = HomeRegions::only([region.into()]);
         let homes = if key <= 24 { homes } else { HomeRegions::anywhere() };
         load.bound.insert(key, key <= 24);
-        load.counts.entry(key <= 24).or_default().asked += 1;
+        load.counts.entry(key <= 24).or_default().request_count += 1;
         let request = arrival(key, PLAIN_SERVICE, RouteKind::Safe);
         load.feed(1000, Event::Arrived(Arrival { homes, ..request }));
     }
--- a/components/gateway/tests/limits.rs
+++ b/components/gateway/tests/limits.rs
@@ -58,12 +58,12 @@
     sidecars: Vec<(GatewaysHeard, LimitsHeard)>,
     /// The limit that the runner reports, and when it reported its first one.
     reported_limit: RateWord,
-    named_at: Option<u64>,
+    limit_set_at: Option<u64>,
     arrivals: VecDeque<Arrived>,
     /// The number of the next request.
     next: u64,
     served: usize,
-    asked: usize,
+    request_count: usize,
     sent: usize,
     /// Requests per second at each gateway.
     per_s: f64,
@@ -80,11 +80,11 @@
                 .map(|_| (GatewaysHeard::new(10_000), LimitsHeard::default()))
                 .collect(),
             reported_limit: RateWord::Unlimited,
-            named_at: None,
+            limit_set_at: None,
             arrivals: VecDeque::new(),
             next: 0,
             served: 0,
-            asked: 0,
+            request_count: 0,
             sent: 0,
             per_s: 4.0,
             has_other_runner: true,
@@ -124,8 +124,8 @@
         self.arrivals.clear();
         self.members.iter_mut().for_each(|it| it.limit_received_at = None);
         match reported_limit {
-            RateWord::Unlimited => self.named_at = None,
-            _ => self.named_at = self.named_at.or(Some(self.now)),
+            RateWord::Unlimited => self.limit_set_at = None,
+            _ => self.limit_set_at = self.limit_set_at.or(Some(self.now)),
         }
     }
 
@@ -152,7 +152,7 @@
     /// one of their lists.
     fn exchange(&mut self, gateway: usize) {
         let now = Millis(self.now);
-        let asked = self.random.random_range(0..self.sidecars.len());
+        let request_count = self.random.random_range(0..self.sidecars.len());
         let fixture = &mut self.members[gateway].fixture;
         let reported = fixture.gateway.told_limits(now, &mut self.random);
         for (number, (gateways, limits)) in self.sidecars.iter_mut().enumerate() {
@@ -163,7 +163,7 @@
             limits.take(now, &reported);
             let runner = record(&format!("m{number}"), MODEL_SERVICE, 100 + number as u16).address;
             fixture.feed(Event::Load(runner, load(1, 0)));
-            if number == asked {
+            if number == request_count {
                 fixture.feed(Event::Gateways(gateways.list(now, address(gateway))));
                 fixture.feed(Event::Limits(limits.list(now, &mut self.random)));
             }
@@ -174,7 +174,7 @@
     fn send_request(&mut self, gateway: usize) {
         self.next += 1;
         let key = self.next;
-        self.asked += 1;
+        self.request_count += 1;
         let fixture = &mut self.members[gateway].fixture;
         let Some(NextStep::Send(target)) =
             fixture.arrive(arrival(key, PLAIN_SERVICE, RouteKind::Safe))
@@ -211,7 +211,8 @@
         let is_told = member.limit_received_at.is_some_and(|at| at + AFTER_RECEIPT_MS <= now);
         let is_calm = member.faulted_at.is_none_or(|at| at + GRACE_MS <= now);
         member.limit_received_at.get_or_insert(now);
-        let is_counted = is_told && is_calm && self.named_at.is_some_and(|at| at + GRACE_MS <= now);
+        let is_counted =
+            is_told && is_calm && self.limit_set_at.is_some_and(|at| at + GRACE_MS <= now);
         self.arrivals.push_back(Arrived { at: now, is_counted });
     }
 
@@ -266,7 +267,7 @@
         let offered = fleet.per_s * gateways as f64 / 2.0;
         let most = 15.0 * per_s.min(offered);
         assert!(calm >= 0.5 * most, "{gateways} gateways: {calm} of {most} in 15 s");
-        assert_eq!(fleet.served, fleet.asked, "the other runner serves");
+        assert_eq!(fleet.served, fleet.request_count, "the other runner serves");
     }
 }
 
--- a/components/gateway/tests/membership.rs
+++ b/components/gateway/tests/membership.rs
@@ -15,7 +15,7 @@
     let (mut cold_shares, id) = (ColdRateShares::default(), InstanceId::from("p1"));
     cold_shares.set(Millis(1_000_000), &id, share, 1);
     let mut moments = VecDeque::new();
-    let taken = (1_000_000..1_009_000).filter(|at| cold_shares.take(Millis(*at), &id));
+    let taken = (1_000_000..1_009_000).filter(|at| cold_shares.take_token(Millis(*at), &id));
     let most = taken.map(|at| count_within(&mut moments, at, 1350)).max().unwrap_or(0);
     assert!((20..=31).contains(&most), "{most} requests");
 }
@@ -163,7 +163,7 @@
         }
         // A different sidecar answers each time, and the clocks of the sidecars differ.
         if at % 1000 == 35 {
-            members.take(Millis(at), sidecar.list(Millis(at), address(7)));
+            members.merge(Millis(at), sidecar.list(Millis(at), address(7)));
         }
     }
     assert_eq!(members.count(Millis(1_020_000)), 200);
--- a/components/gateway/tests/shortage.rs
+++ b/components/gateway/tests/shortage.rs
@@ -34,7 +34,7 @@
 /// Results of the callers of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
-    asked: u64,
+    request_count: u64,
     on_time: u64,
     late: u64,
     /// Late callers that were served after the load had fallen.
@@ -47,7 +47,7 @@
 
 impl Count {
     fn share_served(self) -> f64 {
-        (self.on_time + self.late) as f64 / self.asked as f64
+        (self.on_time + self.late) as f64 / self.request_count as f64
     }
 }
 
@@ -155,7 +155,7 @@
                 self.starts.entry(now).or_default().push(2 * caller);
                 self.first_at.insert(caller, now);
                 if burst {
-                    self.update_counts(caller, |it| it.asked += 1);
+                    self.update_counts(caller, |it| it.request_count += 1);
                 }
                 caller += 1;
             }
@@ -313,7 +313,7 @@
 /// Adds the results of both priorities.
 fn add_priorities([a, b]: [Count; 2]) -> Count {
     Count {
-        asked: a.asked + b.asked,
+        request_count: a.request_count + b.request_count,
         on_time: a.on_time + b.on_time,
         late: a.late + b.late,
         late_after_shortage: a.late_after_shortage + b.late_after_shortage,
@@ -342,7 +342,7 @@
     let (before, _) = simulate_without(Some(Mechanism::FirstTries));
     assert!(all.on_time * 10 >= CAPACITY_IN_SHORTAGE * 9, "{all:?} of {CAPACITY_IN_SHORTAGE}");
     // Callers that are served after the load has fallen take no slot from others.
-    assert!((all.late - all.late_after_shortage) * 20 <= all.asked, "{all:?}");
+    assert!((all.late - all.late_after_shortage) * 20 <= all.request_count, "{all:?}");
     assert!(all.on_time > before.on_time, "{all:?} against {before:?}");
     let [urgent, other] = load.by_priority;
     assert!(urgent.share_served() + 0.05 >= other.share_served(), "{:?}", load.by_priority);
@@ -369,9 +369,9 @@
 /// that few of all callers are late, and that the more urgent priority is not at a disadvantage.
 fn check_different_speeds(load_factor: f64, seed: u64) {
     let (all, load) = simulate_different_speeds(load_factor, seed);
-    let servable = load.capacity().min(all.asked as f64);
+    let servable = load.capacity().min(all.request_count as f64);
     assert!(all.on_time as f64 >= 0.9 * servable, "{all:?} of {servable:.0}");
-    assert!((all.late - all.late_after_shortage) * 20 <= all.asked, "{all:?}");
+    assert!((all.late - all.late_after_shortage) * 20 <= all.request_count, "{all:?}");
     let [urgent, other] = load.by_priority;
     assert!(urgent.share_served() + 0.05 >= other.share_served(), "{:?}", load.by_priority);
 }
@@ -379,7 +379,7 @@
 #[test]
 fn runners_of_different_speed_serve_all_on_time_with_enough_capacity() {
     let (all, _) = simulate_different_speeds(0.9, 0);
-    assert_eq!(all.on_time, all.asked, "{all:?}");
+    assert_eq!(all.on_time, all.request_count, "{all:?}");
 }
 
 #[test]
--- a/components/gateway/tests/support/network.rs
+++ b/components/gateway/tests/support/network.rs
@@ -128,7 +128,7 @@
             if queried.contains(&sidecar) && self.random.random_bool(0.9) {
                 let list = self.sidecars[sidecar].list(now, address(gateway));
                 let process = self.processes[gateway].as_mut();
-                process.unwrap().members.take(now, list);
+                process.unwrap().members.merge(now, list);
             }
         }
     }
@@ -158,7 +158,7 @@
         let Some(process) = &mut self.processes[gateway] else {
             return;
         };
-        if process.members.wants_coverage(now) {
+        if process.members.is_coverage_check_due(now) {
             process.members.note_coverage(now, Some(coverage));
             process.update_shares(now);
         }
@@ -173,7 +173,7 @@
         }
         for (index, runner) in COLD_RUNNERS.iter().enumerate() {
             let id: InstanceId = (*runner).into();
-            while process.cold_shares.take(now, &id) {
+            while process.cold_shares.take_token(now, &id) {
                 self.total_arrivals += 1;
                 let most = count_within(&mut self.arrivals[index], at, 1000);
                 self.max_arrivals = self.max_arrivals.max(most);
