--- a/components/gateway/src/followed.rs
+++ b/components/gateway/src/followed.rs
@@ -1,25 +1,33 @@
-//! Which sidecars a gateway follows: it subscribes there, and takes their reports.
+//! Selects the sidecars that a gateway follows: it subscribes to them and receives their reports.
 //!
-//! Following all of them costs gateways times sidecars. A gateway follows a part that does not grow with the fleet: those with
-//! the greatest weight for its name, so that the choice stays as others come and go, and differs between gateways.
+//! The cost of following all sidecars is the number of gateways times the number of sidecars. Each
+//! gateway therefore follows a subset whose size does not grow with the fleet: the sidecars with
+//! the greatest weight for the gateway's name. The selection stays stable as other sidecars come
+//! and go, and differs between gateways.
 
-/// Sidecars that are followed while it is not sure how many gateways there are, and at most while these are many.
-const MOST: usize = 64;
-/// Those of them in the own data hall, where it has so many.
-const MOST_NEAR: usize = 40;
-/// Sidecars that are followed at the least, where a fleet has so many: fewer would leave little to choose from.
-const LEAST: usize = 16;
-/// Gateways that follow each sidecar in the mean, at the least and at the most. Each one costs it reports.
-const FOLLOWERS: std::ops::RangeInclusive<usize> = 12..=32;
+/// Maximum number of followed sidecars while the number of gateways is uncertain, and when there
+/// are many gateways.
+const MAX_FOLLOWED: usize = 64;
+/// Number of those in the gateway's own data hall, if it has so many.
+const MAX_FOLLOWED_IN_HALL: usize = 40;
+/// Minimum number of followed sidecars, if the fleet has so many: with fewer there would be little
+/// choice.
+const MIN_FOLLOWED: usize = 16;
+/// Range of the mean number of gateways that follow each sidecar. Each follower costs the sidecar
+/// reports.
+const FOLLOWERS_PER_SIDECAR: std::ops::RangeInclusive<usize> = 12..=32;
 
-/// How many sidecars a gateway follows. `gateways` is how many there are, where that is sure: where they are few, each
-/// follows more, so that none is left without.
+/// How many sidecars a gateway follows. `gateways` is the number of gateways, if it is certain. If
+/// there are few gateways, each follows more sidecars, so that no sidecar is left without a
+/// follower.
 pub fn most(sidecars: usize, gateways: Option<usize>) -> usize {
     let Some(gateways) = gateways.filter(|it| *it > 0) else {
-        return MOST;
+        return MAX_FOLLOWED;
     };
     let share = |followers: usize| (followers * sidecars).div_ceil(gateways);
-    share(*FOLLOWERS.end()).clamp(LEAST, MOST).max(share(*FOLLOWERS.start()))
+    share(*FOLLOWERS_PER_SIDECAR.end())
+        .clamp(MIN_FOLLOWED, MAX_FOLLOWED)
+        .max(share(*FOLLOWERS_PER_SIDECAR.start()))
 }
 
 /// A sidecar that may be followed.
@@ -27,22 +35,23 @@
 pub struct Candidate<T> {
     /// The sidecar.
     pub sidecar: T,
-    /// Its weight for the gateway.
+    /// Weight of the sidecar for this gateway.
     pub weight: u64,
-    /// Whether it stands in the gateway's data hall.
+    /// Whether it is in the gateway's data hall.
     pub is_near: bool,
 }
 
-/// The sidecars that are followed, `most` of them at most.
+/// Selects at most `most` sidecars to follow.
 pub fn choose<T>(candidates: Vec<Candidate<T>>, most: usize) -> Vec<T> {
-    let (mut near, mut far): (Vec<_>, Vec<_>) = candidates.into_iter().partition(|it| it.is_near);
-    let for_near = most * MOST_NEAR / MOST;
-    // What one side does not need is the other's.
-    let near_count = near.len().min(for_near.max(most.saturating_sub(far.len())));
-    let far_count = far.len().min(most - near_count);
-    keep_heaviest(&mut near, near_count);
-    keep_heaviest(&mut far, far_count);
-    near.into_iter().chain(far).map(|it| it.sidecar).collect()
+    let (mut local, mut remote): (Vec<_>, Vec<_>) =
+        candidates.into_iter().partition(|it| it.is_near);
+    let local_quota = most * MAX_FOLLOWED_IN_HALL / MAX_FOLLOWED;
+    // Capacity that one side does not need is given to the other.
+    let local_count = local.len().min(local_quota.max(most.saturating_sub(remote.len())));
+    let remote_count = remote.len().min(most - local_count);
+    keep_heaviest(&mut local, local_count);
+    keep_heaviest(&mut remote, remote_count);
+    local.into_iter().chain(remote).map(|it| it.sidecar).collect()
 }
 
 fn keep_heaviest<T>(candidates: &mut Vec<Candidate<T>>, count: usize) {
--- a/components/gateway/src/members.rs
+++ b/components/gateway/src/members.rs
@@ -1,8 +1,9 @@
-//! Which gateways there are, as sidecars tell.
+//! Tracks the gateways of the deployment, as reported by sidecars.
 //!
-//! Every gateway subscribes at a part of the sidecars, so sidecars know who lives: each one a part of the gateways, where
-//! these are many. A gateway asks some of them now and then and unites what it hears. What it may do alone of a thing that
-//! all gateways share follows from how many there are and how sure that is.
+//! Every gateway subscribes to a part of the sidecars, so the sidecars know which gateways are
+//! alive: each sidecar knows a part of them if there are many. A gateway regularly asks some
+//! sidecars and merges their answers. Its share of a resource that all gateways use follows from
+//! their number and from how certain that number is.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,117 +11,128 @@
 use fleet::Millis;
 use serde::{Deserialize, Serialize};
 
-/// How long a gateway is remembered beyond the window in which what it used still counts, in milliseconds: the time
-/// after which one that is told nothing gives its part up, and what word of it takes to get round.
-const MEMORY_MARGIN: u64 = 6000;
-/// How long without a word from sidecars a gateway is unsure, in milliseconds: four questions without an answer.
-const UNSURE_AFTER: u64 = 4000;
-/// How long it takes until all others know of a gateway, in milliseconds: each asks one sidecar a second, and some
-/// answers are lost.
-const INTRODUCTION: u64 = 5000;
-/// How long a gateway counts among those who may be responsible, in milliseconds. Twice the time after which it knows
-/// itself that it is not.
-const RESPONSIBLE_MEMORY: u64 = 8000;
-/// The part of what is shared that gateways use that are sure of each other.
-const SURE_PART: f64 = 0.8;
-/// The most gateways that are unsure at a time, where the sidecars are no more; the rest of what is shared is theirs.
-const MOST_UNSURE: usize = 64;
-/// How many times the gateways that are known there may be, where each sidecar knows a part of them only.
-const UNHEARD_MARGIN: f64 = 1.1;
-/// The most gateways of a deployment that never had a sidecar: nobody can tell how many there are.
-const MOST_WITHOUT_SIDECARS: usize = 10;
-/// The part of the sidecars that a gateway must hear from to be responsible for anything: of two sides that do not
-/// hear each other only one does.
-const QUORUM: f64 = 0.5;
-/// The time that one lowest reach stands for, in milliseconds.
-const REACH_STEP: u64 = 1000;
-/// How often the reach is looked at, in milliseconds: a report counts for two seconds.
-const REACH_EVERY: u64 = 200;
-/// The most gateways in one answer: each takes at most ten bytes, and a datagram holds 1,400.
-const MOST_TOLD: usize = 128;
-/// Milliseconds in the unit in which ages are told.
-const AGE_UNIT: u64 = 100;
+/// How long a gateway is remembered after the window in which its usage still counts, in
+/// milliseconds: the time after which a gateway that receives no reports gives up its share, plus
+/// the propagation delay of its messages.
+const MEMORY_MARGIN_MS: u64 = 6000;
+/// Time without a report from sidecars after which a gateway is unsure, in milliseconds: four
+/// unanswered queries.
+const UNSURE_AFTER_MS: u64 = 4000;
+/// How long it takes until all other gateways know of a new one, in milliseconds: each asks one
+/// sidecar per second, and some answers are lost.
+const PROPAGATION_MS: u64 = 5000;
+/// How long a gateway counts among those that may be responsible, in milliseconds. Twice the time
+/// after which the gateway itself knows that it is not.
+const RESPONSIBLE_MEMORY_MS: u64 = 8000;
+/// The part of a shared resource that is divided among gateways that are sure of each other.
+const SURE_SHARE: f64 = 0.8;
+/// Maximum number of simultaneously unsure gateways, if there are not more sidecars than that; they
+/// share the rest of the resource.
+const MAX_UNSURE: usize = 64;
+/// Upper bound on the ratio of existing to known gateways when each sidecar knows only a part of
+/// them.
+const UNKNOWN_GATEWAYS_FACTOR: f64 = 1.1;
+/// Maximum number of gateways of a deployment that never had a sidecar: their real number is
+/// unknown.
+const MAX_WITHOUT_SIDECARS: usize = 10;
+/// The part of the sidecars that a gateway must receive reports from to be responsible for
+/// anything. Of two partitions that are cut off from each other at most one has it.
+const MIN_COVERAGE: f64 = 0.5;
+/// Length of the time buckets in which the lowest reach is recorded, in milliseconds.
+const COVERAGE_BUCKET_MS: u64 = 1000;
+/// Interval between checks of the reach, in milliseconds: a report counts for two seconds.
+const COVERAGE_CHECK_INTERVAL_MS: u64 = 200;
+/// Maximum number of gateways in one answer: each takes at most ten bytes, and a datagram holds
+/// 1,400.
+const MAX_GATEWAYS_PER_MESSAGE: usize = 128;
+/// Unit in which ages are sent, in milliseconds.
+const AGE_UNIT_MS: u64 = 100;
 
-/// A gateway, as a sidecar heard of it.
+/// A gateway that a sidecar received a message from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeardGateway {
-    /// Where its datagrams come from.
+    /// Source address of its datagrams.
     pub address: SocketAddr,
-    /// How long ago the last one came, in tenths of a second.
+    /// Age of the last datagram, in tenths of a second.
     pub tenths: u16,
 }
 
-/// The gateways that a sidecar has heard lately.
+/// The gateways that a sidecar received messages from recently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayList {
-    /// The address of who asked.
+    /// Address of the gateway that asked.
     pub asker: SocketAddr,
-    /// The gateways, the one that asked among them.
+    /// The gateways, including the one that asked.
     pub gateways: Vec<HeardGateway>,
 }
 
-/// What a sidecar remembers of gateways.
+/// The gateways that a sidecar remembers.
 #[derive(Clone, Debug)]
 pub struct GatewaysHeard {
     memory_ms: u64,
-    heard: BTreeMap<SocketAddr, Millis>,
+    last_received: BTreeMap<SocketAddr, Millis>,
 }
 
 impl GatewaysHeard {
-    /// Remembers gateways for as long as what they used counts in a window of so many milliseconds.
+    /// Creates an empty record that remembers gateways for as long as their usage counts in a
+    /// window of this length, in milliseconds.
     pub fn new(window_ms: u64) -> Self {
-        Self { memory_ms: window_ms + MEMORY_MARGIN, heard: BTreeMap::new() }
+        Self { memory_ms: window_ms + MEMORY_MARGIN_MS, last_received: BTreeMap::new() }
     }
 
-    /// Goes on with another window.
+    /// Changes the length of the window, in milliseconds.
     pub fn set_window(&mut self, window_ms: u64) {
-        self.memory_ms = window_ms + MEMORY_MARGIN;
+        self.memory_ms = window_ms + MEMORY_MARGIN_MS;
     }
 
-    /// Takes in that a gateway was heard.
+    /// Records that a message from a gateway was received.
     pub fn note(&mut self, now: Millis, gateway: SocketAddr) {
-        self.heard.insert(gateway, now);
+        self.last_received.insert(gateway, now);
         let memory = self.memory_ms;
-        self.heard.retain(|_, at| now.since(*at).0 <= memory);
+        self.last_received.retain(|_, at| now.since(*at).0 <= memory);
     }
 
-    /// How many there are.
+    /// The number of remembered gateways.
     pub fn count(&self, now: Millis) -> usize {
-        self.heard.values().filter(|at| now.since(**at).0 <= self.memory_ms).count()
+        self.last_received.values().filter(|at| now.since(**at).0 <= self.memory_ms).count()
     }
 
-    /// What a gateway is told that asks. Where there are too many for one answer, each answer holds others, drawn by
-    /// the time.
+    /// The answer to a gateway that asks. If there are too many gateways for one answer, each
+    /// answer holds a different selection, which depends on the time.
     pub fn list(&self, now: Millis, asker: SocketAddr) -> GatewayList {
-        let mut gateways: Vec<HeardGateway> =
-            self.heard.iter().map(|(address, at)| heard(now, *address, *at)).collect();
-        if gateways.len() > MOST_TOLD {
+        let mut gateways: Vec<HeardGateway> = self
+            .last_received
+            .iter()
+            .map(|(address, at)| heard_gateway(now, *address, *at))
+            .collect();
+        if gateways.len() > MAX_GATEWAYS_PER_MESSAGE {
             let draw = now.0.to_string();
             gateways.sort_by_key(|it| (it.address != asker, weight(&draw, it.address)));
-            gateways.truncate(MOST_TOLD);
+            gateways.truncate(MAX_GATEWAYS_PER_MESSAGE);
         }
         GatewayList { asker, gateways }
     }
 }
 
-fn heard(now: Millis, address: SocketAddr, at: Millis) -> HeardGateway {
-    let tenths = (now.since(at).0 / AGE_UNIT).min(u64::from(u16::MAX)) as u16;
+fn heard_gateway(now: Millis, address: SocketAddr, at: Millis) -> HeardGateway {
+    let tenths = (now.since(at).0 / AGE_UNIT_MS).min(u64::from(u16::MAX)) as u16;
     HeardGateway { address, tenths }
 }
 
-/// How sure a gateway is of the others.
+/// How certain a gateway is about the other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sureness {
-    /// No sidecar has told of them lately.
+    /// No sidecar has reported the other gateways recently.
     Unsure,
-    /// It was told, and may not be known to all of them yet, or what would be its part may have been used.
+    /// It receives reports, but some of the others may not know it yet, or its share may already
+    /// have been used.
     New,
     /// It knows the others and they know it.
     Sure,
 }
 
 impl Sureness {
-    /// The word in logs.
+    /// The name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unsure => "unsure",
@@ -130,47 +142,48 @@
     }
 }
 
-/// The gateways that a gateway knows, itself among them.
+/// The gateways that a gateway knows, including itself.
 #[derive(Clone, Debug)]
 pub struct Members {
     window_ms: u64,
-    me: Option<SocketAddr>,
-    heard: BTreeMap<SocketAddr, Millis>,
-    told_at: Option<Millis>,
-    /// Since when it has been told without a break.
+    own_address: Option<SocketAddr>,
+    last_received: BTreeMap<SocketAddr, Millis>,
+    reported_at: Option<Millis>,
+    /// Start of the current uninterrupted period of reports.
     since: Millis,
-    /// Since when the window is no longer than now. What a shorter one had forgotten counts again.
+    /// When the window was last made longer. Usage that a shorter window had dropped counts again.
     window_since: Millis,
-    /// The lowest part of the sidecars that was heard from in each step of time, oldest first.
-    reach: VecDeque<(Millis, f64)>,
-    reach_at: Millis,
-    /// The most sidecars that were listed at once.
+    /// The lowest part of the sidecars that reported in each time bucket, oldest first.
+    coverage: VecDeque<(Millis, f64)>,
+    coverage_checked_at: Millis,
+    /// The highest number of sidecars that were listed at once.
     sidecars: usize,
-    /// Whether each sidecar knows a part of the gateways only.
+    /// Whether each sidecar knows only a part of the gateways.
     is_partial: bool,
     /// Whether any sidecar was ever listed.
     has_sidecars: bool,
 }
 
 impl Members {
-    /// Starts with nobody known. What gateways used counts for `window_ms` milliseconds.
+    /// Creates a record with no known gateways. Usage of gateways counts for `window_ms`
+    /// milliseconds.
     pub fn new(window_ms: u64) -> Self {
         Self {
             window_ms,
-            me: None,
-            heard: BTreeMap::new(),
-            told_at: None,
+            own_address: None,
+            last_received: BTreeMap::new(),
+            reported_at: None,
             since: Millis(0),
             window_since: Millis(0),
-            reach: VecDeque::new(),
-            reach_at: Millis(0),
+            coverage: VecDeque::new(),
+            coverage_checked_at: Millis(0),
             sidecars: 0,
             is_partial: false,
             has_sidecars: false,
         }
     }
 
-    /// Goes on with another window.
+    /// Changes the length of the window, in milliseconds.
     pub fn set_window(&mut self, now: Millis, window_ms: u64) {
         if window_ms > self.window_ms {
             self.window_since = now;
@@ -178,133 +191,136 @@
         self.window_ms = window_ms;
     }
 
-    /// Whether it is time to look which sidecars are heard from.
-    pub fn wants_reach(&self, now: Millis) -> bool {
-        now.since(self.reach_at).0 >= REACH_EVERY
+    /// Whether a check of which sidecars report is due.
+    pub fn is_coverage_check_due(&self, now: Millis) -> bool {
+        now.since(self.coverage_checked_at).0 >= COVERAGE_CHECK_INTERVAL_MS
     }
 
-    /// Takes in how many sidecars are listed, and how many of them this gateway follows.
+    /// Records how many sidecars are listed, and how many of them this gateway follows.
     pub fn note_sidecars(&mut self, listed: usize, followed: usize) {
         self.has_sidecars |= listed > 0;
         self.sidecars = self.sidecars.max(listed);
         self.is_partial = followed < listed;
     }
 
-    /// Takes in which part of the sidecars that it follows is heard from. `None` where it follows none.
-    pub fn note_reach(&mut self, now: Millis, reach: Option<f64>) {
-        self.reach_at = now;
-        self.has_sidecars |= reach.is_some();
-        let reach = reach.unwrap_or(0.0);
-        match self.reach.back_mut().filter(|it| now.since(it.0).0 < REACH_STEP) {
-            Some((_, lowest)) => *lowest = lowest.min(reach),
-            None => self.reach.push_back((now, reach)),
+    /// Records which part of the followed sidecars reports. `None` if none is followed.
+    pub fn note_coverage(&mut self, now: Millis, coverage: Option<f64>) {
+        self.coverage_checked_at = now;
+        self.has_sidecars |= coverage.is_some();
+        let coverage = coverage.unwrap_or(0.0);
+        match self.coverage.back_mut().filter(|it| now.since(it.0).0 < COVERAGE_BUCKET_MS) {
+            Some((_, lowest)) => *lowest = lowest.min(coverage),
+            None => self.coverage.push_back((now, coverage)),
         }
-        let span = self.window_ms + INTRODUCTION + REACH_STEP;
-        while self.reach.front().is_some_and(|it| now.since(it.0).0 > span) {
-            self.reach.pop_front();
+        let span = self.window_ms + PROPAGATION_MS + COVERAGE_BUCKET_MS;
+        while self.coverage.front().is_some_and(|it| now.since(it.0).0 > span) {
+            self.coverage.pop_front();
         }
     }
 
-    /// Takes in what a sidecar told.
-    pub fn take(&mut self, now: Millis, list: GatewayList) {
-        if !self.was_told(now) {
+    /// Merges the list that a sidecar sent.
+    pub fn merge(&mut self, now: Millis, list: GatewayList) {
+        if !self.receives_reports(now) {
             self.since = now;
         }
-        self.told_at = Some(now);
-        self.me = Some(list.asker);
+        self.reported_at = Some(now);
+        self.own_address = Some(list.asker);
         for HeardGateway { address, tenths } in list.gateways {
-            let at = now.minus(u64::from(tenths) * AGE_UNIT);
-            let known = self.heard.entry(address).or_insert(at);
+            let at = now.minus(u64::from(tenths) * AGE_UNIT_MS);
+            let known = self.last_received.entry(address).or_insert(at);
             *known = (*known).max(at);
         }
-        let memory = self.window_ms + MEMORY_MARGIN;
-        self.heard.retain(|_, at| now.since(*at).0 <= memory);
+        let memory = self.window_ms + MEMORY_MARGIN_MS;
+        self.last_received.retain(|_, at| now.since(*at).0 <= memory);
     }
 
-    /// How many gateways there are, as far as known: at least this one.
+    /// The number of known gateways, at least this one.
     pub fn count(&self, now: Millis) -> usize {
-        self.heard_within(now, self.window_ms + MEMORY_MARGIN).count().max(1)
+        self.known_within(now, self.window_ms + MEMORY_MARGIN_MS).count().max(1)
     }
 
-    /// Whether each sidecar knows a part of the gateways only.
+    /// Whether each sidecar knows only a part of the gateways.
     pub fn is_partial(&self) -> bool {
         self.is_partial
     }
 
-    /// How sure that is.
+    /// How certain the number of gateways is.
     pub fn sureness(&self, now: Millis) -> Sureness {
-        if !self.was_told(now) {
+        if !self.receives_reports(now) {
             Sureness::Unsure
-        } else if now.since(self.since.max(self.window_since)).0 < self.window_ms + INTRODUCTION {
+        } else if now.since(self.since.max(self.window_since)).0 < self.window_ms + PROPAGATION_MS {
             Sureness::New
         } else {
             Sureness::Sure
         }
     }
 
-    /// The part that this gateway may use of what all gateways together may use in a window.
+    /// The share that this gateway may use of what all gateways together may use in a window.
     pub fn part(&self, now: Millis) -> f64 {
         match self.sureness(now) {
             Sureness::Sure => {
-                // What others used while they were out of reach counts for a window more.
-                let reach = self.lowest_reach(now, self.window_ms + INTRODUCTION);
-                let margin = if self.is_partial { UNHEARD_MARGIN } else { 1.0 };
-                SURE_PART * reach / (self.count(now) as f64 * margin)
+                // Usage of gateways that were unreachable counts for one more window.
+                let coverage = self.lowest_coverage(now, self.window_ms + PROPAGATION_MS);
+                let margin = if self.is_partial { UNKNOWN_GATEWAYS_FACTOR } else { 1.0 };
+                SURE_SHARE * coverage / (self.count(now) as f64 * margin)
             }
-            Sureness::Unsure if !self.has_sidecars => 1.0 / MOST_WITHOUT_SIDECARS as f64,
+            Sureness::Unsure if !self.has_sidecars => 1.0 / MAX_WITHOUT_SIDECARS as f64,
             Sureness::Unsure | Sureness::New => {
-                (1.0 - SURE_PART) / self.sidecars.max(MOST_UNSURE) as f64
+                (1.0 - SURE_SHARE) / self.sidecars.max(MAX_UNSURE) as f64
             }
         }
     }
 
-    /// Among how many gateways, `most` at most, this one shares the responsibility for a thing. `None` where it has
-    /// none.
-    pub fn responsible(&self, now: Millis, thing: &str, most: usize) -> Option<usize> {
-        let me = self.me?;
-        let is_known = self.was_told(now) && now.since(self.since).0 >= INTRODUCTION;
-        if !is_known || self.lowest_reach(now, INTRODUCTION) <= QUORUM {
+    /// The number of gateways, `most` at most, that share the responsibility for `resource` with this
+    /// one. `None` if this gateway is not responsible.
+    pub fn responsible(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
+        let own_address = self.own_address?;
+        let is_known = self.receives_reports(now) && now.since(self.since).0 >= PROPAGATION_MS;
+        if !is_known || self.lowest_coverage(now, PROPAGATION_MS) <= MIN_COVERAGE {
             return None;
         }
-        let mine = weight(thing, me);
-        let others = self.heard_within(now, RESPONSIBLE_MEMORY).filter(|it| *it != me);
-        let weights: Vec<u64> = others.map(|it| weight(thing, it)).collect();
-        let before = weights.iter().filter(|it| **it > mine).count();
-        (before < most).then_some((weights.len() + 1).min(most))
+        let own_weight = weight(resource, own_address);
+        let others = self.known_within(now, RESPONSIBLE_MEMORY_MS).filter(|it| *it != own_address);
+        let weights: Vec<u64> = others.map(|it| weight(resource, it)).collect();
+        let higher = weights.iter().filter(|it| **it > own_weight).count();
+        (higher < most).then_some((weights.len() + 1).min(most))
     }
 
-    /// Among how many gateways this one shares something that `most` at most share. `None` where it has no share. Where
-    /// there never was a sidecar nobody can tell who is responsible, and as many as there may be share it.
-    pub fn sharers(&self, now: Millis, thing: &str, most: usize) -> Option<usize> {
+    /// The number of gateways, `most` at most, that share a resource. `None` if this gateway has no
+    /// share. If there never was a sidecar, responsibility cannot be determined, and the maximum
+    /// number of such gateways share it.
+    pub fn sharing_gateways(&self, now: Millis, resource: &str, most: usize) -> Option<usize> {
         if !self.has_sidecars {
-            return Some(MOST_WITHOUT_SIDECARS);
+            return Some(MAX_WITHOUT_SIDECARS);
         }
-        self.responsible(now, thing, most)
+        self.responsible(now, resource, most)
     }
 
-    /// The lowest part of the sidecars that was heard from in a span that ends now.
-    fn lowest_reach(&self, now: Millis, span: u64) -> f64 {
-        let steps = self.reach.iter().filter(|it| now.since(it.0).0 <= span + REACH_STEP);
-        steps
+    /// The lowest part of the sidecars that reported in a time span that ends now.
+    fn lowest_coverage(&self, now: Millis, span: u64) -> f64 {
+        let buckets =
+            self.coverage.iter().filter(|it| now.since(it.0).0 <= span + COVERAGE_BUCKET_MS);
+        buckets
             .map(|it| it.1)
             .fold(None, |low: Option<f64>, it| Some(low.map_or(it, |low| low.min(it))))
             .unwrap_or(0.0)
     }
 
-    fn was_told(&self, now: Millis) -> bool {
-        self.told_at.is_some_and(|at| now.since(at).0 <= UNSURE_AFTER)
+    fn receives_reports(&self, now: Millis) -> bool {
+        self.reported_at.is_some_and(|at| now.since(at).0 <= UNSURE_AFTER_MS)
     }
 
-    fn heard_within(&self, now: Millis, span: u64) -> impl Iterator<Item = SocketAddr> + '_ {
-        let heard = self.heard.iter().filter(move |(_, at)| now.since(**at).0 <= span);
-        heard.map(|(address, _)| *address)
+    fn known_within(&self, now: Millis, span: u64) -> impl Iterator<Item = SocketAddr> + '_ {
+        let last_received =
+            self.last_received.iter().filter(move |(_, at)| now.since(**at).0 <= span);
+        last_received.map(|(address, _)| *address)
     }
 }
 
-/// The weight of an address for a thing, the same in every process (FNV-1a, and a mix of its bits, for addresses
-/// that differ in the last byte only).
-pub(crate) fn weight(thing: &str, address: SocketAddr) -> u64 {
-    let text = format!("{thing} {address}");
+/// The rendezvous hash weight of an address for `resource`, the same in every process: FNV-1a, with a
+/// final mix of the bits for addresses that differ only in the last byte.
+pub(crate) fn weight(resource: &str, address: SocketAddr) -> u64 {
+    let text = format!("{resource} {address}");
     let hash = text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     });
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -3,11 +3,11 @@
 mod attempts;
 mod cold;
 mod crashes;
-mod following;
+mod followed_sidecars;
 mod limits;
 mod progress;
 mod queue;
-mod sending;
+mod send_checks;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,31 +21,31 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-use self::progress::{Chosen, Progress};
-use self::queue::Place;
+use self::progress::{Progress, SelectedRunner};
+use self::queue::QueuePosition;
 use crate::budget::{BudgetLimits, RetryBudget};
 use crate::catalog::Catalog;
 use crate::choice::Chooser;
-use crate::cold::ColdGates;
-use crate::comeback::Shortage;
-use crate::event::{Arrival, Effect, Event, GatewayOptions, LifeNews, Reach, RequestKey};
+use crate::cold::ColdRateShares;
+use crate::event::{Arrival, Effect, Event, GatewayOptions, LifeNews, RequestKey, RunnerScope};
+use crate::home_demand::HomeDemand;
 use crate::home_faults::{self, HomeFault};
-use crate::home_room::HomeRoom;
-use crate::limits::LimitGates;
+use crate::later_tries::UsualDeadlines;
+use crate::limits::LimitRateShares;
 use crate::members::Members;
 use crate::notices::Notice;
 use crate::pool::Pool;
-use crate::standstill::Standstill;
-use crate::tries::UsualDeadlines;
-
-/// The part of its aim that a request may wait for a place: an earlier refusal leaves the caller
-/// time to come back.
-const WAIT_SHARE: f64 = 0.22;
-/// How long a request that was held after a standstill may still wait for a place, in milliseconds: as long as one with an
-/// aim of half a second.
-const WAIT_AFTER_HOLD: u64 = 110;
-/// The part of the ratio of repeats that is used, for what cannot be counted exactly.
-const RATIO_SHARE: f64 = 0.75;
+use crate::resume_hold::ResumeHold;
+use crate::retry_delay::Shortage;
+
+/// Part of its target latency that a request may wait for a slot: an earlier refusal leaves the
+/// caller time to come back.
+const MAX_WAIT_SHARE: f64 = 0.22;
+/// How much longer a request that was held after a process pause may wait for a slot, in
+/// milliseconds: as long as a request with a target latency of 500 ms.
+const WAIT_AFTER_HOLD_MS: u64 = 110;
+/// Part of the retry ratio that is used, as a margin for what cannot be counted exactly.
+const RETRY_RATIO_SHARE: f64 = 0.75;
 
 /// The state of a gateway.
 pub struct Gateway {
@@ -53,63 +53,64 @@
     catalog: Option<Arc<Catalog>>,
     pool: Pool,
     members: Members,
-    cold: ColdGates,
-    limits: LimitGates,
+    cold: ColdRateShares,
+    limits: LimitRateShares,
     budgets: BTreeMap<ServiceName, RetryBudget>,
-    shortages: BTreeMap<Arc<Reach>, Shortage>,
-    /// Homes where nothing can be served, by the configuration in force.
+    shortages: BTreeMap<Arc<RunnerScope>, Shortage>,
+    /// Faults of the home regions in the current configuration.
     home_faults: Vec<HomeFault>,
-    home_room: HomeRoom,
+    home_demand: HomeDemand,
     usual_deadlines: UsualDeadlines,
     crashes: Crashes<RequestKey>,
     requests: BTreeMap<RequestKey, Progress>,
-    queue: BTreeSet<Place>,
-    standstill: Standstill,
+    queue: BTreeSet<QueuePosition>,
+    resume_hold: ResumeHold,
 }
 
 impl Gateway {
-    /// Starts with nothing known.
+    /// Creates a gateway with an empty state.
     pub fn new(options: GatewayOptions) -> Self {
         Self {
             pool: Pool::new(&options),
             members: Members::new(options.budget_window_ms),
-            cold: ColdGates::default(),
-            limits: LimitGates::default(),
+            cold: ColdRateShares::default(),
+            limits: LimitRateShares::default(),
             options,
             catalog: None,
             budgets: BTreeMap::new(),
             shortages: BTreeMap::new(),
             home_faults: Vec::new(),
-            home_room: HomeRoom::default(),
+            home_demand: HomeDemand::default(),
             usual_deadlines: UsualDeadlines::default(),
             crashes: Crashes::default(),
             requests: BTreeMap::new(),
             queue: BTreeSet::new(),
-            standstill: Standstill::default(),
+            resume_hold: ResumeHold::default(),
         }
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Where the gateway stands.
+    /// The data hall of the gateway.
     pub fn hall(&self) -> &Hall {
         &self.options.hall
     }
 
-    /// The runners known.
+    /// The known runners.
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// The gateways known.
+    /// The known gateways.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The versions that were named for each model and still bind, as other processes are told of them.
+    /// The announced versions of each model whose time bounds still apply, as reported to other
+    /// processes.
     pub fn named_versions(&self, now: Millis) -> Vec<NamedVersion> {
         let mut named = self.pool.named_versions(now);
         if !self.options.ablation.keeps(Mechanism::VersionAges) {
@@ -118,37 +119,37 @@
         named
     }
 
-    /// Whether a runner names a rate limit, as far as known.
+    /// Whether a runner is known to have a rate limit.
     pub fn is_limited(&self, runner: &InstanceId) -> bool {
         self.pool.runner(runner).is_some_and(|it| it.notices.limit.rate().is_some())
     }
 
-    /// Whether a request needs a place that the sidecar beside its runner gives.
+    /// Whether a request needs a reservation from the sidecar of its runner.
     fn asks_sidecars(&self, arrival: &Arrival) -> bool {
-        arrival.model.is_some() && self.keeps(Mechanism::Reservations)
+        arrival.model.is_some() && self.is_enabled(Mechanism::Reservations)
     }
 
-    /// Homes where nothing can be served, by the configuration in force.
+    /// Faults of the home regions in the current configuration.
     pub fn home_faults(&self) -> &[HomeFault] {
         &self.home_faults
     }
 
-    /// How many homes are tight, over all services.
+    /// The number of tight home regions, summed over all services.
     pub fn tight_homes(&self, now: Millis) -> usize {
-        self.home_room.count_tight(now, &self.options.halls)
+        self.home_demand.count_tight(now, &self.options.halls)
     }
 
-    /// The data halls that are evacuated, as other processes are told of them.
+    /// The evacuated data halls, as reported to other processes.
     pub fn evacuations(&self, now: Millis) -> EvacuationList {
         self.pool.evacuations.list(now)
     }
 
-    /// Requests under way, and those of them that wait for a place.
+    /// The numbers of active requests and of those that wait for a slot.
     pub fn load(&self) -> (usize, usize) {
         (self.requests.len(), self.queue.len())
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn reduce(&mut self, now: Millis, seed: u64, event: Event) -> Vec<Effect> {
         let mut random = SmallRng::seed_from_u64(seed);
         match event {
@@ -169,7 +170,7 @@
                 if let Some(catalog) = self.catalog.clone() {
                     self.note_cold_services(&catalog);
                 }
-                // What was counted so far goes on to count, against the new limits.
+                // Requests and retries already counted still count against the new limits.
                 let limits = self.budget_limits(now);
                 self.budgets.values_mut().for_each(|it| it.set_limits(limits));
                 self.dispatch(now, &mut random)
@@ -187,22 +188,22 @@
                 effects
             }
             Event::Woke => {
-                self.standstill.note_woke(now);
+                self.resume_hold.begin(now);
                 Vec::new()
             }
-            Event::Confirmed(table, asked) => {
-                if !self.standstill.confirm(table, asked) {
+            Event::Confirmed(table, queries) => {
+                if !self.resume_hold.confirm(table, queries) {
                     return Vec::new();
                 }
-                self.go_on(now, &mut random)
+                self.resume_after_hold(now, &mut random)
             }
             Event::ListHeard => {
-                self.pool.settle_doubts(now);
+                self.pool.end_cold_doubts(now);
                 Vec::new()
             }
             Event::Listed(record) => {
                 let news = self.pool.list(now, record);
-                let mut effects = self.note_lives(news);
+                let mut effects = self.handle_life_news(news);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
@@ -212,36 +213,36 @@
                 Vec::new()
             }
             Event::Load(address, load) => {
-                let news = self.pool.take_load(now, address, load);
-                let mut effects = self.note_lives(news);
+                let news = self.pool.apply_load(now, address, load);
+                let mut effects = self.handle_life_news(news);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
             Event::LimitTold(address, told) => {
-                let news = self.pool.take_limit(now, address, told);
+                let news = self.pool.apply_limit(now, address, told);
                 self.note_limits(now, news)
             }
-            Event::Limits(told) => self.take_limits(now, &told),
+            Event::Limits(told) => self.apply_limits(now, &told),
             Event::Gateways(list) => {
-                self.members.take(now, list);
+                self.members.merge(now, list);
                 Vec::new()
             }
-            Event::Crashes(list) => self.take_crashes(now, &mut random, &list),
+            Event::Crashes(list) => self.merge_crashes(now, &mut random, &list),
             Event::Recorded(digest) => {
                 self.crashes.ledger.note_recorded(now, digest);
                 Vec::new()
             }
             Event::Arrived(arrival) => self.arrive(now, &mut random, arrival),
-            Event::Noticed(key, notice) => self.take_notice(now, key, notice),
-            Event::Attempt(key, outcome) => self.take_outcome(now, &mut random, key, outcome),
+            Event::Noticed(key, notice) => self.apply_notice(now, key, notice),
+            Event::Attempt(key, outcome) => self.apply_outcome(now, &mut random, key, outcome),
             Event::Gone(key) => self.end(now, &mut random, key),
             Event::Tick => {
-                self.look_around(now);
-                self.tend_cold_runners(now);
-                self.tend_limited_runners(now);
-                let mut effects = self.settle_crashes(now);
-                if self.standstill.settle(now) {
-                    effects.extend(self.go_on(now, &mut random));
+                self.run_periodic_checks(now);
+                self.update_cold_shares(now);
+                self.update_limit_shares(now);
+                let mut effects = self.classify_crashes(now);
+                if self.resume_hold.end_if_over(now) {
+                    effects.extend(self.resume_after_hold(now, &mut random));
                 }
                 let changes = self.pool.evacuations.settle(now);
                 effects.extend(self.note_evacuations(now, changes));
@@ -251,21 +252,22 @@
         }
     }
 
-    /// Takes in what changed about evacuations: a hall that is taken back may be cold.
+    /// Applies changes of evacuations. Runners of a data hall whose evacuation has ended may be
+    /// cold.
     fn note_evacuations(&mut self, now: Millis, changes: Vec<EvacuationChange>) -> Vec<Effect> {
         for change in &changes {
             if let EvacuationChange::Ended { hall, .. } = change {
-                self.doubt_warmth(now, hall);
+                self.mark_possibly_cold(now, hall);
             }
         }
         changes.into_iter().map(Effect::Evacuation).collect()
     }
 
-    /// Goes by a newer configuration, for requests under way too.
+    /// Applies a newer configuration, also to active requests.
     fn configure(&mut self, catalog: Arc<Catalog>) -> Vec<Effect> {
         for progress in self.requests.values_mut() {
-            progress.arrival.settle(&catalog);
-            progress.reach = progress.arrival.reach();
+            progress.arrival.update_homes(&catalog);
+            progress.scope = progress.arrival.scope();
         }
         self.note_cold_services(&catalog);
         self.home_faults = home_faults::find(&catalog, &self.options.halls);
@@ -278,36 +280,36 @@
 
     fn arrive(&mut self, now: Millis, random: &mut SmallRng, mut arrival: Arrival) -> Vec<Effect> {
         if let Some(catalog) = &self.catalog {
-            arrival.settle(catalog);
+            arrival.update_homes(catalog);
         }
-        if self.keeps(Mechanism::HomeRoom) {
-            self.home_room.note(now, &arrival);
+        if self.is_enabled(Mechanism::HomeRoom) {
+            self.home_demand.record(now, &arrival);
         }
         let key = arrival.key;
         self.budget(now, &arrival.service).count_request(now);
         if let Some(refused) = self.refuse_quarantined(now, &arrival) {
             return refused;
         }
-        let share = if self.keeps(Mechanism::Waiting) { WAIT_SHARE } else { 0.0 };
+        let share = if self.is_enabled(Mechanism::Waiting) { MAX_WAIT_SHARE } else { 0.0 };
         let wait = (arrival.aim_ms as f64 * share) as u64;
-        let reach = arrival.reach();
-        let is_calm = self.shortages.get(&reach).is_none_or(|it| it.is_past(now));
+        let scope = arrival.scope();
+        let is_calm = self.shortages.get(&scope).is_none_or(|it| it.is_over(now));
         let looks_later = self.usual_deadlines.is_later(&arrival, is_calm);
         let progress = Progress {
             wait_until: now.plus(wait).min(arrival.limit),
-            aim_until: now.plus(arrival.aim_ms),
-            is_later: looks_later && self.keeps(Mechanism::FirstTries),
+            on_time_until: now.plus(arrival.aim_ms),
+            is_later: looks_later && self.is_enabled(Mechanism::FirstTries),
             tried: Vec::new(),
             current: None,
             sent_at: now,
             was_denied: false,
             short_ms: 0,
             is_suspect: false,
-            asked: 0,
+            queries: 0,
             answered: false,
             may_have_run: false,
             reason: Code::Overloaded,
-            reach,
+            scope,
             arrival,
         };
         self.enqueue(key, &progress);
@@ -319,18 +321,18 @@
         let Some(progress) = self.requests.remove(&key) else {
             return Vec::new();
         };
-        self.queue.retain(|place| place.key != key);
+        self.queue.retain(|position| position.key != key);
         self.crashes.end(key, progress.arrival.digest);
         let current = progress.current.as_ref();
         if let Some(runner) = current.and_then(|it| self.pool.life_mut(&it.id, it.life)) {
-            runner.leave(progress.is_suspect);
-            runner.notices.rest.note_end(key);
+            runner.end_request(progress.is_suspect);
+            runner.notices.backoff.note_end(key);
         }
         self.dispatch(now, random)
     }
 
-    /// Takes in that words about runners were not of the lives that are known.
-    fn note_lives(&mut self, news: impl IntoIterator<Item = LifeNews>) -> Vec<Effect> {
+    /// Applies reports of lives of runners that differ from the known ones.
+    fn handle_life_news(&mut self, news: impl IntoIterator<Item = LifeNews>) -> Vec<Effect> {
         let note = |it: LifeNews| {
             if it.change == LifeChange::Began {
                 self.cold.close(&it.runner);
@@ -340,28 +342,29 @@
         news.into_iter().map(note).collect()
     }
 
-    /// Takes in what the runner of an attempt says of itself. What it said before its present life is past.
-    fn take_notice(&mut self, now: Millis, key: RequestKey, notice: Notice) -> Vec<Effect> {
+    /// Applies information that the runner of an attempt sent about itself. Information from before
+    /// its current life is ignored.
+    fn apply_notice(&mut self, now: Millis, key: RequestKey, notice: Notice) -> Vec<Effect> {
         let Some(progress) = self.requests.get(&key) else {
             return Vec::new();
         };
         let (current, sent_at) = (progress.current.clone(), progress.sent_at);
-        let Some(chosen) = current else {
+        let Some(selected) = current else {
             return Vec::new();
         };
-        let runner = self.pool.life_mut(&chosen.id, chosen.life);
-        let news = runner.map_or(Notice::default(), |it| it.notices.take(now, sent_at, notice));
+        let runner = self.pool.life_mut(&selected.id, selected.life);
+        let news = runner.map_or(Notice::default(), |it| it.notices.apply(now, sent_at, notice));
         if news.is_empty() {
             return Vec::new();
         }
-        self.note_notice(now, chosen.id, news)
+        self.note_notice(now, selected.id, news)
     }
 
-    /// Sends what waited while nothing was sent. Each request has a little longer to find a place.
-    fn go_on(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
-        for place in &self.queue {
-            if let Some(progress) = self.requests.get_mut(&place.key) {
-                let wait_until = progress.wait_until.max(now.plus(WAIT_AFTER_HOLD));
+    /// Resumes sending after a hold. Each queued request gets a little more time to find a slot.
+    fn resume_after_hold(&mut self, now: Millis, random: &mut SmallRng) -> Vec<Effect> {
+        for position in &self.queue {
+            if let Some(progress) = self.requests.get_mut(&position.key) {
+                let wait_until = progress.wait_until.max(now.plus(WAIT_AFTER_HOLD_MS));
                 progress.wait_until = wait_until.min(progress.arrival.limit);
             }
         }
@@ -372,14 +375,14 @@
         Chooser {
             pool: &self.pool,
             options: &self.options,
-            room: &self.home_room,
+            home_demand: &self.home_demand,
             cold: &self.cold,
             limits: &self.limits,
         }
     }
 
-    /// Whether a mechanism is at work.
-    fn keeps(&self, mechanism: Mechanism) -> bool {
+    /// Whether a mechanism is enabled.
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.options.ablation.keeps(mechanism)
     }
 
@@ -388,11 +391,12 @@
         self.budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(limits))
     }
 
-    /// What this gateway may repeat. Its part of the fixed allowance follows who else is there.
+    /// The retry limits of this gateway. Its share of the fixed allowance depends on the number of
+    /// gateways.
     fn budget_limits(&self, now: Millis) -> BudgetLimits {
         let options = &self.options;
         let share =
-            if options.ablation.keeps(Mechanism::BudgetReserve) { RATIO_SHARE } else { 1.0 };
+            if options.ablation.keeps(Mechanism::BudgetReserve) { RETRY_RATIO_SHARE } else { 1.0 };
         BudgetLimits {
             window_ms: options.budget_window_ms,
             ratio: options.budget_ratio * share,
@@ -400,21 +404,22 @@
         }
     }
 
-    /// Takes a repeat, if this gateway has one left.
-    fn take_repeat(&mut self, now: Millis, service: &ServiceName) -> bool {
+    /// Consumes one retry if this gateway has one left.
+    fn take_retry(&mut self, now: Millis, service: &ServiceName) -> bool {
         let limits = self.budget_limits(now);
         let budget = self.budget(now, service);
         budget.set_limits(limits);
-        budget.take_repeat(now)
+        budget.take_retry(now)
     }
 
-    fn look_around(&mut self, now: Millis) {
-        // Homes come and go with configurations; what is past would stay for each of them.
-        self.shortages.retain(|_, it| !it.is_past(now));
-        if self.members.wants_reach(now) {
+    fn run_periodic_checks(&mut self, now: Millis) {
+        // Sets of home regions change with configurations; without this, past shortages of each
+        // would accumulate.
+        self.shortages.retain(|_, it| !it.is_over(now));
+        if self.members.is_coverage_check_due(now) {
             self.follow_sidecars(now);
-            let reach = self.reach(now);
-            self.members.note_reach(now, reach);
+            let coverage = self.sidecar_coverage(now);
+            self.members.note_coverage(now, coverage);
         }
     }
 }
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -1,25 +1,25 @@
-//! What follows from an attempt of a request: what is noted of its runner, and whether the request is tried again.
+//! Handles the results of attempts: updates the state of the runner and decides whether the request
+//! is retried.
 
 use fleet::{Mechanism, Millis};
 use rand::rngs::SmallRng;
 
-use super::queue::Place;
-use super::{Chosen, Gateway};
+use super::queue::QueuePosition;
+use super::{Gateway, SelectedRunner};
 use crate::event::{AttemptOutcome, Effect, RequestKey};
 
-/// How long a request that may have run already waits for another place, in milliseconds.
-const RESUME_WAIT: u64 = 600;
-/// How long a runner whose sidecar had no place is left alone at most, in milliseconds.
-const MAX_DENIED_PAUSE: u64 = 500;
-/// How long a runner that names a rate is left alone at most after its sidecar had no place, in milliseconds: its limit may
-/// end meanwhile.
-const MAX_NO_TURN: u64 = 2000;
-/// How long a runner that said it is full is left alone, in milliseconds.
-const FULL_PAUSE: u64 = 60;
+/// How long a request that may have run already waits for another slot, in milliseconds.
+const RESUME_WAIT_MS: u64 = 600;
+/// Maximum pause of a runner whose sidecar denied a reservation, in milliseconds.
+const MAX_DENIED_PAUSE_MS: u64 = 500;
+/// The same for a runner that has a rate limit, in milliseconds: its limit may end meanwhile.
+const MAX_RATE_PAUSE_MS: u64 = 2000;
+/// Pause of a runner that reported that it is full, in milliseconds.
+const FULL_PAUSE_MS: u64 = 60;
 
 impl Gateway {
-    /// Takes in how an attempt of a request went: it goes on, is tried again or ends.
-    pub(super) fn take_outcome(
+    /// Handles the result of an attempt: the request continues, is retried or ends.
+    pub(super) fn apply_outcome(
         &mut self,
         now: Millis,
         random: &mut SmallRng,
@@ -29,25 +29,26 @@
         let Some(progress) = self.requests.get_mut(&key) else {
             return Vec::new();
         };
-        let Some(chosen) = progress.current.clone() else {
+        let Some(selected) = progress.current.clone() else {
             return Vec::new();
         };
-        let id = &chosen.id;
+        let id = &selected.id;
         if outcome == AttemptOutcome::Answered {
             progress.may_have_run = true;
             progress.answered = true;
             let took = now.since(progress.sent_at);
-            self.pool.note_answered(now, &chosen.id, chosen.life);
-            if let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) {
-                runner.notices.rest.note_run(key);
+            self.pool.note_answered(now, &selected.id, selected.life);
+            if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
+                runner.notices.backoff.note_run(key);
             }
-            self.note_wait(now, &chosen, took);
+            self.note_wait(now, &selected, took);
             return Vec::new();
         }
         progress.current = None;
         let unsent = [AttemptOutcome::Silent, AttemptOutcome::Expired, AttemptOutcome::Withdrawn];
         if matches!(outcome, AttemptOutcome::Denied { .. }) || unsent.contains(&outcome) {
-            // Nothing was sent: this was not one of the attempts that the route allows.
+            // Nothing was sent, so this does not count as one of the attempts that the route
+            // allows.
             progress.tried.retain(|it| it != id);
         }
         let waited = now.since(progress.sent_at);
@@ -61,70 +62,71 @@
         let was_suspect = std::mem::take(&mut progress.is_suspect);
         let digest = progress.arrival.digest;
         if outcome == AttemptOutcome::Lost && !answered {
-            self.note_wait(now, &chosen, waited);
+            self.note_wait(now, &selected, waited);
         }
-        self.judge(now, key, &chosen, outcome, was_suspect);
-        let mut effects = self.note_end(now, digest, &chosen, outcome);
+        self.record_outcome(now, key, &selected, outcome, was_suspect);
+        let mut effects = self.note_end(now, digest, &selected, outcome);
         if outcome == AttemptOutcome::Finished {
             self.requests.remove(&key);
             self.crashes.end(key, digest);
             effects.extend(self.dispatch(now, random));
             return effects;
         }
-        effects.extend(self.try_again(now, random, key, outcome));
+        effects.extend(self.retry_or_end(now, random, key, outcome));
         effects.extend(self.dispatch(now, random));
         effects
     }
 
-    /// Notes that a runner let a request wait for so long.
-    fn note_wait(&mut self, now: Millis, chosen: &Chosen, waited: Millis) {
-        if let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) {
-            runner.note_first(now, waited);
+    /// Records how long a request waited at a runner.
+    fn note_wait(&mut self, now: Millis, selected: &SelectedRunner, waited: Millis) {
+        if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
+            runner.note_first_byte(now, waited);
         }
     }
 
-    /// Notes at the runner how an attempt ended.
-    fn judge(
+    /// Records the result of an attempt in the state of its runner.
+    fn record_outcome(
         &mut self,
         now: Millis,
         key: RequestKey,
-        chosen: &Chosen,
+        selected: &SelectedRunner,
         outcome: AttemptOutcome,
         was_suspect: bool,
     ) {
-        let suspects = self.keeps(Mechanism::Suspicion);
-        // What an earlier life did says nothing of the one that is there now.
-        let Some(runner) = self.pool.life_mut(&chosen.id, chosen.life) else {
+        let is_suspicion_enabled = self.is_enabled(Mechanism::Suspicion);
+        // Results of an earlier life say nothing about the current one.
+        let Some(runner) = self.pool.life_mut(&selected.id, selected.life) else {
             return;
         };
-        runner.leave(was_suspect);
+        runner.end_request(was_suspect);
         if outcome.has_ended_well() {
-            runner.notices.rest.note_run(key);
+            runner.notices.backoff.note_run(key);
         }
-        runner.notices.rest.note_end(key);
+        runner.notices.backoff.note_end(key);
         let is_limited = runner.notices.limit.rate().is_some();
         match outcome {
-            AttemptOutcome::Answered | AttemptOutcome::Finished => runner.reward(),
-            AttemptOutcome::Full => runner.note_full(now, FULL_PAUSE),
-            // The sidecar counts by the rate, so it knows when the next place comes.
+            AttemptOutcome::Answered | AttemptOutcome::Finished => runner.note_response(),
+            AttemptOutcome::Full => runner.note_full(now, FULL_PAUSE_MS),
+            // The sidecar enforces the rate limit, so it knows when the next reservation is
+            // possible.
             AttemptOutcome::Denied { again_ms, .. } if is_limited => {
-                runner.note_no_turn(now, again_ms.min(MAX_NO_TURN));
+                runner.note_rate_exhausted(now, again_ms.min(MAX_RATE_PAUSE_MS));
             }
             AttemptOutcome::Denied { again_ms, .. } => {
-                runner.note_full(now, again_ms.min(MAX_DENIED_PAUSE));
+                runner.note_full(now, again_ms.min(MAX_DENIED_PAUSE_MS));
             }
             AttemptOutcome::Misdirected => runner.misdirected = true,
             AttemptOutcome::NotSent
             | AttemptOutcome::Silent
             | AttemptOutcome::Lost
             | AttemptOutcome::Cut => {
-                if suspects {
-                    runner.punish(now);
+                if is_suspicion_enabled {
+                    runner.note_failure(now);
                 }
             }
-            // Its sidecar does not keep it to its rate, and this gateway has had its share.
+            // Its sidecar does not enforce the rate limit, and this gateway has used its share.
             AttemptOutcome::Withdrawn if is_limited => {
-                runner.note_no_turn(now, MAX_DENIED_PAUSE);
+                runner.note_rate_exhausted(now, MAX_DENIED_PAUSE_MS);
             }
             AttemptOutcome::Failed
             | AttemptOutcome::Expired
@@ -132,14 +134,16 @@
             | AttemptOutcome::Outdated => {}
         }
         if outcome.was_answered() {
-            self.pool.note_answered(now, &chosen.id, chosen.life);
-        } else if suspects && matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Silent) {
-            self.pool.note_unanswered(now, &chosen.id);
+            self.pool.note_answered(now, &selected.id, selected.life);
+        } else if is_suspicion_enabled
+            && matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Silent)
+        {
+            self.pool.note_unanswered(now, &selected.id);
         }
     }
 
     /// Queues a request for another attempt, or ends it.
-    fn try_again(
+    fn retry_or_end(
         &mut self,
         now: Millis,
         random: &mut SmallRng,
@@ -150,28 +154,29 @@
             return Vec::new();
         };
         let arrival = &progress.arrival;
-        let allowed = !progress.may_have_run || arrival.kind.is_repeatable();
-        let left = (progress.tried.len() as u32) < arrival.attempts.max(1);
+        let may_repeat = !progress.may_have_run || arrival.kind.is_repeatable();
+        let has_attempts_left = (progress.tried.len() as u32) < arrival.attempts.max(1);
         let (service, limit) = (arrival.service.clone(), arrival.limit);
-        // An attempt that never reached a runner is no arrival there, so it costs no repeat.
-        let free = !outcome.has_arrived();
-        if self.bar(now, key) {
+        // An attempt that never reached a runner causes no load there, so it costs no retry.
+        let is_free = !outcome.has_arrived();
+        if self.bar_if_quarantined(now, key) {
             return self.finish_without_answer(now, random, key);
         }
-        if !allowed || !left || now >= limit {
+        if !may_repeat || !has_attempts_left || now >= limit {
             return self.finish_without_answer(now, random, key);
         }
-        if !free && !self.take_repeat(now, &service) {
+        if !is_free && !self.take_retry(now, &service) {
             return self.finish_without_answer(now, random, key);
         }
-        let resumes_patiently = self.keeps(Mechanism::ResumeWait);
+        let waits_to_resume = self.is_enabled(Mechanism::ResumeWait);
         let Some(progress) = self.requests.get_mut(&key) else {
             return Vec::new();
         };
-        let wait = if progress.may_have_run && resumes_patiently { RESUME_WAIT } else { 0 };
+        let wait = if progress.may_have_run && waits_to_resume { RESUME_WAIT_MS } else { 0 };
         progress.wait_until = progress.wait_until.max(now.plus(wait)).min(progress.arrival.limit);
-        let place = Place { priority: 0, is_later: progress.stands_behind(), key };
-        self.queue.insert(place);
+        let position =
+            QueuePosition { priority: 0, is_later: progress.yields_to_first_tries(), key };
+        self.queue.insert(position);
         if matches!(outcome, AttemptOutcome::Denied { .. }) {
             return Vec::new();
         }
