--- a/components/edge/src/gateway/answer.rs
+++ b/components/edge/src/gateway/answer.rs
@@ -10,15 +10,15 @@
 use http_body_util::{BodyExt, Full};
 use platform::headers;
 
-/// The body of an answer.
+/// The body of an answer to a caller.
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = Error>>>;
 
-/// A body that is whole.
+/// A body that is complete in memory.
 pub fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Box::pin(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
-/// An answer of the gateway's own.
+/// An answer that the gateway itself produces.
 pub fn own_answer(status: StatusCode, request: Option<&str>, code: Code) -> Response<AnswerBody> {
     let text = format!("{{\"code\":{},\"reason\":\"{}\"}}\n", code.number(), code.name());
     let mut answer = Response::new(whole_body(text));
@@ -29,7 +29,7 @@
     answer
 }
 
-/// The refusal of a request that did not run and never will.
+/// The answer to a refused request that did not run and will not run.
 pub fn refusal(request: Option<&str>, code: Code, retry_after_ms: u64) -> Response<AnswerBody> {
     let mut answer = own_answer(StatusCode::SERVICE_UNAVAILABLE, request, code);
     let seconds = format!("{:.3}", retry_after_ms as f64 / 1000.0);
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -20,20 +20,20 @@
 use super::reservations::Wanted;
 use crate::exchange::Exchange;
 
-/// How long a connection to a runner may take to come up.
+/// How long opening a connection to a runner may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long after it was given a place may be used: the connection takes up to `CONNECT_TIMEOUT`, and
-/// the rest is for a machine that is short of processor time. A sidecar's margin before a version's
-/// bound covers it.
+/// How long after it was granted a slot may be used: opening the connection takes up to `CONNECT_TIMEOUT`,
+/// and the rest allows for a machine that is short of processor time. A sidecar's margin before a version's
+/// deadline covers it.
 const PLACE_LIFE: Duration = Duration::from_millis(350);
-/// How many times its aim a request that may run again waits for the head of an answer.
+/// A repeatable request waits for the head of an answer for this multiple of its latency target.
 const PATIENCE: f64 = 2.0;
-/// The least such wait, in milliseconds.
+/// The shortest such timeout, in milliseconds.
 const MIN_PATIENCE: u64 = 600;
-/// How long before a version may be used no more a request is taken back that has not begun on it, in milliseconds: the
-/// runner hears of it a little later.
+/// A request that has not started is withdrawn from the runner this long before the version's deadline, in
+/// milliseconds, because the runner receives the withdrawal a little later.
 const TAKE_BACK_MARGIN: u64 = 100;
-/// The largest failure of a runner that is held to be handed on, in bytes.
+/// The largest error answer of a runner that is buffered to be forwarded, in bytes.
 const HELD_BYTES: usize = 64 * 1024;
 
 /// An attempt.
@@ -48,29 +48,29 @@
     pub target: &'a RunnerTarget,
 }
 
-/// A runner's answer that has begun.
+/// A runner's answer whose head has arrived.
 pub struct RunnerAnswer {
     /// Its status.
     pub status: StatusCode,
-    /// Its headers, without those for one connection.
+    /// Its headers, without the hop-by-hop ones.
     pub headers: HeaderMap,
     /// The connection that it arrives on.
     pub exchange: Exchange,
-    /// What is still to come.
+    /// The rest of the answer.
     pub body: Incoming,
 }
 
-/// What became of an attempt so far.
-// It is moved once for each attempt; a box would cost more than it saves.
+/// The result of an attempt when the head of the answer has arrived or the attempt has failed.
+// It is moved once per attempt; a box would cost more than it saves.
 #[allow(clippy::large_enum_variant)]
 pub enum Outcome {
     /// The runner answers.
     Answer(RunnerAnswer),
-    /// It did not.
+    /// The attempt failed.
     Failure {
-        /// How.
+        /// How it failed.
         outcome: AttemptOutcome,
-        /// The failure that the runner answered with, to be handed on if nothing better comes.
+        /// The runner's error answer, which is forwarded if no other attempt succeeds.
         answer: Option<Response<AnswerBody>>,
     },
 }
@@ -82,8 +82,8 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the request and waits for the head of the answer. `last_event` is where a stream goes
-    /// on; `sent` is set once the runner may have the request.
+    /// Sends the request and waits for the head of the answer. `last_event` is the event after which a stream
+    /// resumes; `sent` is set once the runner may have received the request.
     pub async fn run(&self, last_event: Option<&str>, sent: &mut bool) -> Outcome {
         if let Err(outcome) = self.reserve().await {
             return outcome.into();
@@ -96,7 +96,7 @@
             return AttemptOutcome::NotSent.into();
         };
         if self.target.reserve && granted.elapsed() > PLACE_LIFE {
-            // The sidecar gave the place for now, not for whenever this machine comes round to it.
+            // The sidecar granted the slot for immediate use, and this machine was too slow.
             return AttemptOutcome::Expired.into();
         }
         let now = self.core.clock.now();
@@ -118,8 +118,8 @@
         outcome
     }
 
-    /// Asks the sidecar for a place, where there is one to ask. The connection is opened after it: under
-    /// load most questions are answered with no, and each connection takes work on both sides.
+    /// Asks the sidecar for a slot, if the runner has a sidecar. The connection is opened afterwards: under
+    /// load most reservations are denied, and each connection costs both sides work.
     async fn reserve(&self) -> Result<(), AttemptOutcome> {
         if !self.target.reserve {
             return Ok(());
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Waits as long as a request that may run again, and was sent at `sent`, should wait for an answer. Gives why no longer.
+    /// Waits for as long as a repeatable request sent at `sent` may wait for an answer. Returns why the wait
+    /// ended.
     async fn lose_patience(&self, sent: Millis) -> AttemptOutcome {
         if !self.job.kind.is_repeatable() {
             return future::pending().await;
@@ -168,8 +169,8 @@
         Some(request)
     }
 
-    /// Takes in that the runner wants no more requests, where its answer says so: before anything of the answer is
-    /// handed on, so that no request that arrives afterwards can miss it.
+    /// Records that the runner wants no more requests, if its answer says so. This happens before any part of
+    /// the answer is forwarded, so that no request that arrives afterwards is sent to it.
     fn take_notice(&self, notice: Notice) {
         if notice.is_empty() {
             return;
@@ -194,7 +195,7 @@
         self.core.feed(Event::Noticed(self.key, notice));
     }
 
-    /// What an answer says of its runner. One that sends the request elsewhere is that of another runner.
+    /// What an answer says about its runner. A misdirected answer comes from another runner.
     fn notice(&self, status: StatusCode, facts: &AnswerFacts) -> Notice {
         if status == StatusCode::MISDIRECTED_REQUEST {
             return Notice::default();
@@ -207,8 +208,8 @@
         }
     }
 
-    /// What an answer says of the runner's rate limit, as far as it matters: that there is none only where one is known,
-    /// and only if it is the answer to this request.
+    /// What an answer says about the runner's rate limit. That there is no limit matters only if one is
+    /// known, and only if it is the answer to this request.
     fn limit_news(&self, facts: &AnswerFacts) -> Option<RateWord> {
         let is_own = facts.id.is_some() && facts.id == self.job.facts.id;
         let is_limited = || self.core.read(|gateway| gateway.is_limited(&self.target.id));
@@ -243,7 +244,7 @@
     }
 }
 
-/// How a runner turned a request away, if it did.
+/// The outcome if the runner refused the request.
 fn refused(status: StatusCode, facts: &AnswerFacts) -> Option<AttemptOutcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptOutcome::Misdirected);
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! The reducer of a gateway with those who wait for its decisions.
+//! The reducer of a gateway, with the requests that wait for its decisions.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,30 +21,31 @@
 use crate::life_log::note_life;
 use crate::metrics::note_evacuation;
 
-/// Gateways that write a row again which the store may have lost: one may just have been lost itself.
+/// Number of gateways that rewrite a row which the store may have lost. It is more than one because a gateway
+/// may itself just have failed.
 const ROW_WRITERS: usize = 2;
 
 /// A gateway's state, shared by the tasks of its process.
 #[derive(Clone)]
 pub struct Core {
     state: Rc<RefCell<State>>,
-    /// The time.
+    /// The process's clock.
     pub clock: Clock,
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// The name of this process in logs.
     pub name: Rc<str>,
-    /// Places at runners.
+    /// Reservations of slots at runners.
     pub reservations: Reservations,
     /// What is known of the store's tables.
     pub tables: Rc<Tables>,
-    /// Told of each version that is named.
+    /// Receives a message when sidecars have to be updated at once.
     pub named: Receiver<()>,
     name_sidecars: Sender<()>,
-    /// Told of requests that runners crash under.
+    /// Receives the requests that crash runners.
     pub crashes: Receiver<CrashNews>,
     crash_news: Sender<CrashNews>,
-    /// Told that the store came back from an older copy.
+    /// Receives a message when the store was restored from an older copy.
     pub went_back: Receiver<()>,
     tell_went_back: Sender<()>,
 }
@@ -56,7 +57,7 @@
 }
 
 impl Core {
-    /// Starts with nothing known.
+    /// Creates the state of a gateway that knows nothing yet.
     pub fn new(
         options: GatewayOptions,
         clock: Clock,
@@ -85,14 +86,14 @@
         }
     }
 
-    /// The store came back from an older copy: rows of our own are written again.
+    /// Records that the store was restored from an older copy, so that this gateway's rows are written again.
     pub fn note_went_back(&self) {
-        // One that waits already is enough.
+        // One pending message is enough.
         let _ = self.tell_went_back.try_send(());
     }
 
-    /// Whether this gateway writes a row again that the store may have lost: two of all do, and whoever does not know the
-    /// others.
+    /// Whether this gateway rewrites a row that the store may have lost. `ROW_WRITERS` of all gateways do,
+    /// and every gateway that does not know the others.
     pub fn writes_again(&self, now: Millis, row: &str) -> bool {
         self.read(|gateway| {
             let members = gateway.members();
@@ -101,13 +102,13 @@
         })
     }
 
-    /// Sidecars are told at once what operators wrote.
+    /// Sends sidecars at once what operators wrote.
     pub fn tell_sidecars(&self) {
-        // One that waits already is enough.
+        // One pending message is enough.
         let _ = self.name_sidecars.try_send(());
     }
 
-    /// Hands an event to the reducer and its decisions to those who wait for them.
+    /// Passes an event to the reducer and its decisions to the tasks that wait for them.
     pub fn feed(&self, event: Event) {
         let mut state = self.state.borrow_mut();
         let effects = state.gateway.reduce(self.clock.now(), rand::random(), event);
@@ -127,7 +128,7 @@
                     if news.is_own() {
                         self.tell_sidecars();
                     }
-                    // The record ends with the process.
+                    // The receiver exists until the process ends.
                     let _ = self.crash_news.try_send(news);
                 }
                 Effect::Evacuation(change) => {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Announces a request.
+    /// Registers a request with the reducer.
     pub fn announce(&self, make: impl FnOnce(RequestKey) -> Arrival) -> Ticket {
         let (sender, steps) = async_channel::bounded(1);
         let key = {
@@ -157,13 +158,13 @@
         self.state.borrow().gateway.catalog().cloned()
     }
 
-    /// Reads the reducer.
+    /// Reads the state of the reducer.
     pub fn read<T>(&self, look: impl FnOnce(&Gateway) -> T) -> T {
         look(&self.state.borrow().gateway)
     }
 }
 
-/// A request that the reducer knows. Dropping it tells the reducer that the request is gone.
+/// A request that is registered with the reducer. Dropping it deregisters the request.
 pub struct Ticket {
     core: Core,
     /// The request.
@@ -172,7 +173,7 @@
 }
 
 impl Ticket {
-    /// Waits for what the request does next.
+    /// Waits for the next step of the request.
     pub async fn next_step(&self) -> Option<NextStep> {
         self.steps.recv().await.ok()
     }
--- a/components/edge/src/gateway/directory.rs
+++ b/components/edge/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells sidecars of each other.
+//! The list of sidecars that a gateway sends to sidecars.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 /// Sidecars in one datagram: each takes at most 28 bytes, and a datagram holds 1,400.
 const SIDECARS_IN_A_PART: usize = 45;
 
-/// The answer to a sidecar's question for the others of a service, a data hall or a part of one in each
-/// datagram. `fresh` tells whether the gateway hears the store.
+/// The answer to a sidecar that asks for the sidecars of a service, with one data hall or a part of it per
+/// datagram. `fresh` says whether the gateway is connected to the store.
 pub fn answer(
     gateway: &Gateway,
     service: &ServiceName,
@@ -19,7 +19,7 @@
     fresh: bool,
 ) -> Vec<Datagram> {
     let mut halls: BTreeMap<Hall, Vec<ListedSidecar>> = BTreeMap::new();
-    // The machine of a runner that leaves goes with it, and whatever chunks it was to draw.
+    // The machine of a leaving runner is removed with it, and so are the chunks that it was to fetch.
     let staying = gateway.pool().of_service(service).filter(|it| it.is_open());
     for runner in staying {
         let machine = runner.record.address.ip();
--- a/components/edge/src/gateway/events.rs
+++ b/components/edge/src/gateway/events.rs
@@ -1,23 +1,23 @@
-//! Cuts a stream of events at the ends of events.
+//! Splits a server-sent event stream at the ends of events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Holds back what is not yet a whole event, so that another run can continue behind it.
+/// Buffers an incomplete event, so that another run can resume after the last complete one.
 #[derive(Debug)]
 pub struct EventCutter {
-    /// The most bytes of one event that are held back.
+    /// The most bytes of one event that are buffered.
     most: usize,
     partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventCutter {
-    /// Nothing has come yet. At most so many bytes of one event are held back.
+    /// Creates a splitter that buffers at most `max_bytes` bytes of one event.
     pub fn new(most: usize) -> Self {
         Self { most, partial: BytesMut::new(), last_id: None }
     }
 
-    /// Takes in bytes and gives those that end with an event.
+    /// Adds bytes and returns those that end with a complete event.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = end_of_events(&self.partial) else {
@@ -33,23 +33,23 @@
         whole
     }
 
-    /// Whether an event has begun and not ended.
+    /// Whether an event has started and not ended.
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Forgets the event that a runner began and did not end.
+    /// Discards an event that a runner started and did not finish.
     pub fn forget_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 }
 
-/// Behind the last empty line.
+/// The offset after the last empty line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
     let unix = bytes.windows(2).rposition(|it| it == b"\n\n").map(|at| at + 2);
     let windows = bytes.windows(4).rposition(|it| it == b"\r\n\r\n").map(|at| at + 4);
--- a/components/edge/src/gateway/follow.rs
+++ b/components/edge/src/gateway/follow.rs
@@ -18,20 +18,22 @@
 use crate::spawner::Spawner;
 use crate::watch::{watch, Dated, Seen, WatchOptions};
 
-/// What gateways that date versions closely are responsible for, and how many do: one may have just been lost.
+/// The responsibility of gateways that poll often to date versions closely, and the number of gateways that
+/// have it. It is more than one because a gateway may just have failed.
 const DATING: &str = "dates of versions";
 const DATING_GATEWAYS: usize = 2;
-/// The shortest time between the first two feeds of a table, when a fleet that starts appears in it.
+/// The shortest time between the first two feed calls of a table, while a starting fleet is added to it.
 const FIRST_SPACING: Duration = Duration::from_millis(60);
-/// How many feeds of what operators write fit into the time within which a configuration is in force. A
-/// change after a calm is fed at once; only changes in quick succession are taken together, since each feed
-/// is a call of every gateway.
+/// Feed calls of the operator table per configuration deadline. A change after a quiet period is fetched at
+/// once; only changes in quick succession are fetched together, since each feed costs a call of every
+/// gateway.
 const FEEDS_PER_CONFIGURATION: u32 = 8;
-/// How many feeds of the runners fit into the time within which a leaving runner gets nothing new. While
-/// versions move some entry changes all the time, and more feeds would each bring fewer changes.
+/// Feed calls of the runner table per drain deadline, within which a leaving runner must get no new requests.
+/// While versions are rolled out some row changes all the time, and more calls would each bring fewer
+/// changes.
 const FEEDS_PER_DRAIN: u32 = 4;
 
-/// Follows a table and hands its changes to the reducer.
+/// Follows a table and passes its changes to the reducer.
 pub fn follow(
     spawner: &Spawner,
     settings: &DeploymentSettings,
@@ -85,7 +87,7 @@
         }
         Seen::Change { change, dated } => {
             let concerns_sidecars = concerns_sidecars(&change) || turns_cold(&core, &change);
-            // One that follows another leaves the record to it.
+            // A gateway that follows another gateway leaves the record to it.
             let records = reading.source() == Source::Store;
             let event = event(change, dated, version_ms);
             let version = event.as_ref().and_then(heard_version).filter(|_| records);
@@ -102,8 +104,8 @@
     }));
 }
 
-/// Whether this gateway dates versions closely for all: older versions serve until a bound that runs from the date, and any
-/// gateway's date holds for everybody.
+/// Whether this gateway dates versions closely for all gateways: older versions may serve until a deadline
+/// that runs from the date, and the date of any gateway applies to all.
 fn dates_closely(core: &Core, table: Table) -> Rc<dyn Fn() -> bool> {
     let core = core.clone();
     Rc::new(move || {
@@ -115,7 +117,7 @@
     })
 }
 
-/// A table as the reducer knows it.
+/// The reducer's name of a table.
 fn store_table(table: Table) -> StoreTable {
     match table {
         Table::Operator | Table::Versions => StoreTable::Operator,
@@ -123,7 +125,7 @@
     }
 }
 
-/// The version that an event tells of, for the record.
+/// The version that an event reports, for the version record.
 fn heard_version(event: &Event) -> Option<Heard> {
     match event {
         Event::Named(NamedVersion { model, version, after_ms, .. }) => {
@@ -133,7 +135,8 @@
     }
 }
 
-/// Hands over what concerns the record of versions. What finds no room is not recorded.
+/// Passes an update to the task that maintains the version record. An update that finds the channel full is
+/// not recorded.
 fn hand_over_or_log(hand_over: &Sender<RecordNews>, news: RecordNews) {
     if let Err(error) = hand_over.try_send(news) {
         let reason = error.to_string();
@@ -141,12 +144,13 @@
     }
 }
 
-/// How long to wait for the store.
+/// The timeouts of calls to the store.
 pub fn patience(bounds: &BoundSettings) -> Patience {
     Patience::new(Duration::from_millis(bounds.contact_ms))
 }
 
-/// The shortest time between two feeds of a table: a part of the time that its news has.
+/// The shortest time between two feed calls of a table: a part of the time in which its changes have to take
+/// effect.
 pub fn spacing(bounds: &BoundSettings, table: Table) -> Duration {
     match table {
         Table::Runners => Duration::from_millis(bounds.drain_ms) / FEEDS_PER_DRAIN,
@@ -156,8 +160,9 @@
     }
 }
 
-/// How long the feed of a table may rest for the sake of others on the link to the store: half of the time in which a
-/// leaving runner must be heard of. Nobody serves a request by what operators wrote before, so that table rests for nothing.
+/// The longest pause of a table's feed that yields the link to the store to others: half of the time within
+/// which a leaving runner must become known. A request must not be served by an outdated operator table, so
+/// that table never pauses.
 fn longest_rest(bounds: &BoundSettings, table: Table) -> Duration {
     match table {
         Table::Runners => Duration::from_millis(bounds.drain_ms) / 2,
@@ -165,20 +170,20 @@
     }
 }
 
-/// Whether sidecars should hear at once: of a version that was named, or because one of them is new and
-/// waits to hear what its runner should hold.
+/// Whether sidecars should be updated at once: about a named version, or because one of them is new and waits
+/// to learn which version its runner should hold.
 fn concerns_sidecars(change: &Change) -> bool {
     match change {
         Change::Version { .. } => true,
         Change::Runner(record) => record.weights.is_none(),
         Change::Configuration(_) | Change::RunnerGone(_) | Change::RunnerUnreadable(_) => false,
-        // The reducer says so where it took them in.
+        // The reducer reports these after it has applied them.
         Change::Evacuated(_) | Change::Reopened(_) => false,
     }
 }
 
-/// Whether a runner has turned cold that was not: its sidecar should hear at once. An entry tells a time that falls
-/// every second.
+/// Whether a runner that was warm has turned cold, so that its sidecar should be updated at once. A row
+/// states a remaining time that decreases every second.
 fn turns_cold(core: &Core, change: &Change) -> bool {
     let Change::Runner(record) = change else {
         return false;
@@ -188,7 +193,7 @@
     record.cold_ms > 0 && was_warm()
 }
 
-/// What a change is to the reducer. `None` for what it is told of by whole lists.
+/// The reducer's event for a change. `None` for changes that it receives as complete lists.
 fn event(change: Change, dated: Dated, version_ms: u64) -> Option<Event> {
     Some(match change {
         Change::Configuration(catalog) => {
@@ -197,7 +202,7 @@
             Event::Configured(Arc::new(*catalog))
         }
         Change::Version { model, version, .. } => {
-            // The bound runs from the naming, not from when this process heard of it.
+            // The deadline runs from the time of naming, not from when this process received it.
             let age_ms = dated.age.map(|it| it.as_millis() as u64 + 1);
             let named = NamedVersion { model, version, age_ms, after_ms: dated.after_ms };
             let named = if named.outlasts_guess(version_ms) {
--- a/components/edge/src/gateway/home_log.rs
+++ b/components/edge/src/gateway/home_log.rs
@@ -1,4 +1,4 @@
-//! Tells the operator of homes where nothing can be served.
+//! Logs home regions where no request can be served.
 
 use fleet::HomeRegions;
 use gateway::HomeFault;
@@ -6,7 +6,7 @@
 /// The most lines for one configuration; the gauge `home_faults` counts all cases.
 const MAX_LINES: usize = 8;
 
-/// Writes the cases of a configuration that has just come into force.
+/// Logs the faults of a configuration that has just come into force.
 pub fn tell(faults: &[HomeFault]) {
     for fault in faults.iter().take(MAX_LINES) {
         line(fault);
--- a/components/edge/src/gateway/node.rs
+++ b/components/edge/src/gateway/node.rs
@@ -37,13 +37,14 @@
 use crate::server::{listen, serve, ServerOptions};
 use crate::spawner::Spawner;
 
-/// How often the reducer is told of the time.
+/// How often the reducer receives a tick.
 const TICK: Duration = Duration::from_millis(15);
-/// How long a stopping gateway goes on taking connections: the platform needs this long to notice.
+/// How long a stopping gateway continues to accept connections: the platform needs this long to detect the
+/// stop.
 const LINGER: Duration = Duration::from_millis(2600);
-/// How often a stopping gateway looks whether its connections have ended.
+/// How often a stopping gateway checks whether its connections have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
-/// How long before the end of its grace a gateway ends by itself.
+/// A gateway stops this long before the end of its grace period.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
 /// A gateway.
@@ -161,7 +162,7 @@
         Ok(())
     }
 
-    /// Tells the store's tables on to other gateways.
+    /// Serves the store's tables to other gateways.
     async fn serve_tables(
         &self,
         spawner: &Spawner,
@@ -183,19 +184,19 @@
         Ok(())
     }
 
-    /// Its counters.
+    /// The metrics of this process.
     pub fn metrics(&self) -> &Metrics {
         &self.core.metrics
     }
 
-    /// Goes on with other settings.
+    /// Applies changed settings.
     pub fn apply(&self, settings: &DeploymentSettings) {
         self.grace.set(Duration::from_secs(settings.bounds.grace_s));
         self.core.feed(Event::Bounded(options(settings)));
     }
 
-    /// Stops without cutting off requests: says first that it is not ready, goes on until the
-    /// platform has noticed, and ends when nothing is under way.
+    /// Stops without interrupting requests: reports that it is not ready, continues until the platform has
+    /// detected that, and ends when no request is in progress.
     pub async fn stop(&self) {
         let end = Instant::now() + self.grace.get().saturating_sub(GRACE_MARGIN);
         self.stopping.set(true);
@@ -233,7 +234,7 @@
     Response::new(whole_body("ready\n"))
 }
 
-/// Serves the page of metrics with what the gateway believes.
+/// Serves the metrics page with the gateway's current state.
 async fn serve_page(
     spawner: &Spawner,
     settings: &DeploymentSettings,
@@ -276,7 +277,7 @@
             ("runner_table_age_ms", "runner_table_first_wait_ms", &core.tables.runners),
         ] {
             core.metrics.set(wait, table.first_whole_wait_ms());
-            // Absent until the store has answered once: zero would look fresh.
+            // Absent until the first answer of the store: zero would look current.
             if let Some(age_ms) = table.age_ms() {
                 core.metrics.set(age, age_ms);
             }
--- a/components/edge/src/gateway/notice_log.rs
+++ b/components/edge/src/gateway/notice_log.rs
@@ -1,10 +1,10 @@
-//! Logs what runners say of themselves in answers.
+//! Logs what runners report about themselves in answers.
 
 use fleet::RateWord;
 use gateway::NoticeNews;
 
-/// Logs that a runner leaves, wants to be left alone or names a rate limit. Said once: for each life of a runner, for each
-/// rest, and for each change of its limit.
+/// Logs that a runner is leaving, asks for a pause or reports a rate limit. The reducer emits this once for
+/// each process start of a runner, each pause and each change of its limit.
 pub fn note_notice(news: &NoticeNews) {
     let (runner, notice) = (news.runner.0.as_str(), news.notice);
     if notice.is_leaving {
--- a/components/edge/src/gateway/quarantine.rs
+++ b/components/edge/src/gateway/quarantine.rs
@@ -1,4 +1,4 @@
-//! Keeps the record of requests in quarantine.
+//! Maintains the record of quarantined requests in the store.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,18 +19,19 @@
 
 /// How long a call may take: three times the slowest usual answer, which leaves time for a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long nothing is looked at where no call is due.
+/// How long the task sleeps if no call is due.
 const REST: Duration = Duration::from_secs(3600);
 
-/// What concerns the record.
+/// What wakes the task.
 enum Next {
-    /// The status of a request has changed; or the process ends.
+    /// The status of a request has changed, or the process ends.
     News(std::result::Result<CrashNews, RecvError>),
-    /// The store came back from an older copy.
+    /// The store was restored from an older copy.
     StoreWentBack,
 }
 
-/// Keeps the record for as long as the task runs. `was_asked` is set once the store was asked for it.
+/// Maintains the record for as long as the task runs. `has_read` is set after the first call to the store for
+/// it.
 pub async fn keep(
     core: Core,
     store: SocketAddr,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Makes a call and takes in its answer.
+/// Makes a call and applies its answer.
 async fn make(core: &Core, record: &mut QuarantineRecord, link: &mut Link, call: QuarantineCall) {
     let answer = match ask(core, link, &call).await {
         Ok(answer) => answer,
@@ -81,7 +82,7 @@
     let recorded = record.take(core.clock.now(), rand::random(), &call, &answer);
     if let Some(digest) = recorded {
         core.feed(Event::Recorded(digest));
-        // Others need not write it too.
+        // Other gateways need not write it too.
         core.tell_sidecars();
     }
     if let QuarantineAnswer::Rows(list) = answer {
@@ -95,7 +96,7 @@
     rows::read(call, answer.status, &answer.body)
 }
 
-/// Logs what became of a call.
+/// Logs the outcome of a call.
 fn tell(call: &QuarantineCall, answer: &QuarantineAnswer) {
     let outcome = outcome(answer);
     match call {
--- a/components/edge/src/gateway/readers.rs
+++ b/components/edge/src/gateway/readers.rs
@@ -1,4 +1,5 @@
-//! Reading the store for the other gateways of the hall, and following its tables at those that do.
+//! Reads the store on behalf of the other gateways of the data hall, and follows its tables at the gateways
+//! that do so (the readers).
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -24,71 +25,72 @@
 use crate::exchange::within;
 use crate::link::Link;
 
-/// How long ago a reader knew everything that it tells, in milliseconds.
+/// Header: how long before its answer the reader's content was complete, in milliseconds.
 pub(super) const KNOWN: &str = "silverdock-known-ms";
-/// How long ago the oldest change that it tells of happened at most, in milliseconds.
+/// Header: the greatest possible age of the oldest change in the answer, in milliseconds.
 pub(super) const NEWS: &str = "silverdock-news-ms";
-/// How long it kept the question waiting, in milliseconds.
+/// Header: how long the reader held the call, in milliseconds.
 pub(super) const HELD: &str = "silverdock-held-ms";
-/// Answers of the store of which a reader remembers how old their news were.
+/// Number of store answers whose change ages a reader remembers.
 const MOST_NEWS: usize = 64;
 /// How long a call for the row of readers may take: three times the slowest usual answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How many waits of a reader's feed fit into the time within which a configuration is in force: what it tells is that old
-/// while nothing changes, and a reader that is cut off tells nothing any more soon after.
+/// Long polls of a reader's feed per configuration deadline. Without changes the content of its answers is as
+/// old as one poll, and a reader that is cut off stops answering soon after.
 const WAITS_PER_CONFIGURATION: u32 = 3;
-/// How much later than usual an answer of the store may be before a reader's knowledge is too old to be told.
+/// How much later than usual an answer of the store may be before a reader's content is too old to be served.
 const LATE_AFTER: Duration = Duration::from_millis(500);
-/// A question that fails within this time has cost none.
+/// A call that fails within this time has not delayed its sender.
 const AT_ONCE: Duration = Duration::from_millis(200);
-/// How much longer than asked for a reader may take to answer.
+/// How much longer than the requested wait a reader may take to answer.
 const SLACK: Duration = Duration::from_millis(400);
-/// How long a gateway that starts waits at most until it is settled who reads.
+/// How long a starting gateway waits until the readers are determined.
 const LONGEST_SETTLING: Duration = Duration::from_millis(2500);
-/// How long nothing is looked at where no call is due.
+/// How long the task sleeps if no call is due.
 const REST: Duration = Duration::from_secs(3600);
 
-/// What a gateway keeps of one table to tell others.
+/// A table that a gateway caches to serve it to others.
 #[derive(Default)]
 pub(super) struct KeptTable {
     pub(super) copy: RefCell<Option<TableCopy>>,
     pub(super) era: Cell<Option<u64>>,
-    /// Up to when everything is known.
+    /// Up to which time the content is complete.
     pub(super) known: Cell<Option<Instant>>,
-    /// Since when the changes behind a revision happened at most, up to the next one; oldest first.
+    /// For the changes after a revision, up to the next entry, the earliest time at which they may have
+    /// happened; oldest first.
     news: RefCell<VecDeque<(u64, Option<Instant>)>>,
     pub(super) changed: Event,
 }
 
 impl KeptTable {
-    /// Since when what changed behind a revision happened at most. `None` where nobody knows.
+    /// The earliest time at which the changes after a revision may have happened. `None` if it is unknown.
     pub(super) fn news_since(&self, after: u64) -> Option<Instant> {
         let news = self.news.borrow();
-        // What changed behind the revision is in the answers behind it, and in the one that spans it.
+        // The changes after the revision are in the answers after it and in the answer that spans it.
         let first = news.iter().rposition(|(behind, _)| *behind <= after)?;
         let since: Option<Vec<Instant>> = news.range(first..).map(|(_, since)| *since).collect();
         since?.into_iter().min()
     }
 }
 
-/// How old what a reader tells is, at the moment of its answer.
+/// The age of the content of a reader's answer, at the time of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ToldAge {
-    /// How long ago everything was known.
+    /// How long ago the content was complete.
     pub known: Duration,
-    /// How long ago the oldest change happened at most. `None` where nobody knows.
+    /// The greatest possible age of the oldest change. `None` if it is unknown.
     pub news: Option<Duration>,
-    /// How long the question was kept waiting.
+    /// How long the reader held the call.
     pub held: Duration,
 }
 
-/// How old what is told of each table may be.
+/// The greatest age of the content that may be served, by table.
 struct Limits {
     operator: Duration,
     runners: Duration,
 }
 
-/// The readers of the hall, as a gateway knows them, and what it keeps to be one.
+/// The readers of the hall, as this gateway knows them, and the tables that it caches as a reader.
 #[derive(Clone)]
 pub struct Reading(Rc<Shared>);
 
@@ -98,7 +100,7 @@
     runners: KeptTable,
     limits: Limits,
     wait: Duration,
-    /// Told when something may be due, or the row was looked at.
+    /// Notified when a call may be due or the row has been read.
     due: Event,
     has_looked: Cell<bool>,
     clock: Clock,
@@ -107,7 +109,7 @@
 }
 
 impl Reading {
-    /// Nothing is known of readers yet.
+    /// Creates the state before anything is known about readers.
     pub fn new(
         settings: &DeploymentSettings,
         clock: Clock,
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Waits until it is settled who reads, or cannot be found out. Where a fleet starts, all that read for themselves
-    /// meanwhile would fill the links.
+    /// Waits until the readers are determined or a timeout expires. In a starting fleet the links would be
+    /// congested if all gateways read the store themselves meanwhile.
     pub async fn wait_until_settled(&self) {
         let settled = async {
             while !self.0.has_looked.get() || self.0.readers.borrow().is_settling() {
@@ -157,17 +159,17 @@
         within(Instant::now() + LONGEST_SETTLING, settled).await;
     }
 
-    /// Whom to ask now.
+    /// The store or reader to call now.
     pub fn source(&self) -> Source {
         self.0.readers.borrow().source(self.0.clock.now())
     }
 
-    /// How long a feed waits at most where others follow it, or it follows another.
+    /// The longest wait of a feed call if others follow this gateway or it follows another one.
     pub fn feed_wait(&self) -> Duration {
         self.0.wait
     }
 
-    /// How long the answer of a reader that waits so long may take to begin.
+    /// How long the answer of a reader to a feed call with this wait may take to start.
     pub fn feed_begin(&self, wait: Duration) -> Duration {
         wait + SLACK
     }
@@ -177,12 +179,13 @@
         self.0.readers.borrow().is_reader()
     }
 
-    /// Whether this gateway is one of the first of its hall, some of which read for the others.
+    /// Whether this gateway is named in the row of readers: the first gateways of the hall are, and some of
+    /// them read for the others.
     pub(super) fn is_named(&self) -> bool {
         self.0.readers.borrow().is_named()
     }
 
-    /// Whether others follow what this gateway reads.
+    /// Whether other gateways follow this gateway.
     pub fn is_followed(&self) -> bool {
         let readers = self.0.readers.borrow();
         readers.is_reader() && readers.is_followed(self.0.clock.now())
@@ -193,17 +196,17 @@
         self.0.readers.borrow_mut().note_asked(self.0.clock.now());
         self.0.due.notify(usize::MAX);
         if self.is_followed() && !was_followed {
-            // What is read from now on is for others too: a feed that waits for long is asked anew.
+            // From now on it reads for others too: a feed call with a long wait is sent again.
             self.0.era.call_all();
         }
     }
 
-    /// A reader answered.
+    /// Records that a reader answered.
     pub fn note_heard(&self, reader: SocketAddr) {
         self.0.readers.borrow_mut().note_heard(reader);
     }
 
-    /// A reader gave no answer, or one that is too old.
+    /// Records that a reader gave no answer, or one that is too old.
     pub fn note_silent(&self, reader: SocketAddr, error: &Error, took: Duration) {
         let reason = error.to_string();
         log::info!(reader = reader.to_string().as_str(), reason = reason.as_str(); "reader not heard");
@@ -215,14 +218,14 @@
         self.0.due.notify(usize::MAX);
     }
 
-    /// The store came back from an older copy.
+    /// Records that the store was restored from an older copy.
     pub fn note_went_back(&self) {
         self.0.readers.borrow_mut().note_went_back(self.0.clock.now(), rand::random());
         self.0.due.notify(usize::MAX);
     }
 
-    /// Keeps a table that was listed at the store, in an era of it, where this gateway reads it for others. Those who follow it
-    /// go on behind what they know if the era is the same.
+    /// Caches a listing of the store if this gateway reads the table for others. If the era is the same,
+    /// gateways that follow this one continue from the revision that they know.
     pub fn keep_listing(&self, table: Table, pages: &[Vec<u8>], era: Option<u64>) {
         let kept = self.of(table);
         let known = kept.copy.take().filter(|_| kept.era.get() == era);
@@ -234,7 +237,7 @@
         self.keep(table, copy.transpose());
     }
 
-    /// Keeps changes that the store told, which happened so long ago at most.
+    /// Adds changes from the store to the cached table. `age` is their greatest possible age.
     pub fn keep_changes(&self, table: Table, body: &[u8], age: Option<Duration>) {
         let kept = self.of(table);
         let Some(mut copy) = kept.copy.take() else {
@@ -253,7 +256,7 @@
         self.keep(table, taken.map(|()| Some(copy)));
     }
 
-    /// Forgets a table: it is followed at another gateway.
+    /// Drops a cached table because it is followed at another gateway.
     pub fn forget(&self, table: Table) {
         self.keep(table, Ok(None));
     }
@@ -267,7 +270,7 @@
         self.of(table).copy.replace(copy);
     }
 
-    /// What is kept of a table is everything up to a moment, in an era of the store.
+    /// Records the time up to which a cached table is complete, and its position in the store's history.
     pub fn note_known(&self, table: Table, known: Instant, place: StorePlace) {
         let kept = self.of(table);
         kept.known.set(Some(known));
@@ -275,12 +278,12 @@
         kept.changed.notify(usize::MAX);
     }
 
-    /// Whether a table is kept to be told on.
+    /// Whether a table is cached.
     pub fn keeps(&self, table: Table) -> bool {
         self.of(table).copy.borrow().is_some()
     }
 
-    /// How old what is told of a table is, unless that is too old.
+    /// The age of a cached table, unless it is too old to be served.
     pub(super) fn age(&self, table: Table) -> Option<Duration> {
         let age = self.of(table).known.get()?.elapsed();
         (age <= self.limit(table)).then_some(age)
@@ -327,7 +330,7 @@
     rows::read(hall, call, answer.status, &answer.body)
 }
 
-/// Logs and counts what became of a call.
+/// Logs and counts the outcome of a call.
 fn tell(reading: &Reading, call: &ReadersCall, answer: &ReadersAnswer) {
     let call = match call {
         ReadersCall::Read => "readers_read",
@@ -342,7 +345,7 @@
     log::info!(call = call, outcome = outcome; "row of the readers");
 }
 
-/// How old an answer says that it is. `None` from the store, which tells no ages.
+/// Reads the age headers of an answer. `None` for the store, which sends none.
 pub fn read_age(headers: &HeaderMap) -> Result<Option<ToldAge>> {
     let Some(known) = read_millis(headers, KNOWN)? else {
         return Ok(None);
--- a/components/edge/src/gateway/readers/tests.rs
+++ b/components/edge/src/gateway/readers/tests.rs
@@ -1,10 +1,11 @@
-//! How old a reader says that its news are.
+//! Tests of the ages that a reader reports.
 
 use http::header::HeaderValue;
 
 use super::*;
 
-/// A table whose answers reached up to 20, 30 and 40, behind 10; nobody knows how old what the second one told was.
+/// A table whose answers reached up to revisions 20, 30 and 40, after 10. If `unknown` is set, the age of the
+/// second answer's changes is unknown.
 fn table(unknown: bool) -> (KeptTable, [Instant; 3]) {
     let now = Instant::now();
     let since = [3, 2, 1].map(|seconds| now - Duration::from_secs(seconds));
--- a/components/edge/src/gateway/record.rs
+++ b/components/edge/src/gateway/record.rs
@@ -1,4 +1,4 @@
-//! Keeps the record of when versions were first heard of.
+//! Maintains the record of when versions were first received.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,35 +16,36 @@
 
 /// How long a call may take: three times the slowest usual answer, which leaves time for a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long nothing is looked at where no call is due.
+/// How long the task sleeps if no call is due.
 const REST: Duration = Duration::from_secs(3600);
-/// Versions that may wait to be taken in. Operators name one or two at a time.
+/// Capacity of the channel of received versions. Operators name one or two at a time.
 const MOST_HEARD: usize = 64;
 
-/// A version that the store told of.
+/// A version that was received from the store.
 pub struct Heard {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: u64,
-    /// The store's clock at a moment when it had not been named yet. `None` where nobody knows one.
+    /// The store's clock at a time when the version was not yet named. `None` if no such time is known.
     pub not_before_ms: Option<u64>,
 }
 
-/// What concerns the record.
+/// An update for the task that maintains the record.
 pub enum RecordNews {
-    /// A version was heard of.
+    /// A version was received.
     Heard(Heard),
-    /// The store came back from an older copy: rows may be gone, and their revisions are others.
+    /// The store was restored from an older copy: rows may be lost, and their revisions have changed.
     StoreWentBack,
 }
 
-/// Where news is handed over, in order.
+/// The channel of updates, in order.
 pub fn channel() -> (Sender<RecordNews>, Receiver<RecordNews>) {
     async_channel::bounded(MOST_HEARD)
 }
 
-/// Keeps the record for as long as the task runs. `version_ms` is how long requests may start on an older version.
+/// Maintains the record for as long as the task runs. `version_ms` is how long requests may start on an older
+/// version.
 pub async fn keep(core: Core, store: SocketAddr, version_ms: u64, news: Receiver<RecordNews>) {
     let mut record = VersionRecord::new(version_ms);
     let mut link = Link::new(store);
@@ -70,7 +71,7 @@
     }
 }
 
-/// Makes a call and takes in its answer.
+/// Makes a call and applies its answer.
 async fn make(core: &Core, record: &mut VersionRecord, link: &mut Link, call: RecordCall) {
     let answer = match ask(core, link, &call).await {
         Ok(answer) => answer,
@@ -99,7 +100,7 @@
     record::read(call, answer.status, &answer.body)
 }
 
-/// Logs what became of a call, with what it was made by.
+/// Logs the outcome of a call.
 fn tell(call: &RecordCall, answer: &RecordAnswer) {
     let outcome = outcome(answer);
     match call {
--- a/components/edge/src/gateway/relay.rs
+++ b/components/edge/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Hands a runner's answer on to the caller as it arrives.
+//! Forwards a runner's answer to the caller as it arrives.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use super::request::{before, Job};
 use super::trace::Ending;
 
-/// How many times its aim a pause between events may last before the stream goes on elsewhere.
+/// A stream resumes at another runner after a pause between events of this multiple of its target.
 const GAP_PATIENCE: f64 = 2.5;
 
 /// An answer of a runner whose head has arrived.
@@ -30,7 +30,7 @@
     pub core: Core,
     /// The request.
     pub job: Rc<Job>,
-    /// What the reducer knows it by.
+    /// The reducer's registration of the request.
     pub ticket: Ticket,
     /// The runner that it comes from.
     pub target: RunnerTarget,
@@ -39,7 +39,7 @@
 }
 
 impl Begun {
-    /// Hands the answer on.
+    /// Forwards the answer.
     pub async fn hand_on(self) -> Response<AnswerBody> {
         self.core.feed(Event::Attempt(self.ticket.key, AttemptOutcome::Answered));
         self.note();
@@ -49,7 +49,7 @@
         self.plain().await
     }
 
-    /// Notes that a runner began to answer.
+    /// Records that a runner started to answer.
     fn note(&self) {
         let after_ms = self.job.trace.age_ms();
         self.core.metrics.note_span(Span::First, after_ms);
@@ -57,14 +57,14 @@
         self.job.trace.note(Decision::Answered { runner, status, after_ms });
     }
 
-    /// Notes that the answer is whole.
+    /// Records that the answer is complete.
     fn finish(&self) {
         self.core.feed(Event::Attempt(self.ticket.key, AttemptOutcome::Finished));
         self.core.metrics.note_span(Span::Whole, self.job.trace.age_ms());
         self.job.trace.end(Ending::Whole, self.answer.status.as_u16(), None);
     }
 
-    /// Holds a plain answer until it is whole: the caller never sees one that was cut.
+    /// Buffers a plain answer until it is complete, so that the caller never receives a truncated one.
     async fn plain(mut self) -> Response<AnswerBody> {
         let most = self.job.caller.bounds().answer;
         let RunnerAnswer { exchange, body, .. } = &mut self.answer;
@@ -90,7 +90,8 @@
     fn stream(self) -> Response<AnswerBody> {
         let (status, headers) = (self.answer.status, self.answer.headers.clone());
         let cutter = EventCutter::new(self.job.caller.bounds().answer);
-        // Nobody polls the relay while the caller does not read, and no runner is held longer than the request's time.
+        // The relay is not polled while the caller does not read, and no runner may be occupied longer than
+        // the request's time limit.
         self.job.caller.set_stream_until(Some(self.core.clock.instant(self.job.limit)));
         let relay = Relay { begun: self, cutter, ended: false };
         let frames = stream::unfold(relay, |mut relay| async move {
@@ -101,8 +102,8 @@
     }
 }
 
-/// An answer with the status and headers of a runner's. Its length is told by its body: a stream may go on at
-/// another runner.
+/// An answer with the status and headers of a runner's answer. The length header is removed, since a stream
+/// may resume at another runner.
 fn answer_with(
     body: AnswerBody,
     status: StatusCode,
@@ -115,9 +116,9 @@
     answer
 }
 
-/// A stream of events on its way.
+/// A stream of events that is being forwarded.
 struct Relay {
-    /// The answer of the runner that it comes from now.
+    /// The answer of the current runner.
     begun: Begun,
     cutter: EventCutter,
     ended: bool,
@@ -130,7 +131,7 @@
 }
 
 impl Relay {
-    /// The next events. `None` when the stream is whole.
+    /// The next events. `None` at the end of the stream.
     async fn next(&mut self) -> Option<Result<Bytes>> {
         while !self.ended {
             match self.read().await {
@@ -148,7 +149,7 @@
                 Read::Late => {
                     return Some(Err(self.break_off(Code::TimedOut)));
                 }
-                // A stream that ends within an event was cut, however its connection ended.
+                // A stream that ends within an event was truncated, however its connection ended.
                 Read::Cut | Read::End => {
                     if let Err(code) = self.resume().await {
                         return Some(Err(self.break_off(code)));
@@ -159,7 +160,7 @@
         None
     }
 
-    /// Bytes of a stream that cannot be resumed go on as they are.
+    /// Bytes of a stream that cannot be resumed are forwarded unchanged.
     fn take(&mut self, bytes: &Bytes) -> Bytes {
         if self.begun.job.kind.is_repeatable() {
             self.cutter.push(bytes)
@@ -189,14 +190,14 @@
         }
     }
 
-    /// Ends the stream so that it does not look complete.
+    /// Ends the stream with an error, so that it does not look complete.
     fn break_off(&mut self, code: Code) -> Error {
         self.ended = true;
         self.begun.job.trace.end(Ending::Cut, self.begun.answer.status.as_u16(), Some(code));
         Error::new(code, "the stream cannot go on")
     }
 
-    /// Goes on at another runner, behind the last whole event.
+    /// Resumes at another runner, after the last complete event.
     async fn resume(&mut self) -> Result<(), Code> {
         self.cutter.forget_partial();
         let mut outcome = AttemptOutcome::Cut;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Asks a runner to go on. `None` when the time of the route is over first.
+    /// Asks a runner to resume the stream. `None` if the time limit of the request expires first.
     async fn attempt(&self, target: &RunnerTarget) -> Option<Outcome> {
         let last = self.cutter.last_id().or(self.begun.job.facts.last_event.as_deref());
         let attempt = Attempt {
@@ -248,14 +249,14 @@
     }
 }
 
-/// What was read from a runner.
+/// The result of a read from a runner.
 enum Read {
     /// Bytes.
     Bytes(Bytes),
-    /// The end of a whole answer.
+    /// The end of a complete answer.
     End,
-    /// The answer broke off, or nothing came for too long.
+    /// The answer was truncated, or paused for too long.
     Cut,
-    /// The time that the request may be held is over.
+    /// The time limit of the request has expired.
     Late,
 }
--- a/components/edge/src/gateway/request.rs
+++ b/components/edge/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to the head of its answer.
+//! Handling of one request of a caller, until the head of its answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,19 +24,20 @@
 use crate::backlog::NoMemory;
 use crate::caller::Caller;
 
-/// When a caller comes back that reached a gateway which knows no configuration, or not whether its own is
-/// current, in milliseconds: about as long as the next call to the store is away in the mean.
+/// `Retry-After` of a gateway that has no configuration, or does not know whether its own is current, in
+/// milliseconds: about the mean time until the next call to the store.
 const NOT_READY_RETRY_AFTER: u64 = 500;
-/// When a caller comes back whose body found no memory, in milliseconds: slow readers are let go meanwhile.
+/// `Retry-After` if there is no memory for a request body, in milliseconds: slow readers are disconnected
+/// meanwhile.
 const NO_MEMORY_RETRY_AFTER: u64 = 500;
-/// How long a request is held whose caller names no deadline, in milliseconds.
+/// How long a request without a deadline is processed, in milliseconds.
 const DEFAULT_DEADLINE: u64 = 30_000;
 
 /// What every attempt of a request needs.
 pub struct Job {
-    /// What the head says.
+    /// The facts in its head.
     pub facts: RequestFacts,
-    /// The decisions on it.
+    /// The log of the decisions on it.
     pub trace: Trace,
     /// The method.
     pub method: Method,
@@ -46,21 +47,21 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The connection that it came on.
+    /// The connection that it arrived on.
     pub caller: Rc<Caller>,
-    /// What may be done with it.
+    /// Which attempts the kind of its route allows.
     pub kind: RouteKind,
-    /// Tokens of its prompt, zero where it has none.
+    /// The number of tokens of its prompt, zero if it has none.
     pub prompt_tokens: u32,
-    /// Whose it is.
+    /// The workspace that sent it.
     pub workspace: Option<WorkspaceId>,
-    /// When the caller gives up, if it says so.
+    /// The caller's deadline, if it sent one.
     pub deadline: Option<Millis>,
-    /// When the final answer must be out.
+    /// When the final answer must be sent.
     pub limit: Millis,
-    /// Within how many milliseconds an answer is on time.
+    /// The latency target of the answer, in milliseconds.
     pub aim_ms: u64,
-    /// The longest pause between events that is on time, in milliseconds.
+    /// The target of the longest pause between events, in milliseconds.
     pub gap_aim_ms: u64,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// The word for a kind of route in logs and metrics.
+/// The name of a kind of route in logs and metrics.
 fn kind_name(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Safe => "safe",
@@ -80,13 +81,13 @@
     }
 }
 
-/// Where a request goes, by the configuration.
+/// The route of a request, by the configuration.
 struct Routed {
     route: String,
     service: ServiceName,
-    /// The model, where the service runs one.
+    /// The model, if the service runs one.
     model: Option<ModelName>,
-    /// Tokens of its prompt, as the caller tells them or as is usual for the model.
+    /// The number of tokens of its prompt, as sent by the caller or as usual for the model.
     prompt_tokens: u32,
     kind: RouteKind,
     workspace: Option<WorkspaceId>,
@@ -120,7 +121,7 @@
                 age_ms: core.tables.operator.age_ms(),
             });
             if !core.tables.operator.is_confirmed() {
-                // A newer configuration may have it, and callers take these statuses for final.
+                // A newer configuration may have the route, and callers treat these statuses as final.
                 return not_ready(&trace, id.as_deref());
             }
             trace.refuse(status.as_u16(), code, None, Standing::default());
@@ -189,11 +190,11 @@
 enum BodyFault {
     /// It is larger than the configuration allows.
     TooLarge,
-    /// It broke off.
+    /// It was truncated.
     Broken,
-    /// Its caller sent it so slowly that the request's time was over first.
+    /// Its caller sent it so slowly that the request's time limit expired first.
     Late,
-    /// Too many bytes are kept for other callers.
+    /// Too many bytes are buffered for other callers.
     NoMemory,
 }
 
@@ -228,14 +229,14 @@
     Ok(whole.freeze())
 }
 
-/// Refuses a request because the configuration is not known, or not known to be current.
+/// Refuses a request because no configuration is known, or it may be outdated.
 fn not_ready(trace: &Trace, id: Option<&str>) -> Response<AnswerBody> {
     let back = Some(NOT_READY_RETRY_AFTER);
     trace.refuse(503, Code::NotReady, back, Standing::default());
     refusal(id, Code::NotReady, NOT_READY_RETRY_AFTER)
 }
 
-/// Finds the route of a request and checks its key.
+/// Finds the route of a request and checks its API key.
 fn route(
     catalog: &Catalog,
     headers: &HeaderMap,
@@ -251,7 +252,7 @@
     if catalog.needs_keys() && workspace.is_none() && !route.open {
         return Err((StatusCode::UNAUTHORIZED, Code::Unauthorized));
     }
-    // What a caller says of a model counts only where the service runs one.
+    // A model named by the caller is used only if the service runs one.
     let engine = catalog.service(service).and_then(|it| it.engine.as_ref());
     let model = engine.map(|it| facts.model.clone().unwrap_or_else(|| it.model.clone()));
     Ok(Routed {
@@ -261,7 +262,7 @@
         model,
         kind: route.kind,
         workspace: workspace.map(|it| it.name.clone()),
-        // The rank of a workspace goes before that of the route.
+        // The priority of the workspace takes precedence over that of the route.
         priority: workspace.map_or(0, |it| it.priority) * 10 + route.priority.min(9),
         timeout_ms: route.timeout_ms,
         aim_ms: route.aim_ms,
@@ -271,7 +272,7 @@
     })
 }
 
-/// Makes attempts as the reducer says, until one of them answers or none is left.
+/// Makes attempts as the reducer decides, until one is answered or none is left.
 async fn carry_out(core: Core, job: Rc<Job>, ticket: Ticket) -> Response<AnswerBody> {
     let mut held = None;
     let mut sent = false;
@@ -310,7 +311,8 @@
     }
 }
 
-/// The final answer when no attempt is left: what the runner answered, or that nobody knows.
+/// The final answer if no attempt is left: the runner's error answer, or one that says that the outcome is
+/// unknown.
 fn give_up(job: &Job, held: Option<Response<AnswerBody>>, code: Code) -> Response<AnswerBody> {
     let Some(held) = held else {
         job.trace.end(Ending::Unknown, 502, Some(code));
@@ -320,7 +322,7 @@
     held
 }
 
-/// The final answer when the time that a request may be held is over.
+/// The final answer if the time limit of the request has expired.
 fn out_of_time(job: &Job, sent: bool) -> Response<AnswerBody> {
     let id = job.facts.id.as_deref();
     if sent {
@@ -332,7 +334,7 @@
     }
 }
 
-/// Waits for a future until a moment of the process's clock.
+/// Waits for a future until a time of the process's clock. `None` if the time comes first.
 pub async fn before<T>(
     core: &Core,
     limit: Millis,
--- a/components/edge/src/gateway/reservations.rs
+++ b/components/edge/src/gateway/reservations.rs
@@ -1,4 +1,4 @@
-//! Places at runners, asked of the sidecars beside them.
+//! Reservations of slots at runners, made by their sidecars.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,53 +15,56 @@
 use crate::message::{Datagram, Reply};
 use crate::news::News;
 
-/// How long a sidecar may take to answer. One that is awake answers within a few milliseconds.
+/// How long a sidecar may take to answer. A sidecar that gets processor time answers within a few
+/// milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(45);
 
-/// What a question says of its request.
+/// The parameters of a reservation.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
-    /// Tokens of its prompt.
+    /// The number of tokens of the request's prompt.
     pub prompt_tokens: u32,
-    /// The rank of the request; zero goes first.
+    /// The rank of the request; the lowest is served first.
     pub rank: u8,
-    /// What is left of the request's aim, in milliseconds. Zero for a later try of a caller that was refused.
+    /// What is left of the request's latency target, in milliseconds. Zero for a retry of a caller that was
+    /// refused.
     pub left_ms: u64,
-    /// How long the question may wait for a place, in milliseconds.
+    /// How long the reservation may be queued, in milliseconds.
     pub wait_ms: u64,
-    /// What the gateway heard of the runner's rate limit, lately.
+    /// The runner's rate limit that the gateway received lately.
     pub limit: Option<ToldLimit>,
 }
 
-/// Waits for the next answer.
+/// Waits for the next reply.
 async fn next(answers: &Receiver<Reply>, timeout: Duration) -> Option<Reply> {
     within(Instant::now() + timeout, answers.recv()).await?.ok()
 }
 
-/// Asks sidecars for places.
+/// Reserves slots by asking sidecars.
 #[derive(Clone)]
 pub struct Reservations {
     news: News,
-    /// The port at which sidecars listen.
+    /// The port on which sidecars listen.
     port: u16,
     open: Rc<RefCell<Open>>,
 }
 
-/// Questions that wait for their answers.
+/// Reservations that wait for their replies.
 #[derive(Default)]
 struct Open {
     next: u64,
-    /// The runner that each question is about, and who waits for the answers.
+    /// The runner of each reservation, and the channel for its replies.
     waiting: HashMap<u64, (SocketAddr, Sender<Reply>)>,
 }
 
 impl Reservations {
-    /// Asks over a socket.
+    /// Creates a client that sends over a socket.
     pub fn new(news: News, port: u16) -> Self {
         Self { news, port, open: Rc::default() }
     }
 
-    /// Asks for a place at a runner. Gives what keeps the request from being sent, if something does.
+    /// Reserves a slot at a runner. Returns why the request must not be sent there, or `None` if the slot is
+    /// granted.
     pub async fn ask(
         &self,
         runner: SocketAddr,
@@ -98,20 +101,20 @@
         }
     }
 
-    /// Takes in an answer.
+    /// Passes on a reply.
     pub fn settle(&self, question: u64, reply: Reply) {
         if let Some((_, waiting)) = self.open.borrow().waiting.get(&question) {
             let _ = waiting.try_send(reply);
         }
     }
 
-    /// The runner that a question is about, while somebody waits for the answer.
+    /// The runner of a reservation that waits for its reply.
     pub fn runner(&self, question: u64) -> Option<SocketAddr> {
         self.open.borrow().waiting.get(&question).map(|(runner, _)| *runner)
     }
 }
 
-/// Forgets a question whose asker is gone.
+/// Removes a reservation when its request is dropped.
 struct Question<'a> {
     open: &'a Rc<RefCell<Open>>,
     question: u64,
--- a/components/edge/src/gateway/sidecars.rs
+++ b/components/edge/src/gateway/sidecars.rs
@@ -1,4 +1,4 @@
-//! What a gateway and sidecars tell each other in datagrams.
+//! Datagrams between a gateway and sidecars.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -18,22 +18,23 @@
 use crate::news::News;
 use crate::spawner::Spawner;
 
-/// How often sidecars are asked for reports and told what operators wrote, unless that changes.
+/// Interval of subscriptions, which ask sidecars for reports and carry what operators wrote. A change of that
+/// is sent earlier.
 const SUBSCRIBE_EVERY: Duration = Duration::from_millis(1000);
-/// How many sidecars are asked in a second which gateways they hear, by one that is unsure and by any other, where each
-/// sidecar hears all of them.
+/// Number of sidecars per interval that are asked which gateways they know, by a gateway that is unsure of
+/// the others and by any other one, if each sidecar knows all gateways.
 const ASKED_UNSURE: usize = 3;
 const ASKED: usize = 1;
-/// The same where each hears a part: what is missing in one answer is in the others.
+/// The same if each sidecar knows a part of the gateways: the other answers contain what one lacks.
 const ASKED_FOR_PARTS: usize = 6;
-/// How old the list may be by which a sidecar is told that its runner is warm. With the time that an entry
-/// takes to be written this is less than the time after a start from which sidecars believe it. A store
-/// that has just gone away is not known to be gone.
+/// The greatest age of the runner list by which a sidecar is informed that its runner is warm. With the time
+/// that writing a row takes, it is less than the time after a start from which sidecars believe it. A store
+/// that has just become unreachable is not yet known to be so.
 const WARM_WORD_AGE: Duration = Duration::from_millis(1000);
-/// The shortest time between two such rounds.
+/// The shortest time between two rounds of subscriptions.
 const SUBSCRIBE_SPACING: Duration = Duration::from_millis(100);
 
-/// Asks sidecars for reports and takes in what they say, for as long as the tasks run.
+/// Subscribes to the reports of sidecars and processes their datagrams for as long as the tasks run.
 pub fn exchange_news(spawner: &Spawner, core: &Core, news: News, port: u16) {
     spawner.detach(ask(core.clone(), news.clone(), port));
     spawner.detach(take(core.clone(), news, port));
@@ -55,7 +56,7 @@
             news.send(sidecar, &datagram).await;
         }
         if is_told {
-            // The first round is not held back: sidecars give no place before it.
+            // The first round is not delayed: sidecars grant no slot before it.
             Timer::after(SUBSCRIBE_SPACING).await;
         }
         within(Instant::now() + SUBSCRIBE_EVERY, core.named.recv()).await;
@@ -74,7 +75,7 @@
                     news.send(sender, &part).await;
                 }
                 if !sidecars(&core, port).contains(&sender) {
-                    // One that no gateway has reached hears of versions and weights by this.
+                    // A sidecar that no gateway has contacted yet learns versions and weights from this.
                     news.send(sender, &Subscription::new(&core).to(sender, false)).await;
                 }
             }
@@ -119,7 +120,7 @@
     }
 }
 
-/// The sidecars that are asked which gateways they hear.
+/// The sidecars that are asked which gateways they know.
 fn draw_asked(core: &Core, sidecars: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
     let now = core.clock.now();
     let unsure = core.read(|it| it.members().sureness(now)) == Sureness::Unsure;
@@ -132,7 +133,7 @@
     sidecars.iter().copied().choose_multiple(&mut rand::rng(), count)
 }
 
-/// What sidecars are told in one round.
+/// The content of the subscriptions of one round.
 struct Subscription {
     hall: Hall,
     named: Vec<NamedVersion>,
@@ -140,9 +141,9 @@
     evacuations: EvacuationList,
     crashes: CrashList,
     limits: Vec<LifeLimit>,
-    /// What the store's clock shows, in milliseconds.
+    /// The store's clock, in milliseconds.
     clock_ms: Option<u64>,
-    /// How much longer the runner on each machine is cold, as far as that can be told.
+    /// How much longer the runner on each machine is cold, in milliseconds, if it is known.
     cold: BTreeMap<IpAddr, u64>,
 }
 
@@ -164,7 +165,7 @@
         }
     }
 
-    /// What one sidecar is told.
+    /// The subscription for one sidecar.
     fn to(&self, sidecar: SocketAddr, wants_gateways: bool) -> Datagram {
         let left = self.cold.get(&sidecar.ip());
         Datagram::Subscribe {
@@ -181,7 +182,7 @@
     }
 }
 
-/// Where the sidecars that are followed listen: on the machines of their runners.
+/// The addresses of the sidecars that this gateway follows, on the machines of their runners.
 fn sidecars(core: &Core, port: u16) -> BTreeSet<SocketAddr> {
     core.read(|gateway| {
         let machines = gateway.followed().map(|it| it.record.address.ip());
--- a/components/edge/src/gateway/sidecars/tests.rs
+++ b/components/edge/src/gateway/sidecars/tests.rs
@@ -1,4 +1,4 @@
-//! What sidecars are told of their runners.
+//! Tests of what sidecars are told about their runners.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::gateway::reservations::Reservations;
 use crate::gateway::tables::Tables;
 
-/// Longer than anything that was heard counts.
+/// Longer than any received state stays valid.
 const SUSPENDED: Duration = Duration::from_secs(8);
 const RUNNER: ([u8; 4], u16) = ([10, 0, 0, 1], 80);
 
@@ -83,8 +83,8 @@
     });
 }
 
-/// The steady clock stands while a machine is suspended, and so did all ages here: a gateway that went on took what it
-/// had believed before for news of that moment, and held requests for seconds beyond their time.
+/// The monotonic clock stops while a machine is suspended. If ages were computed from it, a gateway would
+/// take state from before a suspension for current state and hold requests for seconds beyond their deadline.
 #[test]
 fn what_was_believed_before_a_suspension_is_as_old_as_it_is() {
     block_on(async {
--- a/components/edge/src/gateway/state_log.rs
+++ b/components/edge/src/gateway/state_log.rs
@@ -1,7 +1,7 @@
-//! What a gateway believes, written to the log at intervals.
+//! Logs the state of a gateway at intervals.
 //!
-//! Lines on single changes are soon far behind thousands of lines on requests; whoever has only the end of
-//! a log still finds one of these.
+//! Lines on single changes are soon thousands of request lines back; the end of a log still contains one of
+//! these lines.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 
 use super::core::Core;
 
-/// The time between two lines: a log that is kept for some seconds holds one at least, and they are few
-/// beside the other lines of a busy gateway.
+/// The time between two lines: a log that covers a few seconds contains at least one, and they are few
+/// compared with the other lines of a busy gateway.
 const EVERY: Duration = Duration::from_millis(2000);
 
-/// Writes a line at intervals for as long as the task runs.
+/// Logs the state at intervals for as long as the task runs.
 pub async fn write(core: Core) {
     loop {
         Timer::after(EVERY).await;
--- a/components/edge/src/gateway/table_server.rs
+++ b/components/edge/src/gateway/table_server.rs
@@ -1,4 +1,4 @@
-//! Tells the store's tables on to other gateways of the hall.
+//! Serves the store's tables to other gateways of the hall.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::answer::{own_answer, whole_body, AnswerBody};
 use super::readers::{Reading, HELD, KNOWN, NEWS};
 
-/// How long a reader that starts may take to list a table for one that asks.
+/// How long a reader that is starting may take to list a table for a gateway that asks for it.
 const FIRST_LISTING: Duration = Duration::from_millis(1200);
 
 /// Answers another gateway that asks for a table.
@@ -48,7 +48,7 @@
         Wanted::Changes { after, .. } => kept.news_since(after).map(|it| it.elapsed()),
     };
     let mut answer = Response::new(whole_body(body));
-    // Ages are rounded up, and the time that the question was held is rounded down.
+    // Ages are rounded up, and the time that the call was held is rounded down.
     let up = |age: Duration| HeaderValue::from(age.as_millis() as u64 + 1);
     let headers = answer.headers_mut();
     headers.insert(KNOWN, up(known));
@@ -62,7 +62,7 @@
     answer
 }
 
-/// The body of the answer to a question. `None` where what changed is not remembered.
+/// Waits for the body of the answer. `None` if the requested changes are no longer cached.
 async fn told(reading: &Reading, question: Question) -> Result<Option<Vec<u8>>> {
     let kept = reading.of(question.table);
     let wait = match question.wanted {
@@ -83,7 +83,8 @@
     }
 }
 
-/// The answer to a question where there is one now: the body, or none where what changed is not remembered.
+/// The answer that is possible now, if there is one: the body, or none if the requested changes are no longer
+/// cached.
 fn told_now(
     reading: &Reading,
     question: Question,
@@ -93,7 +94,8 @@
     let copy = reading.of(question.table).copy.borrow();
     let copy = copy.as_ref().filter(|_| reading.age(question.table).is_some());
     let Some(copy) = copy else {
-        // One that is named may just find out that it is a reader. It is waited for; one whose news is old is not.
+        // A gateway that is named in the row of readers may be about to become a reader, so it waits. A
+        // reader with outdated content does not.
         let starts = question.wanted == Wanted::Listing && reading.is_named();
         return if starts && !is_over { Ok(None) } else { Err(not_ready()) };
     };
--- a/components/edge/src/gateway/tables.rs
+++ b/components/edge/src/gateway/tables.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the store's tables, and how old that is.
+//! The state of the store's tables at a gateway, and its age.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,22 +10,23 @@
 use crate::era::Era;
 use crate::store_time::StoreTime;
 
-/// How a table of the store stands.
+/// The state of a table of the store.
 pub struct TableState {
     /// The longest time between two answers while the store works.
     longest_gap: Duration,
-    /// Since when it is followed.
+    /// Since when the table is followed.
     since: Instant,
-    /// How long it took until it was read whole for the first time.
+    /// How long it took until the table was first read completely.
     first_whole: Cell<Option<Duration>>,
-    /// Whether the store does not answer questions for it any more.
+    /// Whether the store no longer answers calls for the table.
     pub lost: Cell<bool>,
-    /// Up to when everything is known of it that the store has.
+    /// Up to which time the content of the table is known.
     heard: Cell<Option<Instant>>,
 }
 
 impl TableState {
-    /// Nothing has been heard yet. Answers come at least every `longest_gap` while the store works.
+    /// Creates the state before the first answer. Answers arrive at least every `longest_gap` while the store
+    /// works.
     fn new(longest_gap: Duration) -> Self {
         Self {
             longest_gap,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Whether it has been read whole at least once.
+    /// Whether the table has been read completely at least once.
     pub fn is_whole(&self) -> bool {
         self.first_whole.get().is_some()
     }
 
-    /// Takes in that it has been read whole.
+    /// Records that the table has been read completely.
     pub fn note_whole(&self, table: Table) {
         if self.is_whole() {
             return;
@@ -52,27 +53,28 @@
         log::info!(table = table.as_str(), waited_ms = waited.as_millis() as u64; "table whole for the first time");
     }
 
-    /// How long it has been waited for to be read whole for the first time, or was, in milliseconds.
+    /// How long the first complete reading took, or has taken so far, in milliseconds.
     pub fn first_whole_wait_ms(&self) -> u64 {
         self.first_whole.get().unwrap_or_else(|| self.since.elapsed()).as_millis() as u64
     }
 
-    /// Whether the store has just confirmed what is known: it answers, and no answer is overdue.
+    /// Whether the known content is current: the store answers, and no answer is overdue.
     pub fn is_confirmed(&self) -> bool {
         !self.lost.get() && self.was_heard_within(self.longest_gap)
     }
 
-    /// Whether everything is known that the store had at some moment within the last `span`.
+    /// Whether the content of the table is known up to some time within the last `span`.
     pub fn was_heard_within(&self, span: Duration) -> bool {
         self.heard.get().is_some_and(|at| at.elapsed() <= span)
     }
 
-    /// Takes in an answer of the store, by which everything is known up to a moment.
+    /// Records the time up to which the content of the table is known.
     pub fn note_heard(&self, up_to: Instant) {
         self.heard.set(Some(up_to));
     }
 
-    /// How long ago everything was known, in milliseconds. `None` where the store never answered.
+    /// How long ago the content of the table was completely known, in milliseconds. `None` if the store never
+    /// answered.
     pub fn age_ms(&self) -> Option<u64> {
         self.heard.get().map(|at| at.elapsed().as_millis() as u64)
     }
@@ -80,19 +82,19 @@
 
 /// The tables that a gateway follows, shared by the tasks of its process.
 pub struct Tables {
-    /// What operators write.
+    /// The operator table.
     pub operator: TableState,
     /// The list of runners.
     pub runners: TableState,
     /// The store's era.
     pub era: Rc<Era>,
-    /// What answers told of the store's history.
+    /// Readings of the store's clock and revisions.
     pub time: Rc<RefCell<StoreTime>>,
 }
 
 impl Tables {
-    /// Nothing has been heard yet. `longest_gap` tells the longest time between two answers for a table while the
-    /// store works.
+    /// Creates the state before the first answer. `longest_gap` returns the longest time between two answers
+    /// for a table while the store works.
     pub fn new(longest_gap: impl Fn(Table) -> Duration, era: Era) -> Self {
         Self {
             operator: TableState::new(longest_gap(Table::Operator)),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// How a table stands. What operators write is one table, however much of it is read.
+    /// The state of a table. The operator table is a single table, even if only its versions are read.
     pub fn of(&self, table: Table) -> &TableState {
         match table {
             Table::Operator | Table::Versions => &self.operator,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Whether both have been read whole.
+    /// Whether both tables have been read completely.
     pub fn are_whole(&self) -> bool {
         self.operator.is_whole() && self.runners.is_whole()
     }
--- a/components/edge/src/gateway/trace.rs
+++ b/components/edge/src/gateway/trace.rs
@@ -1,6 +1,6 @@
 //! The decisions on one request, written to the log when it ends.
 //!
-//! Of ordinary successes only some are written; everything else is.
+//! Only a sample of ordinary successes is written; everything else is.
 
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,7 +12,7 @@
 
 use super::core::Core;
 
-/// One in so many ordinary successes is written, with every step.
+/// One of 64 ordinary successes is written, with every step.
 const SAMPLE: u64 = 64;
 
 /// How a request ended.
@@ -20,15 +20,15 @@
 pub enum Ending {
     /// The caller got the whole answer.
     Whole,
-    /// It did not run and never will.
+    /// The request did not run and will not run.
     Refused,
-    /// A failure of the runner was handed on.
+    /// An error answer of the runner was forwarded.
     Failed,
-    /// It was sent, and whether it ran is not known.
+    /// The request was sent, and it is unknown whether it ran.
     Unknown,
-    /// The answer broke off.
+    /// The answer was truncated.
     Cut,
-    /// The caller left.
+    /// The caller disconnected.
     Left,
 }
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Whether a decision is one of those that are made on a request which ends well: a question for a place
-/// that finds none is asked elsewhere.
+/// Whether a decision may be part of an ordinary success. A denied reservation is, since the request asks
+/// another runner.
 fn is_ordinary(entry: &Entry) -> bool {
     !matches!(
         entry.decision,
@@ -54,7 +54,7 @@
     )
 }
 
-/// Homes as they stand in a log.
+/// Home regions as they are logged.
 fn names(homes: &HomeRegions) -> Vec<String> {
     homes.regions().map(|it| it.0.clone()).collect()
 }
@@ -70,7 +70,7 @@
 }
 
 impl Trace {
-    /// A request that arrived now.
+    /// Starts the trace of a request that arrives now.
     pub fn new(core: &Core, id: Option<&str>) -> Self {
         Self {
             core: core.clone(),
@@ -82,22 +82,22 @@
         }
     }
 
-    /// How long ago it arrived, in milliseconds.
+    /// How long ago the request arrived, in milliseconds.
     pub fn age_ms(&self) -> u64 {
         self.core.clock.now().since(self.arrived).0
     }
 
-    /// Notes a decision.
+    /// Adds a decision.
     pub fn note(&self, decision: Decision) {
         self.entries.borrow_mut().push(Entry { ts_ms: telemetry::unix_millis(), decision });
     }
 
-    /// Notes the kind of its route, for the metrics.
+    /// Sets the kind of its route, for the metrics.
     pub fn set_kind(&self, kind: &'static str) {
         self.kind.set(kind);
     }
 
-    /// Notes the choice of a runner.
+    /// Adds the choice of a runner.
     pub fn choose(&self, target: &RunnerTarget, attempt: u32) {
         self.note(Decision::Chosen {
             runner: target.id.0.clone(),
@@ -110,7 +110,7 @@
         });
     }
 
-    /// Notes an attempt that did not end in an answer.
+    /// Adds an attempt that failed.
     pub fn fail(&self, target: &RunnerTarget, outcome: AttemptOutcome, took_ms: u64) {
         let runner = target.id.0.clone();
         let place = match outcome {
@@ -134,12 +134,12 @@
         });
     }
 
-    /// Ends the account. Only the first end counts.
+    /// Ends the trace. Only the first call counts.
     pub fn end(&self, ending: Ending, status: u16, code: Option<Code>) {
         self.end_with(ending, status, code, None, Standing::default());
     }
 
-    /// Ends the account of a request that is refused.
+    /// Ends the trace of a refused request.
     pub fn refuse(&self, status: u16, code: Code, retry_after_ms: Option<u64>, standing: Standing) {
         self.end_with(Ending::Refused, status, Some(code), retry_after_ms, standing);
     }
