--- a/components/edge/src/sidecar/chunks.rs
+++ b/components/edge/src/sidecar/chunks.rs
@@ -1,4 +1,4 @@
-//! The chunks that a sidecar holds in memory, verified.
+//! The verified chunks that a sidecar holds in memory.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use fleet::{Bitmap, Manifest};
 
-/// Versions that are kept: the wanted one and the one before, for those that are late.
+/// Versions that are kept: the wanted one and the one before, for sidecars that are late.
 const KEPT_VERSIONS: usize = 2;
 
 /// The chunks of one version.
@@ -22,8 +22,8 @@
 }
 
 impl Chunks {
-    /// Begins a version and forgets those that are too old. A manifest that is read again takes the place
-    /// of the one before; the chunks that were verified stay.
+    /// Starts a version and removes versions that are too old. A manifest that is read again replaces the
+    /// previous one; chunks that are already verified stay.
     pub fn begin(&mut self, version: u64, manifest: Arc<Manifest>) {
         let chunks = vec![None; manifest.chunks() as usize];
         let known = self
@@ -43,7 +43,7 @@
         self.versions.get(&version).map(|it| it.manifest.clone())
     }
 
-    /// Keeps a chunk if its digest is right.
+    /// Stores a chunk if its digest is correct. Returns whether it is.
     pub fn insert(&mut self, version: u64, index: u32, bytes: Bytes) -> bool {
         let Some(kept) = self.versions.get_mut(&version) else {
             return false;
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Which chunks of a version are held.
+    /// The chunks of a version that are stored.
     pub fn held(&self, version: u64) -> Bitmap {
         let Some(kept) = self.versions.get(&version) else {
             return Bitmap::default();
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -1,4 +1,4 @@
-//! The reducer of a sidecar with the chunks that it holds.
+//! The reducer of a sidecar, with the chunks that it holds.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,85 +26,86 @@
 use crate::message::WeightsService;
 use crate::store_time::StoreTime;
 
-/// How long a connection to the origin may rest between two chunks.
+/// How long a connection to the origin may be idle between two chunks.
 const ORIGIN_REST: Duration = Duration::from_millis(150);
 
-/// Versions of a model that are kept in mind. Those that still bind are few.
+/// Versions that are remembered for each model. Few of them are still relevant.
 const MOST_NAMES: usize = 8;
-/// By how much a word must change the age of a version to be logged, in milliseconds.
+/// The smallest change of a version's age that is logged, in milliseconds.
 const LOGGED_CHANGE: u64 = 20;
 
-/// A gateway that wants reports.
+/// A gateway that subscribed to reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscription {
-    /// Whether it stands in this data hall.
+    /// Whether the gateway is in this data hall.
     pub near: bool,
-    /// Until when it wants them.
+    /// When the subscription expires.
     pub until: Millis,
 }
 
 /// A sidecar's state, shared by the tasks of its process.
 #[derive(Clone)]
 pub struct Core {
-    /// The decisions.
+    /// The reducer.
     pub rollout: Rc<RefCell<Rollout>>,
     /// The chunks.
     pub chunks: Rc<RefCell<Chunks>>,
     /// The versions that were named for each model.
     pub names: Rc<RefCell<BTreeMap<ModelName, VersionNames>>>,
-    /// Gateways that want reports.
+    /// The gateways that subscribed to reports.
     pub subscribers: Rc<RefCell<BTreeMap<SocketAddr, Subscription>>>,
-    /// The gateways that were heard lately.
+    /// The gateways that were received from lately.
     pub gateways: Rc<RefCell<GatewaysHeard>>,
-    /// Requests that runners crashed under, by what gateways tell.
+    /// Requests that crashed runners, as gateways report.
     pub crashes: Rc<RefCell<CrashLedger>>,
-    /// Rate limits of runners elsewhere, by what gateways tell.
+    /// Rate limits of other runners, as gateways report.
     pub limits: Rc<RefCell<LimitsHeard>>,
-    /// What the runner last said of its load.
+    /// The load that the runner last reported.
     pub load: Rc<RefCell<Option<RunnerLoad>>>,
-    /// Where the origin of weights listens.
+    /// The address of the origin of weights.
     pub origin: Rc<RefCell<Option<SocketAddr>>>,
-    /// What became of draws of chunks since the log last told of it, by outcome.
+    /// The number of chunk fetches since the last progress line of the log, by outcome.
     pub draws: Rc<RefCell<BTreeMap<&'static str, u32>>>,
-    /// Resting connections to the origin.
+    /// Idle connections to the origin.
     pub origin_links: Rc<RefCell<Vec<Link>>>,
-    /// Resting connections to other sidecars.
+    /// Idle connections to other sidecars.
     pub peer_streams: Rc<RefCell<Streams>>,
     /// The number of layers of the model.
     pub layers: Rc<RefCell<u32>>,
-    /// The port at which sidecars listen for each other.
+    /// The port on which sidecars listen for each other.
     pub port: u16,
     /// The name of this sidecar among the others.
     pub me: InstanceId,
     /// The name of this process in logs.
     pub name: String,
-    /// Where it stands.
+    /// The location of this sidecar.
     pub place: Place,
-    /// The runner.
+    /// The settings of the sidecar and its runner.
     pub settings: SidecarSettings,
     /// Whether no gateway of this data hall answers, so that the store has to be read.
     pub is_alone: Rc<Cell<bool>>,
     /// The store's era.
     pub era: Rc<Era>,
-    /// What gateways tell of the store's clock.
+    /// The store's clock, as gateways report it.
     pub time: Rc<RefCell<StoreTime>>,
-    /// The time.
+    /// The process's clock.
     pub clock: Clock,
     /// Counters.
     pub metrics: Rc<Metrics>,
-    /// The sidecar that gave the last order that was heard of.
+    /// The sidecar that sent the last known order.
     pub last_giver: Rc<Cell<Option<SocketAddr>>>,
-    /// Told when a question begins to wait for a place.
+    /// Receives a message when a request starts to wait for a slot.
     pub look: Receiver<()>,
     wake: Sender<()>,
-    /// Told when a version is named: who is there decides who draws which chunk.
+    /// Receives a message when a version is named: the sidecars that are present determine which one fetches
+    /// which chunk.
     pub list_wanted: Receiver<()>,
     want_list: Sender<()>,
     effects: Sender<Effect>,
 }
 
 impl Core {
-    /// Starts with nothing known. Effects go to the given channel.
+    /// Creates the state of a sidecar that knows nothing yet. Effects are sent to the given channel.
     pub fn new(
         options: RolloutOptions,
         settings: SidecarSettings,
@@ -149,18 +150,18 @@
         }
     }
 
-    /// The chunks of a version that are here.
+    /// The stored chunks of a version.
     pub fn have(&self, version: u64) -> Bitmap {
         self.rollout.borrow().have(version).cloned().unwrap_or_default()
     }
 
-    /// The versions whose chunks come, oldest first, and those that are here.
+    /// The versions whose chunks are being fetched, oldest first, with their stored chunks.
     pub fn drawn(&self) -> Vec<(u64, Bitmap)> {
         let rollout = self.rollout.borrow();
         rollout.drawn().map(|(version, have)| (version, have.clone())).collect()
     }
 
-    /// Takes in what a configuration says of the weights of this runner's service.
+    /// Applies what a configuration says about the weights of this runner's service.
     pub fn take_services(&self, services: &[WeightsService]) {
         let mine = services.iter().find(|it| it.service == self.settings.service);
         let Some(WeightsService { origin, layers, plan, .. }) = mine else {
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Sets the ages of versions that a gateway tells of by the store's clock, which shows this by its word.
+    /// Sets the ages of versions in a gateway's report by the store's clock. `clock_ms` is the clock's value
+    /// in the same report.
     pub fn date_names(
         &self,
         clock_ms: Option<u64>,
@@ -186,8 +188,8 @@
         named
     }
 
-    /// Takes in versions that were named, of any model. They are kept until the configuration tells
-    /// which model is the runner's.
+    /// Records named versions of any model. They are kept until the configuration says which model the runner
+    /// has.
     pub fn take_names(&self, named: &[NamedVersion]) {
         let now = self.clock.now();
         for it in named {
@@ -202,7 +204,7 @@
         let mine = model.and_then(|it| self.names.borrow().get(&it).cloned()).unwrap_or_default();
         let newest = mine.newest().map_or(0, |it| it.version);
         if self.rollout.borrow().newest_named() < newest {
-            // One that waits already is enough.
+            // One pending message is enough.
             let _ = self.want_list.try_send(());
         }
         let is_told = |it: &VersionName| {
@@ -213,22 +215,23 @@
         }
     }
 
-    /// A named version that a word on the load tells of. There is room for one, so any that still binds is drawn: whoever
-    /// hears some words hears of all.
+    /// The named version that a load report carries. It has room for one, so a random relevant version is
+    /// chosen: a receiver of several reports receives all of them.
     fn told_name(&self) -> Option<NamedVersion> {
         let named = self.rollout.borrow().named_versions(self.clock.now());
         named.into_iter().choose(&mut rand::rng())
     }
 
-    /// The load of the runner as gateways should see it now: with the places that were given since its
-    /// last report, and busy when it takes nothing new.
+    /// The current load of the runner for gateways: it includes the slots granted since the runner's last
+    /// report, and it is busy if the runner takes nothing new.
     pub fn load_now(&self) -> Option<RunnerLoad> {
         let mut load = self.load.borrow().clone()?;
         let rollout = self.rollout.borrow();
         load.running = rollout.places().taken();
         load.reading_ms = rollout.places().reading_ms(self.clock.now()) as u32;
         load.waiting = rollout.waiting() as u32;
-        // The next place of a runner that is cold or names a rate is as far away as if it still read prompts.
+        // The next slot of a runner that is cold or rate-limited is as far away as if the runner were still
+        // reading prompts.
         load.reading_ms = load.reading_ms.max(rollout.place_in_ms(self.clock.now()));
         load.busy |= rollout.is_leaving(self.clock.now());
         load.busy |= rollout.is_evacuated(self.clock.now());
@@ -238,29 +241,29 @@
         Some(load)
     }
 
-    /// The data halls that are evacuated, as gateways are told of them.
+    /// The evacuated data halls, for reports to gateways.
     pub fn evacuations(&self) -> EvacuationList {
         self.rollout.borrow().evacuations().list(self.clock.now())
     }
 
-    /// Takes in what a gateway knows of requests that runners crashed under.
+    /// Applies a gateway's report of requests that crashed runners.
     pub fn take_crashes(&self, list: &CrashList) {
         for change in self.crashes.borrow_mut().take(self.clock.now(), list) {
             note_crash_change(&self.metrics, &change, false);
         }
     }
 
-    /// What gateways are told of such requests.
+    /// The report of such requests to gateways.
     pub fn crash_list(&self, part: Told) -> CrashList {
         self.crashes.borrow().list(self.clock.now(), part, 0)
     }
 
-    /// The gateways that want reports now.
+    /// The gateways with a current subscription.
     pub fn subscribers(&self) -> Vec<SocketAddr> {
         self.subscribers_where(|_| true)
     }
 
-    /// The gateways in this data hall that want reports now.
+    /// The gateways in this data hall with a current subscription.
     pub fn near_subscribers(&self) -> Vec<SocketAddr> {
         self.subscribers_where(|it| it.near)
     }
@@ -273,26 +276,26 @@
         chosen.map(|(address, _)| *address).collect()
     }
 
-    /// Asks for a fresh report of the runner: somebody waits for a place.
+    /// Requests a new report of the runner because a request waits for a slot.
     pub fn look_at_runner(&self) {
-        // One call that waits already is enough.
+        // One pending message is enough.
         let _ = self.wake.try_send(());
     }
 
-    /// Counts what became of a draw of a chunk.
+    /// Counts the outcome of a chunk fetch.
     pub fn count_draw(&self, outcome: &'static str) {
         self.metrics.count_chunk(outcome);
         *self.draws.borrow_mut().entry(outcome).or_default() += 1;
     }
 
-    /// Closes connections to the origin that rest: it takes few from all sidecars together.
+    /// Closes idle connections to the origin, which accepts few connections from all sidecars together.
     pub fn close_rested_links(&self) {
         let mut links = self.origin_links.borrow_mut();
         links.iter_mut().for_each(|it| it.close_if_rested(ORIGIN_REST));
         links.retain(Link::is_connected);
     }
 
-    /// Hands an event to the reducer and its effects to those who carry them out.
+    /// Passes an event to the reducer and its effects to the task that executes them.
     pub fn feed(&self, event: Event) {
         let effects = self.rollout.borrow_mut().reduce(self.clock.now(), event);
         for effect in effects {
@@ -301,7 +304,7 @@
     }
 }
 
-/// Logs what is believed of a version where that has changed by more than the jitter of words on it.
+/// Logs the naming time of a version if it has changed by more than the jitter of reports.
 fn log_name(
     model: &ModelName,
     now: Millis,
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -1,4 +1,4 @@
-//! Asks gateways, or the store, who the other sidecars are. `rollout::Directory` decides when.
+//! Asks gateways, or the store, for the other sidecars. `rollout::Directory` decides when.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -29,21 +29,21 @@
 
 /// How long a gateway may take to answer. It is at most a few milliseconds away and answers at once.
 const ANSWER_PATIENCE: Duration = Duration::from_millis(250);
-/// How far apart sidecars that have waited for a gateway equally long ask the store.
+/// The store calls of sidecars that have waited equally long for a gateway are spread over this time.
 const SPREAD: Duration = Duration::from_millis(2000);
-/// How often one that reads the store's list looks whether a gateway has come.
+/// How often a sidecar that reads the store's list checks whether a gateway has subscribed.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 /// How many gateways are asked, one after the other.
 const TRIES: usize = 3;
-/// How often the gateways that the store names are asked before its list is read, how many times in a row all of them
-/// may be silent, and the pause between.
+/// How often the gateways that the store names are asked before its list is read, how many rounds in a row
+/// may remain without any answer, and the pause between rounds.
 const NAMED_ROUNDS: u32 = 8;
 const MOST_SILENT_ROUNDS: u32 = 2;
 const NAMED_PAUSE: Duration = Duration::from_millis(1000);
-/// How long the row that names them may take to come.
+/// How long reading the row that names these gateways may take.
 const ROW_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Keeps the reducer told of the other sidecars for as long as the task runs.
+/// Updates the reducer's list of sidecars for as long as the task runs.
 pub async fn follow(
     core: Core,
     news: News,
@@ -71,30 +71,30 @@
     }
 }
 
-/// A random part of the time over which sidecars spread what all of them ask of the store at once.
+/// A random delay, over which sidecars spread calls that all of them make to the store at the same time.
 pub fn spread() -> Duration {
     rand::rng().random_range(Duration::ZERO..SPREAD)
 }
 
-/// Waits until some gateway wants reports.
+/// Waits until a gateway subscribes to reports.
 async fn wait_for_gateway(core: Core) {
     while core.subscribers().is_empty() {
         Timer::after(LOOK_EVERY).await;
     }
 }
 
-/// What a directory is told at start.
+/// The settings of a directory.
 pub struct DirectorySettings {
-    /// The store.
+    /// The address of the store.
     store: SocketAddr,
-    /// The port at which sidecars listen.
+    /// The port on which sidecars listen.
     port: u16,
     /// Every data hall with its region.
     halls: BTreeMap<Hall, Region>,
 }
 
 impl DirectorySettings {
-    /// Takes what is needed out of the settings.
+    /// Extracts the required settings.
     pub fn new(settings: &DeploymentSettings) -> Self {
         Self {
             store: settings.store.address,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The sidecar on a machine. Sidecars are named by the addresses of their machines.
+    /// The sidecar on a machine. Sidecars are identified by the addresses of their machines.
     fn peer(&self, machine: IpAddr, hall: &Hall, version: Option<u64>) -> Peer {
         let region = self.halls.get(hall).cloned().unwrap_or_default();
         Peer {
@@ -115,13 +115,13 @@
     }
 }
 
-/// What a gateway answered.
+/// The answer of a gateway.
 enum Collected {
     /// The sidecars.
     List(Vec<Peer>),
-    /// The gateway does not hear the store, and an older list is here.
+    /// The gateway is not connected to the store, and this sidecar already has a list.
     Stale,
-    /// The gateway does not know them yet.
+    /// The gateway does not know the sidecars yet.
     Pending,
 }
 
@@ -131,9 +131,9 @@
     news: News,
     parts: Receiver<SidecarsPart>,
     link: Link,
-    /// Questions asked so far.
+    /// The number of questions so far.
     questions: u64,
-    /// Whether some list has been taken.
+    /// Whether a list was applied.
     known: bool,
 }
 
@@ -143,7 +143,7 @@
         self.core.feed(Event::Peers(peers));
     }
 
-    /// Asks a few gateways, until one answers with a list that is worth taking.
+    /// Asks a few gateways until one answers with a usable list.
     async fn ask_gateways(&mut self) -> DirectoryAnswer {
         let gateways = self.core.subscribers();
         if gateways.is_empty() {
@@ -177,7 +177,7 @@
         best
     }
 
-    /// Waits for every part of an answer.
+    /// Waits for all parts of an answer.
     async fn collect(&self, question: u64) -> Collected {
         let mut seen = BTreeSet::new();
         let mut peers = Vec::new();
@@ -206,8 +206,9 @@
         }
     }
 
-    /// Reads the store's list. Where no gateway is known, until one comes: its list is as good, and it crosses no link.
-    /// So the gateways are asked before that which the store names for this hall.
+    /// Reads the store's list. Without a known gateway, it stops when one subscribes: the gateway's list is
+    /// as good and does not load the link to the store. For the same reason the gateways that the store names
+    /// for this hall are asked first.
     async fn read_store(&mut self) {
         let core = self.core.clone();
         if !core.subscribers().is_empty() {
@@ -224,8 +225,8 @@
         .await;
     }
 
-    /// Asks the gateways that the store names for this hall until one answers, and tells whether one did. They may be
-    /// starting, and answer once they know the list themselves.
+    /// Asks the gateways that the store names for this hall until one answers. Returns whether one did. They
+    /// may be starting, and answer once they know the list themselves.
     async fn ask_named_gateways(&mut self) -> bool {
         let named = match self.named_gateways().await {
             Ok(named) => named,
@@ -282,7 +283,7 @@
             let Change::Runner(record) = change else {
                 continue;
             };
-            // The machine of a runner that leaves goes with it, and whatever chunks it was to draw.
+            // The machine of a leaving runner is removed with it, and so are the chunks that it was to fetch.
             let stays = record.state == RunnerState::Ready;
             if stays && record.service == self.core.settings.service {
                 let version = record.whole_version();
--- a/components/edge/src/sidecar/draws.rs
+++ b/components/edge/src/sidecar/draws.rs
@@ -1,4 +1,4 @@
-//! Chunks drawn from the origin and from other sidecars.
+//! Fetches chunks from the origin and from other sidecars.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,15 +20,15 @@
 
 /// How long a manifest may take to arrive.
 const MANIFEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long the origin may be silent in a draw: longer than a chunk takes while the origin has all the
+/// The longest pause of the origin during a fetch: longer than a chunk takes while the origin serves all the
 /// connections that it accepts.
 const ORIGIN_PAUSE: Duration = Duration::from_millis(1400);
 /// How long another sidecar may take to send a manifest.
 const PEER_MANIFEST_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a connection to another sidecar may take to come up.
+/// How long opening a connection to another sidecar may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks for a manifest.
+/// Fetches a manifest.
 pub async fn describe(core: Core, version: u64, source: ManifestSource) {
     let manifest = match source {
         ManifestSource::Origin => manifest_from_origin(&core, version).await,
@@ -75,7 +75,7 @@
     Ok((origin, rollout.plan().ok_or_else(unknown)?.model.clone()))
 }
 
-/// Draws a chunk.
+/// Fetches a chunk.
 pub async fn draw(core: Core, version: u64, draw: Draw) {
     let until = core.clock.instant(draw.deadline);
     let fetched = match &draw.source {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Asks another sidecar, over a connection that rests if there is one.
+/// Sends a request to another sidecar, over an idle connection if there is one.
 async fn ask_peer(
     core: &Core,
     address: SocketAddr,
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -34,26 +34,26 @@
 use crate::server::listen;
 use crate::spawner::Spawner;
 
-/// How often the named versions are listed by a sidecar that no gateway reaches.
+/// The interval of listing the named versions in a sidecar without a gateway.
 const VERSIONS_SPACING: Duration = Duration::from_millis(30_000);
-/// How often a sidecar looks whether it is still without a gateway.
+/// How often a sidecar checks whether it still has no gateway.
 const ALONE_LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Sidecars that are told of an order, or asked for the last one.
+/// The most sidecars that are notified of an order, or asked for the last one.
 const MOST_TOLD_OF_ORDERS: usize = 64;
-/// How often the reducer is told of the time.
+/// How often the reducer receives a tick.
 const TICK: Duration = Duration::from_millis(40);
-/// How often the log tells how many chunks are here.
+/// The interval of progress lines of a version's chunks.
 const PROGRESS_EVERY: Millis = Millis(500);
-/// Parts of the list of sidecars that may wait to be taken: several times as many as a large fleet has.
+/// Capacity of the channel for parts of the sidecar list: several times as many as a large fleet has.
 const MOST_PARTS: usize = 64;
-/// What control messages may cost while chunks come, in bytes a second. Everyone who draws should hear
-/// of a new chunk within a fraction of the time that a version takes.
+/// Limit of control messages while chunks are fetched, in bytes per second. Every sidecar that fetches chunks
+/// should learn of a new one within a fraction of the time that a version takes.
 const CONTROL_BYTES_PER_S: u64 = 40_000;
 
-/// A sidecar. It has nothing to finish: what its runner does goes on without it.
+/// A sidecar. It has nothing to finish on a stop: the runner's work does not depend on it.
 pub struct SidecarNode {
     core: Core,
-    /// Keeps the page of metrics open for the life of the process.
+    /// Keeps the metrics page open until the process ends.
     _open: Sender<()>,
 }
 
@@ -101,12 +101,12 @@
         Ok(Self { core, _open: open })
     }
 
-    /// Its counters.
+    /// The metrics of this process.
     pub fn metrics(&self) -> &Metrics {
         &self.core.metrics
     }
 
-    /// Goes on with other settings.
+    /// Applies changed settings.
     pub fn apply(&self, settings: &DeploymentSettings) {
         let bounds = &settings.bounds;
         self.core.gateways.borrow_mut().set_window(bounds.repeat_window_s * 1000);
@@ -133,7 +133,7 @@
     bounds.cold.map(|it| ColdLimit { overrun: it.overrun, slack: it.slack })
 }
 
-/// Carries out effects for as long as the task runs.
+/// Executes effects for as long as the task runs.
 async fn perform(
     spawner: Spawner,
     core: Core,
@@ -182,22 +182,23 @@
     }
 }
 
-/// Other sidecars, some of them where they are many: all telling all of their orders would fill the links while a version
-/// moves, and a few that are drawn anew each time hear of many orders.
+/// The other sidecars, or a random sample of them if there are many: if all of them were notified of all
+/// orders, the links would be congested during a rollout. Since each sample is random, every sidecar still
+/// learns of many orders.
 fn some_peers(core: &Core) -> Vec<SocketAddr> {
     let peers = core.rollout.borrow().peer_addresses();
     peers.into_iter().choose_multiple(&mut rand::rng(), MOST_TOLD_OF_ORDERS)
 }
 
-/// Tells other sidecars that this one gives its runner an order.
+/// Notifies other sidecars that this one sends its runner an order.
 async fn tell_of_order(core: &Core, news: &News) {
     for peer in some_peers(core) {
         news.send(peer, &Datagram::Ordered).await;
     }
 }
 
-/// Asks other sidecars, as soon as they are known, whether this machine gave the last order of all: a
-/// process that starts has forgotten that.
+/// Asks other sidecars, as soon as they are known, whether this one sent the last order of all, which a
+/// restarted process does not know.
 async fn ask_who_ordered(core: Core, news: News) {
     while core.rollout.borrow().peer_addresses().is_empty() {
         Timer::after(TICK).await;
@@ -211,14 +212,14 @@
     let _ = jobs.try_send(job);
 }
 
-/// Waits until no gateway tells of anything and the directory has given up asking for one.
+/// Waits until no gateway is subscribed and the directory has given up asking for one.
 async fn wait_until_alone(core: &Core) {
     while !core.subscribers().is_empty() || !core.is_alone.get() {
         Timer::after(ALONE_LOOK_EVERY).await;
     }
 }
 
-/// Reads the named versions from the store while no gateway tells of them.
+/// Reads the named versions from the store while no gateway reports them.
 async fn follow_versions(core: Core, store: SocketAddr) {
     let mut link = Link::new(store);
     loop {
@@ -241,15 +242,15 @@
 fn take_versions(core: &Core, changes: Vec<Change>) {
     for change in changes {
         if let Change::Version { model, version, .. } = change {
-            // A row does not tell when it was written.
+            // A row does not contain the time at which it was written.
             core.take_names(&[NamedVersion { model, version, age_ms: None, after_ms: None }]);
         }
     }
     core.feed(Event::VersionsKnown);
 }
 
-/// Reads from the configuration what it says of the weights, where no gateway tells of it, and which halls are
-/// evacuated. The configuration may be large, and the machine's link is narrow.
+/// Reads the configuration's weights settings and the evacuated halls from the store if no gateway reports
+/// them. The configuration may be large, and the machine's link is narrow.
 async fn find_plan(core: Core, store: SocketAddr) {
     let mut link = Link::new(store);
     loop {
@@ -273,7 +274,8 @@
 fn take_operator_table(core: &Core, listing: Listing) {
     let Listing { place, changes, faults, .. } = listing;
     log_faults(Table::Operator, &faults);
-    // Before it knows its runner: it gives no place until then, and none in an evacuated hall from then on.
+    // Evacuations are applied before the runner's service is known: no slot is granted until then, and none
+    // in an evacuated hall afterwards.
     let evacuated = EvacuatedHalls::default().take_listing(Instant::now(), place, &changes);
     core.feed(Event::Evacuations(evacuated));
     for change in changes {
@@ -283,7 +285,7 @@
     }
 }
 
-/// Serves the page of metrics with what the sidecar believes.
+/// Serves the metrics page with the sidecar's current state.
 async fn serve_page(
     spawner: &Spawner,
     settings: &DeploymentSettings,
@@ -341,13 +343,13 @@
     }
 }
 
-/// What the log last said of the chunks of each version that comes.
+/// The last progress line of each version that is being fetched.
 #[derive(Default)]
 struct Progress {
     told: BTreeMap<u64, Told>,
 }
 
-/// What the log last said of one version.
+/// The last progress line of one version.
 #[derive(Clone, Copy, Default)]
 struct Told {
     chunks: u32,
@@ -355,7 +357,7 @@
 }
 
 impl Progress {
-    /// Logs how many chunks are here, now and then and when the last one has come.
+    /// Logs the number of stored chunks at intervals and when the last one has arrived.
     fn log(&mut self, core: &Core) {
         let now = core.clock.now();
         let drawn = core.drawn();
@@ -373,7 +375,7 @@
     }
 }
 
-/// Logs how many chunks of a version are here, and what became of the draws since the last such line.
+/// Logs the number of stored chunks of a version, and the outcomes of fetches since the last such line.
 fn log_progress(core: &Core, version: u64, have: &Bitmap) {
     let draws = core.draws.take();
     let draws: Vec<String> = draws.iter().map(|(name, count)| format!("{name}={count}")).collect();
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does for other sidecars and for gateways.
+//! Requests of other sidecars and of gateways that a sidecar serves.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,26 +23,26 @@
 use crate::news::News;
 use crate::spawner::Spawner;
 
-/// Chunks that are sent at once. Of few each arrives sooner and can be passed on.
+/// Concurrent uploads of chunks. With few of them each chunk arrives sooner and can be passed on.
 const MAX_UPLOADS: usize = 2;
-/// The part of the machine's link that chunks may take. The runner's answers leave by the same link,
-/// and whatever queues there makes them late.
+/// The share of the machine's link that chunk uploads may take. The runner's answers use the same link and
+/// are delayed by whatever is queued on it.
 const LINK_SHARE: f64 = 0.85;
-/// Bytes that are sent at once, so that answers of the runner get in between.
+/// The size of a write, in bytes. It is small so that the runner's answers can be sent in between.
 const SLICE_BYTES: usize = 4096;
-/// How long the other side may take for one of these: several times as long as they take over a narrow
-/// link. Whoever draws a chunk waits that long at the least.
+/// How long the receiver may take for one write: several times as long as it takes over a narrow link. A
+/// sidecar that fetches a chunk waits at least as long.
 const SLICE_PATIENCE: Duration = Duration::from_millis(1000);
-/// How long the sending of a chunk may take.
+/// How long the upload of a chunk may take.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may rest between two requests.
+/// How long a connection may be idle between two requests.
 const REST: Duration = Duration::from_millis(1500);
-/// How long a gateway gets reports after it asked for them, in milliseconds.
+/// How long a subscription of a gateway lasts, in milliseconds.
 const SUBSCRIPTION: u64 = 3500;
-/// How long to wait after the system refused to accept a connection.
+/// How long to wait after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Sends chunks to those who ask, for as long as the task runs.
+/// Serves chunks to other sidecars for as long as the task runs.
 pub async fn serve(spawner: Spawner, core: Core, listener: TcpListener, link_bytes_per_s: u64) {
     let uploads: Rc<Cell<usize>> = Rc::default();
     let pacer = Rc::new(Pacer::new((link_bytes_per_s as f64 * LINK_SHARE) as u64));
@@ -59,7 +59,8 @@
     }
 }
 
-/// A message over TCP, or none where it is of a build that says more: that is counted, and the connection goes on.
+/// A message over TCP, or `None` if it is of a build with more message types. Such a message is counted, and
+/// the connection continues.
 pub fn readable<T>(
     core: &Core,
     kind: &'static str,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Sends chunks over one connection.
+/// Serves one connection.
 struct Uploader {
     core: Core,
     pacer: Rc<Pacer>,
@@ -83,7 +84,7 @@
 }
 
 impl Uploader {
-    /// Answers requests until the other side is gone or rests for too long.
+    /// Answers requests until the other side disconnects or is idle for too long.
     async fn serve(self, mut stream: TcpStream) -> errors::Result<()> {
         prepare(&stream);
         let late = || Error::new(Code::PeerStalled, "no request in time");
@@ -132,7 +133,7 @@
     }
 }
 
-/// Takes in datagrams for as long as the task runs.
+/// Processes datagrams for as long as the task runs.
 pub async fn listen(core: Core, news: News, sidecars: Sender<SidecarsPart>) {
     loop {
         let (sender, datagram) = news.receive().await;
@@ -171,7 +172,7 @@
                 }
                 core.take_names(&core.date_names(clock_ms, named));
                 if !services.is_empty() {
-                    // This gateway has read what operators wrote, the versions among it.
+                    // This gateway has read the operator table, including the named versions.
                     core.feed(Event::VersionsKnown);
                 }
             }
@@ -205,7 +206,7 @@
             Datagram::WhoOrdered => {}
             Datagram::YouOrderedLast => core.feed(Event::GaveLastOrder),
             Datagram::Sidecars(part) => {
-                // Who asked has given up where nobody takes it.
+                // A full channel means that the task that asked has stopped waiting.
                 let _ = sidecars.try_send(part);
             }
             Datagram::WantSidecars { .. }
@@ -217,7 +218,7 @@
     }
 }
 
-/// Answers a gateway's question for a place.
+/// Answers a gateway's reservation.
 pub async fn reply(core: &Core, news: &News, question: Question, verdict: Verdict) {
     let reply = match verdict {
         Verdict::Granted => Reply::Granted,
@@ -240,7 +241,7 @@
     }
 }
 
-/// Logs why a request got no place.
+/// Logs why a reservation was denied.
 fn log_denial(core: &Core, request: String, denial: Denial) {
     core.metrics.count_denial(denial.name());
     let rollout = core.rollout.borrow();
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does at the runner beside it.
+//! Calls of a sidecar to its runner.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,34 +21,34 @@
 use crate::message::Datagram;
 use crate::news::News;
 
-/// How often the runner is asked for its report while requests wait for a place at it.
+/// How often the runner is asked for its report while requests wait for a slot.
 const REPORT_SPACING: Duration = Duration::from_millis(25);
 /// How often it is asked otherwise.
 const REPORT_EVERY: Duration = Duration::from_millis(100);
 /// How long a call to the runner may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long the chunks of a version may take to be put there. Longer, and the first ones may have
-/// turned bad again.
+/// How long staging the chunks of a version may take. After a longer time the first ones may be corrupt
+/// again.
 const MAX_STAGING: Duration = Duration::from_millis(2500);
 
-/// What is to be done at the runner, one thing after the other.
+/// A job at the runner. Jobs are executed one after the other.
 pub enum Job {
-    /// Read what lies there.
+    /// Read the chunks that are staged there.
     Find(u64),
-    /// Put every chunk of a version there.
+    /// Stage every chunk of a version there.
     Stage(u64),
-    /// Order it to take a version.
+    /// Order the runner to start a version.
     Order {
         /// The version.
         version: u64,
-        /// The number of orders that it is expected to have taken.
+        /// The number of orders that the runner is expected to have taken.
         sequence: u64,
-        /// Whether what runs is cut off.
+        /// Whether running requests are interrupted.
         cut: bool,
     },
 }
 
-/// Asks the runner for its report over and over and tells the gateways.
+/// Polls the runner's report and sends its load to the gateways.
 pub async fn report(core: Core, news: News) {
     let mut link = Link::new(core.settings.runner);
     let mut heard = false;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Tells the gateways whose turn it is. `told` is the load that they were last told of.
+/// Sends the load to the gateways that are due for a report. `last_sent` is the load that was last sent.
 async fn tell_due(
     core: &Core,
     news: &News,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads the runner's report, and what else its answer says.
+/// Reads the runner's report and the facts in the headers of its answer.
 async fn read_report(core: &Core, link: &mut Link) -> Result<(runner::Report, AnswerFacts)> {
     let answer = link.call(runner::report(), CALL_TIMEOUT).await?;
     let facts = headers::read_answer(&answer.headers);
@@ -123,7 +123,7 @@
     Ok((report, facts))
 }
 
-/// Takes in whether the runner is leaving. `known` is what it said before.
+/// Records whether the runner is leaving. `known` is its previous statement.
 fn note_leaving(core: &Core, known: &mut bool, is_leaving: bool) {
     if std::mem::replace(known, is_leaving) != is_leaving {
         log::info!(leaves = is_leaving; "the runner says whether it leaves");
@@ -131,7 +131,7 @@
     }
 }
 
-/// Does jobs at the runner for as long as the task runs.
+/// Executes jobs at the runner for as long as the task runs.
 pub async fn work(core: Core, jobs: Receiver<Job>) {
     let mut link = Link::new(core.settings.runner);
     while let Ok(job) = jobs.recv().await {
@@ -147,8 +147,9 @@
     }
 }
 
-/// Orders the runner to give up the version that it holds. The bound does not wait for other work at the runner, so this goes
-/// past it; the runner takes an order only if it has taken as many as expected.
+/// Orders the runner to retire the version that it holds. The deadline does not wait for other jobs at the
+/// runner, so this call bypasses the job queue; the runner accepts an order only if it has taken as many as
+/// expected.
 pub async fn retire(core: Core, version: u64, sequence: u64) {
     let Some(model) = core.rollout.borrow().plan().map(|it| it.model.clone()) else {
         return;
@@ -160,7 +161,7 @@
     log::warn!(version = version, sequence = sequence, outcome = word.as_str(); "version given up at its bound");
 }
 
-/// Gives the runner an order.
+/// Sends an order to the runner.
 async fn give(link: &mut Link, order: Result<Call>) -> OrderOutcome {
     let Ok(call) = order else {
         return OrderOutcome::Refused;
@@ -188,7 +189,7 @@
             };
             let sound = self.core.chunks.borrow_mut().insert(version, index, bytes);
             if !sound && found.count() == 0 {
-                // Chunks of another version: the rest need not be read.
+                // These are chunks of another version, so the rest need not be read.
                 break;
             }
             if sound {
@@ -215,7 +216,7 @@
         answer.success().map(Bytes::from)
     }
 
-    /// Chunks that lie there may turn bad, so all of them are put again right before an order.
+    /// Stages all chunks again right before an order, since staged chunks may become corrupt.
     async fn stage(&mut self, version: u64) {
         let chunks = self.core.chunks.borrow().manifest(version).map_or(0, |it| it.chunks());
         let begun = Instant::now();
