--- a/components/edge/src/additions.rs
+++ b/components/edge/src/additions.rs
@@ -1,8 +1,9 @@
-//! What messages say beyond the format that every build reads.
+//! Optional extension fields appended to a message after the format that every build can read.
 //!
-//! The format of `message` stands as it is: fields and variants are known by their places, so none may move, go or come.
-//! What is new rides behind a message as numbered additions. A build passes over the numbers that it does not know, and
-//! the first of them passes over all that follows a message. See `docs/design/builds.md`.
+//! The format in `message` is fixed: fields and variants are identified by position, so none may be moved,
+//! added or removed. New data is appended to the message as numbered extensions. A build skips the extension
+//! numbers that it does not know, and the first builds ignore everything after the message. See
+//! `docs/design/builds.md`.
 
 use errors::{Code, Error, Result};
 use fleet::ToldLimit;
@@ -11,18 +12,18 @@
 
 use crate::message::{Datagram, VersionDates};
 
-/// The era of the store that a datagram's list of evacuations is of. A number is never used for anything else.
+/// Store era of the datagram's evacuation list. An extension number is never reused for another purpose.
 const ERA: u16 = 1;
-/// How long places have been short at the runner that has none, in milliseconds.
+/// How long slots have been scarce at a runner that has none free, in milliseconds.
 const SHORT_MS: u16 = 2;
-/// What the sender knows of the rate limit of the runner beside the sidecar.
+/// The rate limit of the sidecar's runner, as far as the sender knows it.
 const LIMIT: u16 = 3;
-/// What gateways heard of the rate limits of runners.
+/// Rate limits of runners that gateways have received.
 const LIMITS: u16 = 4;
-/// When the versions in the datagram were named, by the store's clock.
+/// The times at which the versions in the datagram were named, by the store's clock.
 const VERSION_DATES: u16 = 5;
 
-/// One addition.
+/// A numbered extension with its encoded value.
 #[derive(Serialize, Deserialize)]
 struct Addition {
     number: u16,
@@ -36,25 +37,25 @@
     }
 }
 
-/// What rides behind a datagram.
+/// The extensions of a datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Additions {
-    /// The era of the store that its list of evacuations is of.
+    /// The store era of its evacuation list.
     era: Option<u64>,
-    /// How long places have been short at the runner that has none, in milliseconds.
+    /// How long slots have been scarce at a runner that has none free, in milliseconds.
     short_ms: Option<u32>,
-    /// What the sender knows of the rate limit of the runner beside the sidecar.
+    /// The rate limit of the sidecar's runner, as far as the sender knows it.
     limit: Option<ToldLimit>,
-    /// What gateways heard of the rate limits of runners.
+    /// Rate limits of runners that gateways have received.
     limits: Vec<LifeLimit>,
-    /// When the versions in it were named, by the store's clock.
+    /// The times at which its versions were named, by the store's clock.
     version_dates: Option<VersionDates>,
-    /// Additions that this build does not know.
+    /// The number of extensions that this build does not know.
     pub unknown: usize,
 }
 
 impl Additions {
-    /// Reads what follows a message. Nothing follows those of the first builds.
+    /// Decodes the bytes after a message. Messages of the first builds have none.
     fn read(bytes: &[u8]) -> Result<Self> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -82,7 +83,7 @@
         Ok(additions)
     }
 
-    /// The bytes behind a message: none where there is nothing to add.
+    /// Encodes the extensions. The result is empty if there are none.
     fn write(&self) -> Vec<u8> {
         let era = self.era.map(|it| Addition::new(ERA, &it));
         let short_ms = self.short_ms.map(|it| Addition::new(SHORT_MS, &it));
@@ -97,7 +98,7 @@
         postcard::to_stdvec(&listed).expect("a list can be encoded")
     }
 
-    /// What a datagram says in additions.
+    /// Collects the extensions of a datagram from its fields.
     fn of(datagram: &Datagram) -> Self {
         let era = datagram.evacuations().and_then(|it| it.place.era);
         Self {
@@ -111,14 +112,15 @@
     }
 }
 
-/// Encodes a datagram with its additions.
+/// Encodes a datagram with its extensions.
 pub fn encode_datagram(datagram: &Datagram) -> Vec<u8> {
     let mut bytes = crate::message::encode(datagram);
     bytes.extend(Additions::of(datagram).write());
     bytes
 }
 
-/// Decodes a datagram with its additions. Those that cannot be read count as none: the datagram holds without them.
+/// Decodes a datagram with its extensions. Unreadable extensions are ignored, since the datagram is valid
+/// without them.
 pub fn decode_datagram(bytes: &[u8]) -> Result<(Datagram, Additions)> {
     let unreadable = |_| Error::new(Code::BadFrame, "an unreadable message");
     let (mut datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).map_err(unreadable)?;
--- a/components/edge/src/additions/tests.rs
+++ b/components/edge/src/additions/tests.rs
@@ -1,4 +1,4 @@
-//! Additions behind datagrams, known and unknown.
+//! Tests of known and unknown extensions of datagrams.
 
 use fleet::{EvacuationList, LifeWord, NamedVersion, StorePlace};
 use gateway::RunnerLoad;
@@ -8,7 +8,7 @@
 use super::*;
 use crate::message::encode;
 
-/// The first number that no addition of this build has.
+/// The lowest extension number that this build does not define.
 const UNKNOWN: u16 = 6;
 
 fn load(era: Option<u64>) -> Datagram {
--- a/components/edge/src/answer_log.rs
+++ b/components/edge/src/answer_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on the answers of the platform's store.
+//! Log lines about answers of the platform's store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,16 +7,17 @@
 use fleet::StorePlace;
 use platform::store::Table;
 
-/// What an answer of the store told.
+/// Summary of an answer of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
-    /// How many rows.
+    /// The number of rows.
     pub rows: usize,
-    /// The place in the store's history up to which it tells everything.
+    /// The position in the store's history up to which the answer is complete.
     pub place: StorePlace,
 }
 
-/// Logs the outcome of a call for a table that was asked so long ago, at a reader or the store.
+/// Logs the outcome of a call for a table. `asked` is the time since the call was sent, to a reader if
+/// `reader` is set, otherwise to the store.
 pub fn log_answer(
     table: Table,
     call: &str,
--- a/components/edge/src/backlog.rs
+++ b/components/edge/src/backlog.rs
@@ -1,33 +1,35 @@
-//! Bytes that a process keeps for callers: bodies of requests, and answers that were not read yet.
+//! Accounting of the bytes that a process buffers for callers: request bodies and answers that are not read
+//! yet.
 //!
-//! A decision without I/O: who gives way when the kept bytes exceed the part of the memory that they may take.
+//! A decision without I/O: which connections are closed when the buffered bytes exceed their share of the
+//! memory.
 
 use std::collections::BTreeMap;
 
 use fleet::Millis;
 
-/// The part of a process's memory that kept bytes may take: one in so many.
+/// The buffered bytes may take 1/4 of the process's memory.
 const MEMORY_SHARE: u64 = 4;
-/// The part of that which one answer may take: one in so many.
+/// A single answer may take 1/64 of the bytes that the process may buffer.
 const ANSWER_SHARE: usize = 64;
-/// The part of one answer's bytes that is buffered ahead of its reader: one in so many.
+/// 1/4 of the limit of an answer is buffered ahead of its reader.
 const BUFFER_SHARE: usize = 4;
-/// The least buffer, in bytes: the head of a request has to fit.
+/// The smallest buffer, in bytes: the head of a request has to fit.
 const MIN_BUFFER: usize = 64 * 1024;
 
-/// How many bytes may be kept.
+/// Limits of the buffered bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BacklogBounds {
-    /// By the process.
+    /// For the whole process.
     pub process: usize,
-    /// Of one answer.
+    /// For one answer.
     pub answer: usize,
-    /// Ahead of the reader of an answer that is still made.
+    /// Ahead of the reader of an answer that is still being produced.
     pub buffer: usize,
 }
 
 impl BacklogBounds {
-    /// The bounds of a process with so much memory.
+    /// The limits of a process with this much memory.
     pub fn of_memory(memory_mb: u64) -> Self {
         let process = ((memory_mb << 20) / MEMORY_SHARE) as usize;
         let answer = process / ANSWER_SHARE;
@@ -35,20 +37,20 @@
     }
 }
 
-/// A connection of a caller.
+/// Identifies a connection of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(u64);
 
-/// What is kept for one connection.
+/// The bytes that are buffered for one connection.
 #[derive(Clone, Copy, Debug, Default)]
 struct Kept {
     /// Bytes of the request's body.
     body: usize,
-    /// Bytes of the answer that were not read yet.
+    /// Bytes of the answer that are not read yet.
     unread: usize,
-    /// Bytes that were read since some were unread.
+    /// Bytes read since the answer last had unread bytes after none.
     read: u64,
-    /// Since when some are unread.
+    /// Since when there have been unread bytes.
     since: Millis,
 }
 
@@ -57,22 +59,22 @@
         now.since(self.since).0
     }
 
-    /// How long the rest takes at the rate at which it was read so far. `credit` bytes count as read: who has just
-    /// begun is not slow.
+    /// How long the caller needs for the unread bytes at its rate so far. `credit` bytes count as read, so
+    /// that a reader that has just started is not considered slow.
     fn left_ms(&self, now: Millis, credit: usize) -> u128 {
         let age_ms = u128::from(self.age_ms(now));
         self.unread as u128 * age_ms / (u128::from(self.read) + credit as u128).max(1)
     }
 }
 
-/// A connection that gives way.
+/// A connection that is closed to free memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dropped {
     /// The connection.
     pub id: ConnectionId,
-    /// Bytes that were kept for it.
+    /// Bytes that were buffered for it.
     pub bytes: usize,
-    /// How long some were unread, in milliseconds.
+    /// How long it has had unread bytes, in milliseconds.
     pub age_ms: u64,
 }
 
@@ -80,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoMemory;
 
-/// What is kept, by connection.
+/// The buffered bytes by connection.
 #[derive(Debug)]
 pub struct Backlog {
     bounds: BacklogBounds,
@@ -90,22 +92,22 @@
 }
 
 impl Backlog {
-    /// Nothing is kept yet.
+    /// Creates the accounting without connections.
     pub fn new(bounds: BacklogBounds) -> Self {
         Self { bounds, kept: BTreeMap::new(), total: 0, next: 0 }
     }
 
-    /// The bounds in force.
+    /// The limits in force.
     pub fn bounds(&self) -> BacklogBounds {
         self.bounds
     }
 
-    /// Bytes that are kept for all.
+    /// The bytes that are buffered for all connections.
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// Begins with a connection.
+    /// Adds a connection.
     pub fn open(&mut self) -> ConnectionId {
         self.next += 1;
         let id = ConnectionId(self.next);
@@ -113,14 +115,14 @@
         id
     }
 
-    /// Forgets a connection and what was kept for it.
+    /// Removes a connection and the bytes that were buffered for it.
     pub fn close(&mut self, id: ConnectionId) {
         if let Some(kept) = self.kept.remove(&id) {
             self.total -= kept.body + kept.unread;
         }
     }
 
-    /// Keeps bytes of a request's body, unless there is no memory for them.
+    /// Accounts for bytes of a request's body, unless there is no memory for them.
     pub fn keep_body(&mut self, id: ConnectionId, bytes: usize) -> Result<(), NoMemory> {
         if self.total + bytes > self.bounds.process {
             return Err(NoMemory);
@@ -132,15 +134,15 @@
         Ok(())
     }
 
-    /// The body of the connection's request is not needed any more.
+    /// Releases the body of the connection's request.
     pub fn release_body(&mut self, id: ConnectionId) {
         if let Some(kept) = self.kept.get_mut(&id) {
             self.total -= std::mem::take(&mut kept.body);
         }
     }
 
-    /// Keeps bytes of an answer until they are read, and gives the connections that give way for them: those
-    /// first that would take longest to read the rest.
+    /// Accounts for bytes of an answer until they are read. Returns the connections that are closed to make
+    /// room: first those that would need the longest time to read the rest.
     pub fn keep_answer(&mut self, now: Millis, id: ConnectionId, bytes: usize) -> Vec<Dropped> {
         if let Some(kept) = self.kept.get_mut(&id) {
             if kept.unread == 0 {
@@ -167,18 +169,18 @@
         Some(Dropped { id: *id, bytes, age_ms: kept.age_ms(now) })
     }
 
-    /// The caller read bytes of its answer.
+    /// Records that the caller read bytes of its answer.
     pub fn note_read(&mut self, id: ConnectionId, bytes: usize) {
         if let Some(kept) = self.kept.get_mut(&id) {
             kept.read += bytes as u64;
-            // Heads and framing are read too, and were not kept.
+            // Heads and framing are read too, but were not accounted for.
             let freed = bytes.min(kept.unread);
             kept.unread -= freed;
             self.total -= freed;
         }
     }
 
-    /// Bytes that are kept for a connection.
+    /// The bytes that are buffered for a connection.
     pub fn of(&self, id: ConnectionId) -> usize {
         self.kept.get(&id).map_or(0, |kept| kept.body + kept.unread)
     }
--- a/components/edge/src/backlog/tests.rs
+++ b/components/edge/src/backlog/tests.rs
@@ -62,7 +62,8 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order, no more is kept than allowed and the total is that of all.
+    /// After any sequence of operations, no more than the limit is buffered and the total is the sum over all
+    /// connections.
     #[test]
     fn never_keeps_more_than_the_bound(steps in prop::collection::vec((0..5u8, 0..8usize, 1..400usize), 1..200)) {
         let mut backlog = backlog();
--- a/components/edge/src/caller.rs
+++ b/components/edge/src/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: what is kept for each, and how long one that does not read is waited for.
+//! Connections of callers: the bytes buffered for each, and the timeouts of callers that do not read.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,14 +21,14 @@
 use crate::clock::Clock;
 use crate::gateway::AnswerBody;
 
-/// Why a connection is closed on a caller that does not read.
+/// Why the connection of a caller that does not read is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reason {
-    /// It read nothing for as long as its route allows.
+    /// The caller read nothing during the timeout of its route.
     Stalled,
-    /// The time of a stream was over, and the caller had not read what came before.
+    /// The time of a stream is over and the caller has not read the earlier bytes.
     Late,
-    /// Memory was short, and it read least.
+    /// Memory is short, and this caller reads slowest.
     Memory,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Callers {
-    /// Nobody is connected yet.
+    /// Creates the state without connections.
     pub fn new(bounds: BacklogBounds, clock: Clock, metrics: Rc<Metrics>) -> Self {
         Self(Rc::new(Shared {
             backlog: RefCell::new(Backlog::new(bounds)),
@@ -64,17 +64,18 @@
         }))
     }
 
-    /// How many bytes may be kept.
+    /// The limits of the buffered bytes.
     pub fn bounds(&self) -> BacklogBounds {
         self.0.backlog.borrow().bounds()
     }
 
-    /// Bytes that are kept for all callers.
+    /// The bytes that are buffered for all callers.
     pub fn kept_bytes(&self) -> usize {
         self.0.backlog.borrow().total()
     }
 
-    /// Takes in a connection. `patience` is how long it may read nothing until a request says otherwise.
+    /// Adds a connection. `read_timeout` is how long the caller may read nothing until a request sets another
+    /// value.
     pub fn connect(&self, patience: Duration) -> Rc<Caller> {
         let id = self.0.backlog.borrow_mut().open();
         let caller = Rc::new(Caller {
@@ -112,7 +113,7 @@
     callers: Callers,
     id: ConnectionId,
     patience: Cell<Duration>,
-    /// Until when a runner may work on the stream under way.
+    /// Until when a runner may work on the current stream.
     stream_until: Cell<Option<Instant>>,
     is_dropped: Cell<bool>,
     /// Wakes the connection while it waits for its reader.
@@ -120,27 +121,27 @@
 }
 
 impl Caller {
-    /// How many bytes may be kept.
+    /// The limits of the buffered bytes.
     pub fn bounds(&self) -> BacklogBounds {
         self.callers.bounds()
     }
 
-    /// Keeps bytes of a request's body.
+    /// Accounts for bytes of a request's body.
     pub fn keep_body(&self, bytes: usize) -> Result<(), NoMemory> {
         self.callers.0.backlog.borrow_mut().keep_body(self.id, bytes)
     }
 
-    /// The body is not needed any more.
+    /// Releases the body of the request.
     pub fn release_body(&self) {
         self.callers.0.backlog.borrow_mut().release_body(self.id);
     }
 
-    /// How long the caller may read nothing.
+    /// Sets how long the caller may read nothing.
     pub fn set_patience(&self, patience: Duration) {
         self.patience.set(patience);
     }
 
-    /// Until when a runner may work on the stream under way. `None` when there is none.
+    /// Sets until when a runner may work on the current stream. `None` if there is no stream.
     pub fn set_stream_until(&self, until: Option<Instant>) {
         self.stream_until.set(until);
     }
@@ -155,7 +156,7 @@
         self.callers.0.backlog.borrow_mut().note_read(self.id, bytes);
     }
 
-    /// When a caller that reads nothing since a moment is waited for no longer, and why.
+    /// When and why a caller that has read nothing since `since` is disconnected.
     fn limit(&self, since: Instant) -> (Instant, Reason) {
         let stalled = since + self.patience.get();
         match self.stream_until.get() {
@@ -178,18 +179,18 @@
     }
 }
 
-/// A connection whose reader is waited for within bounds.
+/// A connection whose writes time out if the caller does not read.
 pub struct CallerStream<S> {
     stream: S,
     caller: Rc<Caller>,
-    /// Since when the reader takes nothing.
+    /// Since when the caller has accepted no bytes.
     blocked: Option<Instant>,
-    /// Wakes the connection when the reader is waited for no longer.
+    /// Wakes the connection when the timeout expires.
     timer: Option<(Instant, Timer)>,
 }
 
 impl<S> CallerStream<S> {
-    /// The stream of a caller's connection.
+    /// Wraps the stream of a caller's connection.
     pub fn new(stream: S, caller: Rc<Caller>) -> Self {
         Self { stream, caller, blocked: None, timer: None }
     }
@@ -208,7 +209,8 @@
         }
         if let Some((_, timer)) = &mut self.timer {
             if timer.poll(cx).is_ready() {
-                // The machine's timer may run ahead of the clock of the process: it is asked again.
+                // The timer of the machine may be ahead of the process's clock, so the deadline is checked
+                // again.
                 self.timer = None;
                 cx.waker().wake_by_ref();
             }
@@ -256,14 +258,14 @@
     }
 }
 
-/// The body of an answer whose bytes count as kept until they are read.
+/// The body of an answer whose bytes are accounted for until they are read.
 pub struct CountedBody {
     body: AnswerBody,
     caller: Rc<Caller>,
 }
 
 impl CountedBody {
-    /// The body of an answer to a caller.
+    /// Wraps the body of an answer to a caller.
     pub fn new(body: AnswerBody, caller: Rc<Caller>) -> Self {
         Self { body, caller }
     }
--- a/components/edge/src/caller/tests.rs
+++ b/components/edge/src/caller/tests.rs
@@ -1,4 +1,4 @@
-//! Callers that read slowly, over connections in memory that hold few bytes.
+//! Tests of callers that read slowly, over in-memory connections with small buffers.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -27,17 +27,17 @@
 use crate::gateway::{whole_body, AnswerBody};
 use crate::server::{serve_connection, ServerOptions};
 
-/// Memory of the process.
+/// Memory of the process, in MB.
 const MEMORY_MB: u64 = 112;
-/// Bytes of a large plain answer.
+/// Size of a large plain answer, in bytes.
 const LARGE: usize = 100_000;
-/// Bytes that a connection holds in each direction.
+/// Bytes that a connection buffers in each direction.
 const WINDOW: usize = 4096;
-/// Callers of each kind.
+/// Number of callers of each kind.
 const CALLERS: usize = 200;
 /// How long a caller may read nothing.
 const PATIENCE: Duration = Duration::from_millis(700);
-/// After this a caller that does not read can be told from one that has just begun.
+/// Time after which a caller that does not read differs from one that has just started.
 const SHOWN: Duration = Duration::from_millis(200);
 const IDLE: Duration = Duration::from_secs(20);
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
@@ -127,7 +127,7 @@
     Response::new(whole_body(vec![7; LARGE]))
 }
 
-/// Reads a whole answer and gives how many bytes came.
+/// Reads a whole answer and returns the number of bytes received.
 async fn read_all(mut end: End) -> usize {
     end.write_all(REQUEST).await.unwrap();
     let (mut read, mut buffer) = (0, [0; WINDOW]);
@@ -140,7 +140,7 @@
     read
 }
 
-/// Reads a byte a second for as long as bytes come.
+/// Reads one byte a second until the connection ends.
 async fn read_slowly(mut end: End) {
     end.write_all(REQUEST).await.unwrap();
     while let Ok(1) = end.read(&mut [0; 1]).await {
@@ -148,13 +148,13 @@
     }
 }
 
-/// The processor time that this thread has had. Other processes of the machine take none of it.
+/// The processor time used by this thread. It does not include other processes on the machine.
 fn processor_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// How much processor time so many callers take that read at once: nothing else is waited for here.
+/// The processor time that serving `CALLERS` fast readers takes. Nothing else runs meanwhile.
 async fn time_of_quick(stage: &Stage) -> Duration {
     let begun = processor_time();
     let reading: Vec<_> =
@@ -174,7 +174,7 @@
         for _ in 0..CALLERS {
             beside.executor.spawn(read_slowly(beside.connect(large))).detach();
         }
-        // They have shown by then that they are slow.
+        // By now the slow readers are recognised as slow.
         Timer::after(SHOWN).await;
         let (callers, seen) = (beside.callers.clone(), most.clone());
         let watch = async move {
@@ -215,7 +215,7 @@
     assert_eq!(stage.callers.kept_bytes(), 0);
 }
 
-/// Tells when it is dropped, as the connection to a runner is closed then.
+/// Records when it is dropped, which is when the connection to a runner is closed.
 struct Runner(Rc<RefCell<Option<Instant>>>);
 
 impl Drop for Runner {
@@ -224,7 +224,7 @@
     }
 }
 
-/// A stream without end, made for as long as somebody reads it.
+/// An endless stream that produces data for as long as it is read.
 fn endless(runner: Runner) -> Response<AnswerBody> {
     let frames = stream::unfold(runner, |runner| async move {
         let frame: Result<_, Error> = Ok(Frame::data(Bytes::from(vec![7; WINDOW])));
--- a/components/edge/src/clock.rs
+++ b/components/edge/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time of a process.
+//! The monotonic clock of a process.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
     start: Instant,
 }
 
-/// What the clock shows at the start: moments before it can then be told from zero.
+/// The clock's value at the start. It is not zero, so that times before the start can be told from zero.
 const START_MS: u64 = 1_000_000;
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Self {
         Self { start: Instant::now() }
     }
 
-    /// The time in milliseconds.
+    /// The current time in milliseconds.
     pub fn now(&self) -> Millis {
         Millis(START_MS + self.start.elapsed().as_millis() as u64)
     }
 
-    /// When a time of this clock comes.
+    /// Converts a time of this clock to an instant.
     pub fn instant(&self, at: Millis) -> Instant {
         self.start + Duration::from_millis(at.0.saturating_sub(START_MS))
     }
--- a/components/edge/src/era.rs
+++ b/components/edge/src/era.rs
@@ -1,7 +1,7 @@
-//! The era of the platform's store: it rises each time the store comes back from an older copy.
+//! The era of the platform's store: it increases each time the store is restored from an older copy.
 //!
-//! What was written since the copy is gone then, and revisions are given out again, so no revision of an earlier era says
-//! anything of the store as it is. See `docs/design/era.md`.
+//! Everything written after the copy is lost then, and its revisions are assigned again, so a revision of an
+//! earlier era says nothing about the present content of the store. See `docs/design/era.md`.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use platform::store;
 use telemetry::Metrics;
 
-/// The highest era that an answer of the store told, shared by all calls of a process.
+/// The highest era found in an answer of the store, shared by all calls of a process.
 pub struct Era {
     current: Cell<Option<u64>>,
     tasks: RefCell<Vec<Sender<()>>>,
@@ -20,33 +20,35 @@
 }
 
 impl Era {
-    /// Nothing has been told yet.
+    /// Creates the state before the first answer.
     pub fn new(metrics: Rc<Metrics>) -> Self {
         Self { current: Cell::default(), tasks: RefCell::default(), metrics }
     }
 
-    /// The highest era that was told. `None` where the store tells none.
+    /// The highest era received. `None` if the store sends none.
     pub fn current(&self) -> Option<u64> {
         self.current.get()
     }
 
-    /// Told of each rise, and whenever the store is to be asked at once.
+    /// A channel that receives a message on each increase of the era, and whenever the store has to be called
+    /// at once.
     pub fn calls(&self) -> Receiver<()> {
         let (task, calls) = async_channel::bounded(1);
         self.tasks.borrow_mut().push(task);
         calls
     }
 
-    /// Has every task that waits for the store ask it at once.
+    /// Makes every task that waits for the store call it at once.
     pub fn call_all(&self) {
         for task in self.tasks.borrow().iter() {
-            // One that waits already is enough.
+            // One pending message is enough.
             let _ = task.try_send(());
         }
     }
 
-    /// Takes in the head of an answer and gives its era. An answer of an earlier era than one that was told, or without
-    /// one where one was, is an error: what it says is not of the store as it is.
+    /// Records the era in the headers of an answer and returns it. An answer with a lower era than the
+    /// highest one received, or without an era after one with it, is an error: it does not describe the
+    /// present content of the store.
     pub fn note(&self, headers: &HeaderMap) -> Result<Option<u64>> {
         let told = store::read_era(headers)?;
         let known = self.current.get();
--- a/components/edge/src/era/tests.rs
+++ b/components/edge/src/era/tests.rs
@@ -1,4 +1,4 @@
-//! Eras that rise, and answers that cross.
+//! Tests of increasing eras and of answers that arrive out of order.
 
 use http::HeaderValue;
 
--- a/components/edge/src/evacuated.rs
+++ b/components/edge/src/evacuated.rs
@@ -1,4 +1,4 @@
-//! The data halls that are evacuated, as the pages of the store's table tell it.
+//! The evacuated data halls, from the pages of the store's operator table.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 use platform::store::Change;
 use uptime::Instant;
 
-/// The rows of evacuations that the table holds.
+/// The evacuation rows of the table.
 #[derive(Debug, Default)]
 pub struct EvacuatedHalls {
-    /// When each was read from a feed that tells what has just happened. `None` where it may be older.
+    /// When each row was read from a feed of current changes. `None` if the evacuation may be older.
     began: BTreeMap<Hall, Option<Instant>>,
 }
 
 impl EvacuatedHalls {
-    /// Takes in a whole listing. A hall that it lacks has been taken back; for how long one that is new here has been
-    /// evacuated nobody knows.
+    /// Applies a complete listing. A hall that is missing in it is no longer evacuated. How long a hall that
+    /// is new in it has been evacuated is unknown.
     pub fn take_listing(
         &mut self,
         now: Instant,
@@ -34,8 +34,8 @@
         self.list(now, place)
     }
 
-    /// Takes in what a feed gave, and gives the halls where one of them changed. `late` tells whether it may have
-    /// happened some time ago.
+    /// Applies the changes of a feed. Returns the evacuated halls if one of them changed. `late` says whether
+    /// the changes may have happened some time ago.
     pub fn take_feed(
         &mut self,
         now: Instant,
--- a/components/edge/src/evacuated/tests.rs
+++ b/components/edge/src/evacuated/tests.rs
@@ -87,7 +87,7 @@
     gateway.reduce(now, 1, gateway::Event::Evacuations(list));
 }
 
-/// What a sidecar tells gateways after one of them told it what it knows.
+/// The list that a sidecar reports to gateways after it received the list of `from`.
 fn through(sidecar: &mut Rollout, now: Millis, from: &Gateway) -> EvacuationList {
     sidecar.reduce(now, rollout::Event::Evacuations(from.evacuations(now)));
     sidecar.evacuations().list(now)
@@ -104,7 +104,8 @@
     let told = through(&mut sidecar, later, &informed);
     tell(&mut refused, later, told);
     assert_eq!(ages(&refused.evacuations(later)), [("a", Some(400))]);
-    // What the refused one tells meanwhile is no newer, and does not undo the end.
+    // The disconnected gateway's own report is not newer meanwhile and must not undo the end of the
+    // evacuation.
     let list = halls.take_feed(started, 20.into(), &[Change::Reopened("a".into())], false).unwrap();
     tell(&mut informed, later, list);
     through(&mut sidecar, later, &informed);
@@ -133,7 +134,7 @@
         evacuated: vec![Evacuation { hall: "a".into(), age_ms: Some(2000) }],
     };
     sidecar.reduce(now, rollout::Event::Evacuations(known));
-    // The store has moved on when the row is read at last, so that the sidecar's list is an old one here.
+    // The store has moved on when the row is finally read, so the sidecar's list is older than the gateway's.
     tell(&mut slow, now, halls.take_feed(started, 15.into(), &[evacuated("a")], false).unwrap());
     tell(&mut slow, now, sidecar.evacuations().list(now));
     assert_eq!(ages(&slow.evacuations(now)), [("a", Some(0))]);
@@ -154,7 +155,7 @@
     for round in 0..100 {
         let asked = now.plus(round * 20);
         let told = through(&mut sidecar, asked, &gateways[round as usize % 2]);
-        // It arrives 10 ms later.
+        // The report arrives 10 ms later.
         gateways.iter_mut().for_each(|it| tell(it, asked.plus(10), told.clone()));
     }
     let end = now.plus(2000);
@@ -168,7 +169,7 @@
     let (mut fresh, mut sidecar) = (gateway(), sidecar());
     let old = EvacuatedHalls::default().take_listing(started, 10.into(), &[evacuated("a")]);
     sidecar.reduce(now, rollout::Event::Evacuations(old));
-    // The sidecar's word comes first: the row went while nobody followed the table.
+    // The sidecar's report arrives first. The row was deleted while nobody followed the table.
     tell(&mut fresh, now, sidecar.evacuations().list(now));
     assert_eq!(fresh.evacuations(now).evacuated.len(), 1);
     tell(&mut fresh, now, EvacuatedHalls::default().take_listing(started, 11.into(), &[]));
--- a/components/edge/src/exchange.rs
+++ b/components/edge/src/exchange.rs
@@ -1,6 +1,6 @@
-//! One connection to a server, polled by whoever waits for it.
+//! An HTTP/1 connection to a server, polled by the task that waits for it.
 //!
-//! A connection has no task of its own: a frame then costs one wake-up, and dropping the exchange
+//! The connection has no task of its own: a frame then costs a single wake-up, and dropping the connection
 //! closes the socket, which frees the runner at once.
 
 use std::future::{poll_fn, Future};
@@ -24,10 +24,11 @@
 
 /// How long a peer may leave sent bytes unacknowledged, in milliseconds.
 const USER_TIMEOUT_MS: u32 = 4000;
-/// How long a connection rests before its peer is probed, and between two probes: the shortest that the
-/// system takes. A peer that was cut off says nothing, and the store is waited for in silence.
+/// Idle time before the peer is probed with TCP keep-alive, and interval between probes: the shortest that
+/// the system accepts. A peer that is cut off sends nothing, and a feed call waits for the store without
+/// traffic.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is lost.
+/// Unanswered probes after which a connection is considered lost.
 const PROBES: u32 = 2;
 
 type ClientConnection = Connection<FuturesIo<TcpStream>, Full<Bytes>>;
@@ -70,7 +71,7 @@
         answer.await.map_err(|error| Error::new(Code::ConnectionLost, error.to_string()))
     }
 
-    /// Waits for the next bytes of a body. `None` when it is whole.
+    /// Waits for the next bytes of a body. `None` at its end.
     pub async fn next(&mut self, body: &mut Incoming) -> Option<Result<Bytes>> {
         let Self { connection, ended, .. } = self;
         let frame = poll_fn(|cx| {
@@ -98,14 +99,14 @@
     }
 }
 
-/// Lets a connection do what it can.
+/// Polls the connection, so that it reads and writes what it can.
 fn drive(connection: &mut Pin<Box<ClientConnection>>, ended: &mut bool, cx: &mut Context<'_>) {
     if !*ended && connection.as_mut().poll(cx).is_ready() {
         *ended = true;
     }
 }
 
-/// Opens a TCP connection within a time.
+/// Opens a TCP connection with a timeout.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpStream> {
     let stream = within(Instant::now() + timeout, TcpStream::connect(address)).await;
     let stream = stream
@@ -115,7 +116,8 @@
     Ok(stream)
 }
 
-/// Sets what every connection needs. What a system refuses is only slower.
+/// Sets the socket options of every connection. Errors are ignored: a connection without these options only
+/// works less well.
 pub fn prepare(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = sockopt::set_tcp_user_timeout(stream, USER_TIMEOUT_MS);
@@ -125,7 +127,7 @@
     let _ = sockopt::set_tcp_keepcnt(stream, PROBES);
 }
 
-/// Waits for a future until a moment. `None` when the moment comes first.
+/// Waits for a future until a deadline. `None` if the deadline passes first.
 pub async fn within<T>(until: Instant, future: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(future.await) }, async {
         uptime::sleep_until(until).await;
--- a/components/edge/src/freshness/tests.rs
+++ b/components/edge/src/freshness/tests.rs
@@ -6,7 +6,7 @@
 const LATE: Duration = Duration::from_millis(700);
 const ROUND_TRIP: Duration = Duration::from_millis(4);
 
-/// A question and its answer, both seen here, and what the store's clock showed when the answer was made.
+/// Timing of a call, as seen by this process, with the store's clock at the time the answer was produced.
 fn answer(asked: Instant, took: Duration, waited: Option<Duration>, clock_ms: u64) -> Arrival {
     Arrival { asked, arrived: asked + took, waited, clock_ms: Some(clock_ms), told: None }
 }
@@ -37,7 +37,7 @@
     let mut freshness = Freshness::default();
     let first = freshness.take(&answer(asked, WAIT + ROUND_TRIP, Some(WAIT), 5000));
     let next = first + Duration::from_millis(250);
-    // Made 1.2 s after the question, delivered late.
+    // Produced 1.2 s after the call, delivered late.
     let took = Duration::from_millis(1200) + LATE;
     assert_eq!(freshness.take(&answer(next, took, None, 6450)), next + Duration::from_millis(1200));
 }
--- a/components/edge/src/lapses.rs
+++ b/components/edge/src/lapses.rs
@@ -1,9 +1,9 @@
 //! Runners that are missing from the list when the store is back after an outage.
 //!
-//! Entries lapse while their runners cannot reach the store. Those that live write again within two
-//! seconds of its return; taking them off at once would leave nobody to serve. Such an outage takes most
-//! entries with it. A single one that is missing has left, and is believed gone at once: where only this
-//! machine was cut off, the store has been right all along.
+//! Rows expire while their runners cannot reach the store. Live runners write them again within two seconds
+//! after its return; removing them at once would leave no runner to serve requests. Such an outage removes
+//! most rows. A single missing runner has left, and is removed at once: if only this machine was
+//! disconnected, the store has been right all along.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,34 +11,35 @@
 use fleet::InstanceId;
 use uptime::Instant;
 
-/// How long after its return the store's word that a runner is gone is not yet believed: two seconds for
-/// the runner to write again, and half a second for us to hear of it.
+/// How long after the store's return runners that it no longer lists are kept: two seconds for the runner to
+/// write its row again, and half a second until this process receives it.
 const GRACE: Duration = Duration::from_millis(2500);
 
-/// The runners that the store does not list since it is back.
+/// The runners that are missing from the list since the store is back.
 #[derive(Debug, Default)]
 pub struct Lapses {
     back_at: Option<Instant>,
-    /// Whether it came back from an older copy: then each single entry may be lost that was written since.
+    /// Whether the store was restored from an older copy. Then any single row written after the copy may be
+    /// lost.
     from_copy: bool,
     missing: BTreeSet<InstanceId>,
 }
 
 impl Lapses {
-    /// The store answers again after it did not.
+    /// Records that the store answers again after an outage.
     pub fn note_return(&mut self, now: Instant) {
         self.back_at = Some(now);
         self.from_copy = false;
     }
 
-    /// The store came back from an older copy.
+    /// Records that the store was restored from an older copy.
     pub fn note_copy(&mut self, now: Instant) {
         self.back_at = Some(now);
         self.from_copy = true;
     }
 
-    /// Takes in that a runner is no longer listed, one of `gone` at once out of `known`, and tells whether that
-    /// is to be believed later only.
+    /// Handles a runner that is no longer listed, where `gone` of `known` runners disappeared at once.
+    /// Returns whether its removal is delayed.
     pub fn hold(&mut self, now: Instant, id: &InstanceId, gone: usize, known: usize) -> bool {
         if self.is_over(now) || (2 * gone < known && !self.from_copy) {
             return false;
@@ -47,12 +48,12 @@
         true
     }
 
-    /// Takes in that a runner is listed.
+    /// Records that a runner is listed.
     pub fn note_listed(&mut self, id: &InstanceId) {
         self.missing.remove(id);
     }
 
-    /// The runners that are gone for good by now.
+    /// Removes and returns the runners whose delay is over.
     pub fn take_due(&mut self, now: Instant) -> BTreeSet<InstanceId> {
         if self.is_over(now) {
             std::mem::take(&mut self.missing)
@@ -61,7 +62,7 @@
         }
     }
 
-    /// How long until the missing ones are gone, if some are missing.
+    /// The time until the missing runners are removed, if there are any.
     pub fn left(&self, now: Instant) -> Option<Duration> {
         let back_at = self.back_at.filter(|_| !self.missing.is_empty())?;
         Some((back_at + GRACE).saturating_duration_since(now))
--- a/components/edge/src/lateness.rs
+++ b/components/edge/src/lateness.rs
@@ -1,12 +1,12 @@
-//! Whether what the store tells may have happened long ago.
+//! Whether the changes that the store sends may have happened long ago.
 //!
-//! After the store was silent its feed gives what happened meanwhile in several answers, and only the first one of
-//! them comes behind a silence. All of them are old news until an answer shows that nothing older is left.
+//! After a time without answers the store's feed returns the missed changes in several answers, and only the
+//! first of these follows the gap. All of them are old until an answer shows that nothing older is left.
 
-/// What is known of the age of the store's news.
+/// Whether a feed is still catching up.
 #[derive(Debug)]
 pub struct Lateness {
-    /// Whether news from before a silence may still come.
+    /// Whether changes from before a gap may still arrive.
     behind: bool,
 }
 
@@ -18,18 +18,18 @@
 }
 
 impl Lateness {
-    /// What is told next may have happened at any time: the store came back from an older copy.
+    /// Marks the following changes as possibly old: the store was restored from an older copy.
     pub fn note_gap(&mut self) {
         self.behind = true;
     }
 
-    /// Takes in a listing. `was_silent` tells whether the store had not answered for longer than usual.
+    /// Records a listing. `was_silent` says whether the store had not answered for longer than usual.
     pub fn take_listing(&mut self, was_silent: bool) {
         self.behind |= was_silent;
     }
 
-    /// Takes in the answer to a feed, and tells whether what it holds is old. Only an empty one shows that nothing older is
-    /// left: one that came late may have been made late.
+    /// Records the answer to a feed call and returns whether its changes are old. Only an empty answer shows
+    /// that nothing older is left: one that arrived late may have been produced late.
     pub fn take_feed(&mut self, was_silent: bool, is_empty: bool) -> bool {
         self.behind |= was_silent;
         let is_old = self.behind;
--- a/components/edge/src/lateness/tests.rs
+++ b/components/edge/src/lateness/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `lateness`.
+//! Tests of `catch_up`.
 
 use super::*;
 
-/// A process that has read its tables and hears a change when it happens.
+/// A feed that has read its tables and receives changes as they happen.
 fn calm() -> Lateness {
     let mut lateness = Lateness::default();
     lateness.take_listing(true);
@@ -10,8 +10,8 @@
     lateness
 }
 
-/// Found on trouble-3 of mizani-tips-now-grown: two versions were named while the store was out. They came in two
-/// answers, and the second one was taken for news of that moment, six seconds after it had been named.
+/// Guards against dating a version too late. Two versions that are named during an outage of the store arrive
+/// in two answers; the second one, taken for a current change, was dated six seconds late.
 #[test]
 fn every_answer_behind_a_silence_is_old_until_nothing_is_left() {
     let mut lateness = calm();
--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -1,5 +1,5 @@
-//! Drivers of gateways and sidecars on the users' platform: they carry out what the reducers of
-//! `gateway` and `rollout` decide.
+//! Drivers of gateways and sidecars on the users' platform: they execute the decisions of the reducers in
+//! `gateway` and `rollout`.
 
 mod additions;
 mod answer_log;
--- a/components/edge/src/life_log.rs
+++ b/components/edge/src/life_log.rs
@@ -1,10 +1,10 @@
-//! Logs and counts what words about runners tell of their lives.
+//! Logs and counts restarts of runners, as seen in reports about them.
 
 use fleet::LifeChange;
 use gateway::LifeNews;
 use telemetry::Metrics;
 
-/// Logs and counts a word that is not of the life that is known.
+/// Logs and counts a report that belongs to another start of the runner's process than the known one.
 pub fn note_life(metrics: &Metrics, news: &LifeNews) {
     let runner = news.runner.0.as_str();
     let (born, known) = (news.told.born, news.known_born);
--- a/components/edge/src/link.rs
+++ b/components/edge/src/link.rs
@@ -1,4 +1,4 @@
-//! Calls to one server over a kept connection.
+//! HTTP calls to one server over a kept-alive connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 impl CallAnswer {
-    /// The body of an answer with status 200.
+    /// The body of an answer with status 200, otherwise an error.
     pub fn success(self) -> Result<Vec<u8>> {
         match self.status {
             200 => Ok(self.body),
@@ -38,56 +38,56 @@
     }
 }
 
-/// How long a connection may take to come up. A server that is out says nothing, and what waits for it
-/// longer is still waiting when it is back.
+/// How long opening a connection may take. A server that is down sends nothing, and a longer timeout would
+/// still run when the server is back.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a resting connection is kept.
+/// How long an idle connection is kept.
 const KEPT_FOR: Duration = Duration::from_millis(1000);
 
-/// A server that is called one call after the other. A connection on which a call failed is closed.
+/// A client that makes one call at a time to a server. A connection on which a call failed is closed.
 pub struct Link {
     address: SocketAddr,
     exchange: Option<(Exchange, Instant)>,
 }
 
 impl Link {
-    /// A link to a server, not yet connected.
+    /// Creates a client without a connection.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, exchange: None }
     }
 
-    /// Closes a connection that has rested for so long: servers bound how many they keep.
+    /// Closes the connection if it has been idle for `idle`: servers limit how many they keep.
     pub fn close_if_rested(&mut self, rest: Duration) {
         self.exchange.take_if(|(_, since)| since.elapsed() >= rest);
     }
 
-    /// Whether a connection is kept.
+    /// Whether an idle connection is kept.
     pub fn is_connected(&self) -> bool {
         self.exchange.is_some()
     }
 
-    /// Where the server listens.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes a call within a time.
+    /// Makes a call within a timeout.
     pub async fn call(&mut self, call: Call, timeout: Duration) -> Result<CallAnswer> {
         let until = Instant::now() + timeout;
         let late = || Error::new(Code::TimedOut, "no answer in time");
         within(until, self.call_patiently(call, timeout, timeout)).await.ok_or_else(late)?
     }
 
-    /// Makes a call whose answer must begin within `begin` and may take as long as bytes come, with no
-    /// pause longer than `pause`. Ending a large answer on a narrow link only to ask for it again would
-    /// never get it.
+    /// Makes a call whose answer must start within `begin` and may take as long as it likes after that, with
+    /// no pause longer than `pause`. A large answer on a narrow link would never arrive if it were cut off
+    /// and requested again.
     pub async fn call_patiently(
         &mut self,
         call: Call,
         begin: Duration,
         pause: Duration,
     ) -> Result<CallAnswer> {
-        // Taken out: a call that is given up on must not leave its connection behind.
+        // Taken out, so that a cancelled call does not leave its connection behind.
         let kept = self.exchange.take().filter(is_fresh).map(|(exchange, _)| exchange);
         let late = || Error::new(Code::TimedOut, "no answer in time");
         let begun = begin_call(self.address, kept, call, begin);
@@ -100,8 +100,8 @@
     }
 }
 
-/// Whether a kept connection can be used again. Servers close those that rest, and nobody polls them
-/// meanwhile.
+/// Whether a kept connection can be used again. Servers close idle connections, and the connection is not
+/// polled meanwhile.
 fn is_fresh((exchange, since): &(Exchange, Instant)) -> bool {
     exchange.is_open() && since.elapsed() < KEPT_FOR
 }
@@ -121,7 +121,7 @@
     Ok((exchange, answer))
 }
 
-/// Reads a body of at most `ANSWER_BYTES` whose bytes come with no pause longer than `pause`.
+/// Reads a body of at most `MAX_ANSWER_BYTES` bytes, with no pause between them longer than `pause`.
 async fn collect(exchange: &mut Exchange, body: &mut Incoming, pause: Duration) -> Result<Vec<u8>> {
     let mut whole = Vec::new();
     loop {
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -1,4 +1,4 @@
-//! A table of the platform's store, listed whole, and what cannot be read of it.
+//! Lists a complete table of the platform's store and reports its unreadable rows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::paging::{Haste, Paging};
 use crate::patience::Patience;
 
-/// The longest pause between two pieces of an answer. A large configuration may take seconds on a
-/// narrow link that others use too.
+/// The longest pause within an answer. A large configuration may take seconds on a narrow link that others
+/// use too.
 pub const PIECE_PAUSE: Duration = Duration::from_millis(900);
-/// The most rows that cannot be read of which is told, each by its key and what was wrong.
+/// The most unreadable rows that are logged, each with its key and the reason.
 const MOST_FAULTS: usize = 256;
 
 /// The name of a table's calls in the metrics.
@@ -31,23 +31,23 @@
     }
 }
 
-/// A table as it was listed.
+/// A listed table.
 pub struct Listing {
-    /// Where a feed goes on.
+    /// The position after which a feed continues.
     pub place: StorePlace,
-    /// What the store's clock showed, in milliseconds, if it told.
+    /// The store's clock, in milliseconds, if it was sent.
     pub clock_ms: Option<u64>,
-    /// What its rows say.
+    /// The content of its rows.
     pub changes: Vec<Change>,
-    /// What was wrong with rows that could not be read.
+    /// The errors of rows that could not be read.
     pub faults: Vec<Error>,
-    /// Its pages, as they came.
+    /// The undecoded pages.
     pub pages: Vec<Vec<u8>>,
-    /// How old its last page says that it is. `None` from the store.
+    /// The age of the last page as its sender reports it. `None` for the store.
     pub age: Option<ToldAge>,
 }
 
-/// Lists a whole table. All pages are of one era, or the listing has failed.
+/// Lists a complete table. The listing fails if its pages are of different eras.
 pub async fn list(
     link: &mut Link,
     table: Table,
@@ -61,7 +61,7 @@
     listed
 }
 
-/// What a listing has taken so far.
+/// The time and size of a listing so far.
 struct ListingCost {
     begun: Instant,
     pages: u64,
@@ -110,7 +110,7 @@
         let page = store::read(table, &body)?;
         pages.push(body);
         faults.extend(page.faults);
-        // Changes behind the first page's version may be missing on it, so the feed starts there.
+        // Changes after the first page's revision may be missing on that page, so the feed starts there.
         let place = StorePlace { era, revision: page.revision };
         let (place, clock_ms) = *first.get_or_insert((place, page.clock_ms));
         if place.era != era {
@@ -130,7 +130,8 @@
     }
 }
 
-/// Reads the next page. What operators write has few rows, and some of them are large.
+/// The call for the next page. The operator table has few rows, some of them large, so its pages are not
+/// limited.
 fn page_call(table: Table, from: &str, paging: &Paging) -> Call {
     match table {
         Table::Operator | Table::Versions => store::list(table, from),
@@ -138,7 +139,7 @@
     }
 }
 
-/// Logs rows that cannot be read: what they say is not in force here.
+/// Logs unreadable rows, whose content is not in force here.
 pub fn log_faults(table: Table, faults: &[Error]) {
     let table = format!("{table:?}");
     for fault in faults {
@@ -147,19 +148,19 @@
     }
 }
 
-/// Rows that could not be read and were told of: once, and not at every reading.
+/// The unreadable rows that were already logged, so that each is logged once and not at every reading.
 #[derive(Debug, Default)]
 pub struct ToldFaults(BTreeSet<String>);
 
 impl ToldFaults {
-    /// Tells of the faults of a whole listing. Those that it lacks are over.
+    /// Logs the new errors of a complete listing. Errors that are missing in it are resolved.
     pub fn tell_all(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
         let listed: BTreeSet<String> = faults.iter().map(Error::to_string).collect();
         self.0.retain(|it| listed.contains(it));
         self.tell(table, metrics, faults);
     }
 
-    /// Logs and counts the faults that are new.
+    /// Logs and counts new errors.
     pub fn tell(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
         for fault in faults {
             if self.0.len() < MOST_FAULTS && self.0.insert(fault.to_string()) {
--- a/components/edge/src/message.rs
+++ b/components/edge/src/message.rs
@@ -16,115 +16,116 @@
 /// The largest frame over TCP, in bytes.
 const MAX_FRAME_BYTES: u32 = 4 << 20;
 
-/// A datagram.
+/// A message sent as a single UDP datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A gateway wants to hear of the load of the runner beside the receiver.
+    /// A gateway subscribes to the load of the receiver's runner.
     Subscribe {
-        /// Where the gateway stands: those in the receiver's data hall hear of the load more often.
+        /// The data hall of the gateway: gateways in the receiver's hall receive the load more often.
         hall: Hall,
-        /// The versions that the gateway knows to be named: a sidecar that does not reach the store
-        /// hears of them here.
+        /// The named versions that the gateway knows: a sidecar that does not reach the store learns them
+        /// from this.
         named: Vec<NamedVersion>,
-        /// What its configuration says of the weights of each model service. Empty until the gateway
-        /// has read it.
+        /// What its configuration says about the weights of each model service. Empty until the gateway has
+        /// read it.
         services: Vec<WeightsService>,
         /// The data halls that are evacuated.
         evacuations: EvacuationList,
-        /// How much longer the runner beside the receiver is cold by the list, in milliseconds. Zero only from
-        /// a gateway that hears the store; `None` where nobody can tell, or runners do not start cold.
+        /// How much longer the receiver's runner is cold by the runner list, in milliseconds. Zero only from
+        /// a gateway that is connected to the store; `None` if it is unknown, or runners do not start cold.
         cold_ms: Option<u32>,
-        /// Requests that runners crashed under: what changed lately, and one more.
+        /// Requests that crashed runners: recent changes, and one more request.
         crashes: CrashList,
-        /// Whether the gateway wants to know the gateways that the receiver hears.
+        /// Whether the gateway asks for the gateways that the receiver knows.
         wants_gateways: bool,
-        /// Rate limits of runners that the gateway knows of. They ride behind the message.
+        /// Rate limits of runners that the gateway knows. Sent as an extension.
         #[serde(skip)]
         limits: Vec<LifeLimit>,
-        /// What the store's clock shows as this is sent, in milliseconds, as far as the sender knows. It rides behind the
-        /// message.
+        /// The store's clock at the time of sending, in milliseconds, as far as the sender knows it. Sent as
+        /// an extension.
         #[serde(skip)]
         clock_ms: Option<u64>,
     },
-    /// The gateways that the sender hears.
+    /// The gateways that the sender knows.
     Gateways(GatewayList),
-    /// The requests that two runners or more crashed under, for whoever wants to know the gateways: both are what one
-    /// that has just started lacks, and they fill a datagram each.
+    /// The requests that crashed two or more runners, for a gateway that asked for the known gateways: a
+    /// gateway that has just started lacks both, and each of them fills a datagram.
     Crashes {
         /// The requests.
         crashes: CrashList,
-        /// Rate limits of runners that gateways heard of. They ride behind the message.
+        /// Rate limits of runners that gateways have received. Sent as an extension.
         #[serde(skip)]
         limits: Vec<LifeLimit>,
     },
-    /// The load of the runner beside the sender.
+    /// The load of the sender's runner.
     Load {
-        /// Where the runner listens.
+        /// The address of the runner.
         runner: SocketAddr,
         /// Its load.
         load: RunnerLoad,
-        /// The data halls that are evacuated: a gateway that the store refuses hears of them here.
+        /// The data halls that are evacuated: a gateway that the store rejects learns them from this.
         evacuations: EvacuationList,
-        /// Requests that two runners or more crashed under, where that changed lately.
+        /// Requests that crashed two or more runners, if that changed lately.
         crashes: CrashList,
-        /// What the store's clock shows as this is sent, in milliseconds, where a version that is named is dated by it. It
-        /// rides behind the message.
+        /// The store's clock at the time of sending, in milliseconds, if it dates a named version. Sent as an
+        /// extension.
         #[serde(skip)]
         clock_ms: Option<u64>,
     },
-    /// A gateway wants to send a request to the runner beside the receiver.
+    /// A gateway asks for a slot at the receiver's runner, to send a request to it.
     Reserve {
-        /// Names the question.
+        /// Identifies the question.
         question: u64,
-        /// The request, by the id that its caller gave it, for the log.
+        /// The request, by the id from its caller, for the log.
         request: String,
-        /// Tokens of the request's prompt.
+        /// The number of tokens of the request's prompt.
         prompt_tokens: u32,
-        /// The rank of the request; zero goes first.
+        /// The rank of the request; the lowest is served first.
         rank: u8,
-        /// What is left of the request's aim, in milliseconds. Zero for a later try of a caller that was refused.
+        /// What is left of the request's latency target, in milliseconds. Zero for a retry of a caller that
+        /// was refused.
         left_ms: u32,
-        /// How long the question may wait for a place, in milliseconds.
+        /// How long the question may be queued, in milliseconds.
         wait_ms: u64,
-        /// What the gateway heard of the runner's rate limit, lately. It rides behind the message.
+        /// The runner's rate limit that the gateway received lately. Sent as an extension.
         #[serde(skip)]
         limit: Option<ToldLimit>,
     },
-    /// The answer to a question for a place.
+    /// The answer to `Reserve`.
     Reserved {
-        /// The question.
+        /// Identifies the question.
         question: u64,
         /// The answer.
         reply: Reply,
-        /// The load of the runner, with the place that was given. `None` before its first report.
+        /// The load of the runner, including the granted slot. `None` before its first report.
         load: Option<RunnerLoad>,
         /// The data halls that are evacuated.
         evacuations: EvacuationList,
-        /// The rate limit that the sidecar keeps the runner's places to. It rides behind the message: `None` also from
-        /// a sidecar that keeps to none.
+        /// The rate limit that the sidecar applies to the runner's slots. Sent as an extension: `None` also
+        /// if the sidecar applies none.
         #[serde(skip)]
         limit: Option<ToldLimit>,
     },
-    /// A sidecar wants to know the other sidecars of its service.
+    /// A sidecar asks for the other sidecars of its service.
     WantSidecars {
-        /// Names the question.
+        /// Identifies the question.
         question: u64,
         /// The service.
         service: ServiceName,
     },
-    /// A part of the answer to that.
+    /// A part of the answer to `WantSidecars`.
     Sidecars(SidecarsPart),
-    /// The sender has just given its runner an order.
+    /// The sender has just sent its runner an order.
     Ordered,
-    /// A sidecar that has just started asks who gave the last order.
+    /// A sidecar that has just started asks who sent the last order.
     WhoOrdered,
-    /// The receiver gave the last order that the sender knows of.
+    /// As far as the sender knows, the receiver sent the last order.
     YouOrderedLast,
-    /// The sender holds these chunks of a version.
+    /// The chunks of a version that the sender holds.
     Summary {
-        /// Who.
+        /// The sender.
         from: InstanceId,
-        /// Where it stands.
+        /// Its location.
         place: Place,
         /// The version.
         version: u64,
@@ -134,7 +135,7 @@
 }
 
 impl Datagram {
-    /// The list of evacuations in it.
+    /// Its list of evacuations.
     pub fn evacuations(&self) -> Option<&EvacuationList> {
         match self {
             Self::Subscribe { evacuations, .. }
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The list of evacuations in it, to change it.
+    /// Its list of evacuations, mutably.
     pub fn evacuations_mut(&mut self) -> Option<&mut EvacuationList> {
         match self {
             Self::Subscribe { evacuations, .. }
@@ -156,7 +157,8 @@
 }
 
 impl Datagram {
-    /// How long places have been short at a runner that has none, in milliseconds, as its sidecar tells.
+    /// How long slots have been scarce at a runner that has none free, in milliseconds, as its sidecar
+    /// reports.
     pub fn short_ms(&self) -> Option<u32> {
         match self {
             Self::Reserved { reply: Reply::Denied { short_ms, .. }, .. } => *short_ms,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Takes that in.
+    /// Sets `short_ms` of a denial.
     pub fn set_short_ms(&mut self, told: Option<u32>) {
         if let Self::Reserved { reply: Reply::Denied { short_ms, .. }, .. } = self {
             *short_ms = told;
@@ -173,7 +175,7 @@
 }
 
 impl Datagram {
-    /// What it tells of the rate limit of the runner beside the sidecar.
+    /// The rate limit of the sidecar's runner in it.
     pub fn limit(&self) -> Option<ToldLimit> {
         match self {
             Self::Reserve { limit, .. } | Self::Reserved { limit, .. } => *limit,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Takes that in.
+    /// Sets the rate limit of the sidecar's runner.
     pub fn set_limit(&mut self, told: Option<ToldLimit>) {
         if let Self::Reserve { limit, .. } | Self::Reserved { limit, .. } = self {
             *limit = told;
@@ -190,7 +192,7 @@
 }
 
 impl Datagram {
-    /// What it tells of the rate limits of runners.
+    /// The rate limits of runners in it.
     pub fn limits(&self) -> &[LifeLimit] {
         match self {
             Self::Subscribe { limits, .. } | Self::Crashes { limits, .. } => limits,
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Takes that in.
+    /// Sets the rate limits of runners.
     pub fn set_limits(&mut self, told: Vec<LifeLimit>) {
         if let Self::Subscribe { limits, .. } | Self::Crashes { limits, .. } = self {
             *limits = told;
@@ -206,18 +208,18 @@
     }
 }
 
-/// When the versions in a datagram were named, by the store's clock.
+/// The times at which the versions in a datagram were named, by the store's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionDates {
-    /// What the clock shows as the datagram is sent, in milliseconds.
+    /// The clock when the datagram is sent, in milliseconds.
     pub clock_ms: u64,
-    /// What it showed when each version had not been named yet, in milliseconds, in the datagram's order. `None` where the
-    /// store did not tell.
+    /// For each version, in the datagram's order, the clock at a time when it was not yet named, in
+    /// milliseconds. `None` if the store did not send it.
     pub after_ms: Vec<Option<u64>>,
 }
 
 impl Datagram {
-    /// When the versions in it were named.
+    /// The times at which its versions were named.
     pub fn version_dates(&self) -> Option<VersionDates> {
         match self {
             Self::Subscribe { clock_ms, named, .. } => {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Takes that in.
+    /// Sets the times at which its versions were named.
     pub fn set_version_dates(&mut self, told: Option<VersionDates>) {
         let (VersionDates { clock_ms: told_ms, after_ms }, clock_ms, named) = match (told, self) {
             (Some(told), Self::Subscribe { clock_ms, named, .. }) => {
@@ -248,16 +250,16 @@
     }
 }
 
-/// A part of a gateway's answer to a sidecar that wants to know the others.
+/// A part of a gateway's answer to a sidecar that asks for the other sidecars.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SidecarsPart {
-    /// The question.
+    /// Identifies the question.
     pub question: u64,
-    /// Which part this is, from zero.
+    /// The index of this part.
     pub part: u32,
-    /// How many parts the answer has.
+    /// The number of parts of the answer.
     pub parts: u32,
-    /// Whether the gateway hears the store, so that the list is the present one.
+    /// Whether the gateway is connected to the store, so that the list is current.
     pub fresh: bool,
     /// The data hall of the sidecars in this part.
     pub hall: Hall,
@@ -265,11 +267,12 @@
     pub sidecars: Vec<ListedSidecar>,
 }
 
-/// The number of parts of an answer that has yet to be known. An older receiver waits for the rest and asks again.
+/// The number of parts of an answer that is not known yet. An older receiver waits for the other parts and
+/// then asks again.
 const UNKNOWN_PARTS: u32 = u32::MAX;
 
 impl SidecarsPart {
-    /// The answer of a gateway that starts and does not know the sidecars yet.
+    /// The answer of a starting gateway that does not know the sidecars yet.
     pub fn pending(question: u64, hall: Hall) -> Self {
         Self { question, part: 0, parts: UNKNOWN_PARTS, fresh: false, hall, sidecars: Vec::new() }
     }
@@ -280,43 +283,43 @@
     }
 }
 
-/// A sidecar, as the list of runners has it.
+/// A sidecar in the list of runners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedSidecar {
-    /// Its machine.
+    /// The address of its machine.
     pub machine: IpAddr,
     /// The version of which its runner holds every layer.
     pub version: Option<u64>,
 }
 
-/// What a gateway hears to its question for a place.
+/// The reply to a gateway's reservation of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The request may be sent now.
     Granted,
-    /// The question waits. Another answer follows.
+    /// The question is queued. Another reply follows.
     Queued,
-    /// The request is not to be sent there.
+    /// The request must not be sent there.
     Denied {
-        /// After how many milliseconds it is worth asking again.
+        /// The time after which it is worth asking again, in milliseconds.
         again_ms: u64,
-        /// How long places have been short there, in milliseconds. It rides behind the message: `None` from a sidecar
-        /// that does not tell.
+        /// How long slots have been scarce there, in milliseconds. Sent as an extension: `None` from a
+        /// sidecar that does not report it.
         #[serde(skip)]
         short_ms: Option<u32>,
     },
 }
 
-/// What the configuration says of the weights of a service.
+/// What the configuration says about the weights of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightsService {
     /// The service.
     pub service: ServiceName,
-    /// Where the origin of its weights listens.
+    /// The address of the origin of its weights.
     pub origin: SocketAddr,
     /// The number of layers of its model.
     pub layers: u32,
-    /// What its sidecars go by.
+    /// The parameters of its sidecars.
     pub plan: WeightsPlan,
 }
 
@@ -347,7 +350,7 @@
     catalog.services().filter_map(of_service).collect()
 }
 
-/// What a sidecar asks another one.
+/// A request of a sidecar to another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// A chunk.
@@ -359,18 +362,18 @@
     },
 }
 
-/// Asks for a chunk.
+/// A request for a chunk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChunkRequest {
     /// The version.
     pub version: u64,
-    /// The chunk.
+    /// The index of the chunk.
     pub index: u32,
-    /// Who asks.
+    /// The sender.
     pub from: InstanceId,
-    /// Where it stands.
+    /// Its location.
     pub place: Place,
-    /// The chunks that it holds: whoever is asked need not be told apart from this.
+    /// The chunks that it holds, so that the receiver need not be sent a `Summary` as well.
     pub have: Bitmap,
 }
 
@@ -386,9 +389,9 @@
         /// The chunks that the sender holds.
         have: Bitmap,
     },
-    /// It is not here.
+    /// The receiver does not hold it.
     Missing,
-    /// Too many are being sent already.
+    /// The receiver sends too many chunks already.
     Busy,
 }
 
@@ -402,7 +405,7 @@
     postcard::from_bytes(bytes).map_err(|_| Error::new(Code::BadFrame, "an unreadable message"))
 }
 
-/// Writes a message with its length before it.
+/// Writes a message with a length prefix.
 pub async fn write_frame(
     stream: &mut (impl AsyncWriteExt + Unpin),
     message: &impl Serialize,
@@ -410,7 +413,7 @@
     stream.write_all(&frame(message)).await.map_err(lost)
 }
 
-/// A message with its length before it.
+/// Encodes a message with a length prefix.
 pub fn frame(message: &impl Serialize) -> Vec<u8> {
     let body = encode(message);
     let mut frame = (body.len() as u32).to_le_bytes().to_vec();
@@ -418,8 +421,8 @@
     frame
 }
 
-/// Reads a message with its length before it. One that cannot be read is `BadFrame`: it is of a build that says more, and
-/// the stream stands behind it.
+/// Reads a message with a length prefix. An unreadable message is the error `BadFrame`: it is from a build
+/// with more message types, and the stream continues after it.
 pub async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncReadExt + Unpin),
 ) -> Result<T> {
@@ -434,7 +437,7 @@
     decode(&body)
 }
 
-/// The error of a connection that was lost.
+/// Converts the I/O error of a lost connection.
 pub fn lost(error: std::io::Error) -> Error {
     Error::new(Code::ConnectionLost, error.to_string())
 }
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -1,5 +1,5 @@
-//! A sample of every message, as builds that have landed wrote it. `SILVERDOCK_SAMPLES=FOLDER cargo test -p edge samples`
-//! writes those of this build.
+//! Samples of every message, as written by landed builds. `SILVERDOCK_SAMPLES=FOLDER cargo test -p edge
+//! samples` writes the samples of this build.
 
 use std::path::{Path, PathBuf};
 
@@ -13,7 +13,7 @@
 
 /// The builds that have landed, oldest first.
 const BUILDS: [&str; 6] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
-/// Those of them that tell of the store's era, behind the message.
+/// The builds that append the store's era to messages.
 const BUILDS_WITH_ERAS: [&str; 5] = ["75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
 
 fn address(last: u8, port: u16) -> SocketAddr {
@@ -154,7 +154,7 @@
     ]
 }
 
-/// Every datagram that tells of the store's era, by name.
+/// Every datagram with the store's era, by name.
 fn datagrams_with_eras() -> Vec<(&'static str, Datagram)> {
     let names = [
         ("subscribe", "subscribe-era"),
@@ -206,7 +206,7 @@
     std::fs::read(&path).unwrap_or_else(|error| panic!("{path:?}: {error}"))
 }
 
-/// Holds the format to what a build wrote: each sample is read as the value that it stands for, and that is written in
+/// Compares the format with what a build wrote: each sample decodes to its value, and the value encodes to
 /// the same bytes.
 fn compare<T>(build: &str, samples: Vec<(&'static str, T)>)
 where
@@ -228,7 +228,7 @@
     }
 }
 
-/// Builds without eras read the same but the era.
+/// Builds without eras read everything except the era.
 #[test]
 fn every_datagram_with_an_era_is_read_and_written_as_it_was() {
     for build in BUILDS_WITH_ERAS {
@@ -244,7 +244,7 @@
     }
 }
 
-/// A datagram of any landed build may come from one that is two landings older or newer than this one.
+/// Any landed build may exchange datagrams with a build that is two landings older or newer.
 #[test]
 fn what_all_landed_builds_say_is_the_same_in_each_of_them() {
     let names = datagrams().into_iter().map(|it| it.0);
--- a/components/edge/src/message/tests.rs
+++ b/components/edge/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Sizes of messages.
+//! Tests of the sizes of messages.
 
 use fleet::{Evacuation, Millis};
 use gateway::{GatewayList, HeardGateway};
@@ -9,7 +9,7 @@
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// The size of a list of so many gateways, in bytes.
+/// The size of a list of `gateways` gateways, in bytes.
 fn list_bytes(gateways: u8) -> usize {
     let address = |last| SocketAddr::from(([10, 0, 0, last], 47_000));
     let heard = |last| HeardGateway { address: address(last), tenths: 160 };
@@ -28,7 +28,7 @@
     assert!(slope <= 10, "{slope} bytes a gateway, {} for 53", list_bytes(53));
 }
 
-/// The size of a list of so many halls that are evacuated, in bytes.
+/// The size of a list of `halls` evacuated halls, in bytes.
 fn evacuation_bytes(halls: usize) -> usize {
     let evacuation = Evacuation { hall: "gogledd-a".into(), age_ms: Some(60_000) };
     let evacuated = vec![evacuation; halls];
@@ -45,7 +45,7 @@
     assert_eq!(evacuation_bytes(1) - evacuation_bytes(0), "gogledd-a".len() + 5);
 }
 
-/// The size of what is told of so many requests, with as many crashes as are told at most.
+/// The size of a crash list of `requests` requests, with as many crashes as are sent at most, in bytes.
 fn crash_bytes(requests: u64, crashes_of_each: u32) -> usize {
     let mut ledger = CrashLedger::default();
     for request in 0..requests {
--- a/components/edge/src/metrics.rs
+++ b/components/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The page of metrics of a process.
+//! The metrics page of a process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 use crate::server::{listen, serve, ServerOptions};
 use crate::spawner::Spawner;
 
-/// Where scrapers find the page.
+/// The path of the page.
 const PATH: &str = "/metrics";
-/// The form that scrapers read.
+/// The content type that scrapers read.
 const FORMAT: &str = "text/plain; version=0.0.4";
-/// How long a scraper's connection may rest.
+/// How long a scraper's connection may be idle.
 const IDLE: Duration = Duration::from_secs(60);
 
-/// Serves the page at an address. `refresh` sets the gauges before each reading.
+/// Serves the page at an address. `refresh` sets the gauges before each scrape.
 pub async fn serve_metrics(
     spawner: &Spawner,
     address: SocketAddr,
@@ -45,7 +45,8 @@
     Ok(())
 }
 
-/// Logs and counts that a data hall is evacuated or taken back. As warnings: the log keeps room for them.
+/// Logs and counts the start or end of the evacuation of a data hall. These are warnings because the log
+/// reserves room for warnings.
 pub fn note_evacuation(metrics: &Metrics, change: &EvacuationChange) {
     match change {
         EvacuationChange::Began { evacuation, left_in_ms, place } => {
@@ -61,23 +62,23 @@
     }
 }
 
-/// How long a process that looks several times a second must not have looked to have stood still.
+/// Time between two checks above which the process counts as stalled. It checks several times a second.
 const STOOD_STILL: Duration = Duration::from_millis(1000);
 
-/// Finds out whether the process stood still: its machine was suspended, or it got no processor.
+/// Detects stalls of the process: its machine was suspended, or it got no processor time.
 pub struct Standstills {
     suspensions: Suspensions,
     looked_at: Instant,
 }
 
 impl Standstills {
-    /// Begins to look.
+    /// Starts the detection.
     pub fn start() -> Self {
         Self { suspensions: Suspensions::default(), looked_at: Instant::now() }
     }
 
-    /// Whether it stood still since the last look. Logs and counts that the machine was suspended, if it was. What was
-    /// believed before is as old as it is: all time here goes on meanwhile.
+    /// Whether the process stalled since the last check. Logs and counts a suspension of the machine. State
+    /// from before a stall is as old as it appears: all clocks used here advance meanwhile.
     pub fn look(&mut self, metrics: &Metrics) -> bool {
         let suspended = self.suspensions.look();
         if let Some(span) = suspended {
--- a/components/edge/src/news.rs
+++ b/components/edge/src/news.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateways and sidecars.
+//! The datagram socket of gateways and sidecars.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -16,10 +16,10 @@
 
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The pause after the system refused to receive.
+/// The pause after the system failed to receive.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// The most peers of which is told that their datagrams cannot be read.
+/// The most peers for which unreadable datagrams are logged.
 const MOST_FOREIGN: usize = 256;
 
 /// A socket for datagrams.
@@ -27,12 +27,12 @@
 pub struct News {
     socket: UdpSocket,
     metrics: Rc<Metrics>,
-    /// Peers whose datagrams could not be read, wholly or in part, and that were told of.
+    /// Peers that were logged because their datagrams could not be read completely.
     foreign: Rc<RefCell<BTreeSet<SocketAddr>>>,
 }
 
 impl News {
-    /// Takes an address.
+    /// Binds a socket to an address.
     pub async fn bind(address: SocketAddr, metrics: Rc<Metrics>) -> Result<Self> {
         let socket = UdpSocket::bind(address).await;
         let socket = socket
@@ -40,12 +40,12 @@
         Ok(Self { socket, metrics, foreign: Rc::default() })
     }
 
-    /// Sends a datagram. One that is lost is followed by a newer one.
+    /// Sends a datagram without confirmation. A lost datagram is superseded by a later one.
     pub async fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let _ = self.socket.send_to(&encode_datagram(datagram), to).await;
     }
 
-    /// Counts what another build says and this one cannot read, and tells of each peer once.
+    /// Counts unreadable content from another build, and logs it once per peer.
     fn note_foreign(&self, from: SocketAddr, kind: &'static str) {
         self.metrics.count_foreign_message(kind);
         let mut foreign = self.foreign.borrow_mut();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Waits for the next datagram that can be read.
+    /// Waits for the next readable datagram.
     pub async fn receive(&self) -> (SocketAddr, Datagram) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
--- a/components/edge/src/paging.rs
+++ b/components/edge/src/paging.rs
@@ -1,7 +1,8 @@
-//! How many rows a listing asks for at once, and how it spreads its pages.
+//! The page size of a listing, and the pauses between its pages.
 //!
-//! When a fleet starts, all of its processes list at the same time, over links that they share. A page that stands in a
-//! queue for too long is given up, and all that was sent of it was for nothing. So pages are small until one came quickly.
+//! When a fleet starts, all of its processes list tables at the same time over shared links. A page that is
+//! queued for too long times out, and what was sent of it is wasted. So pages are small until one arrives
+//! quickly.
 
 use std::time::Duration;
 
@@ -9,21 +10,21 @@
 
 /// The rows of the first page.
 const FIRST_ROWS: u32 = 100;
-/// The least rows of a page: with fewer of them, what a call costs beside its rows counts.
+/// The fewest rows of a page: with fewer, the fixed cost of a call becomes significant.
 const LEAST_ROWS: u32 = 50;
-/// A page that came within this time met no queue.
+/// A page that arrives within this time was not queued.
 const QUICK: Duration = Duration::from_millis(60);
-/// How many times as long as a page took a listing rests that others may go before.
+/// The pause after a page, as a multiple of the time that the page took. It leaves the link to others.
 const RESTS_PER_PAGE: u32 = 8;
-/// The longest such rest.
+/// The longest such pause.
 const LONGEST_REST: Duration = Duration::from_millis(2000);
 
-/// How soon a listing is wanted.
+/// How soon a listing is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Haste {
     /// Requests wait for it.
     Urgent,
-    /// Nothing waits for it: others on the link go before.
+    /// Nothing waits for it: others on the link take precedence.
     Spread,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Paging {
-    /// A listing that begins.
+    /// Starts a listing.
     pub fn new(haste: Haste) -> Self {
         Self { haste, rows: FIRST_ROWS, rest: Duration::ZERO }
     }
@@ -46,12 +47,12 @@
         self.rows
     }
 
-    /// How long to rest before the next page.
+    /// How long to pause before the next page.
     pub fn rest(&self) -> Duration {
         self.rest
     }
 
-    /// Takes in how long a page took.
+    /// Records how long a page took.
     pub fn take(&mut self, took: Duration) {
         let rows = if took <= QUICK { self.rows * 2 } else { self.rows / 2 };
         self.rows = rows.clamp(LEAST_ROWS, PAGE_ROWS);
--- a/components/edge/src/reload.rs
+++ b/components/edge/src/reload.rs
@@ -1,4 +1,4 @@
-//! The settings file of a running process: read again when told to, and when it has changed by itself.
+//! The settings file of a running process. It is read again on a signal and when it has changed.
 
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
@@ -7,12 +7,12 @@
 use settings::{DeploymentSettings, Reload};
 use telemetry::Metrics;
 
-/// How often the file is looked at for changes that nobody told of. A look is one call to the system. A
-/// change is read at the second look that finds it, so within two of these spans.
+/// How often the file is checked for changes, with one system call. A change is read at the second check that
+/// sees it, so within two intervals.
 pub const LOOK_EVERY: Duration = Duration::from_secs(1);
 
-/// What tells two states of a file apart. The time alone does not: it has steps of some milliseconds, and a
-/// file that is cut off and written again within one keeps it.
+/// Identifies a state of a file. The modification time alone is not sufficient: its resolution is some
+/// milliseconds, and a file that is truncated and rewritten within one step keeps it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Stamp {
     written_at: SystemTime,
@@ -20,18 +20,19 @@
     inode: u64,
 }
 
-/// The settings in force and the file that they came from.
+/// The settings in force and the file that they were read from.
 pub struct SettingsFile {
     path: PathBuf,
-    /// The file as it was read last. `None` before that: what was in force at start may be older than it.
+    /// The stamp of the file when it was last read. `None` before that: the settings from the start may be
+    /// older than the file.
     read: Option<Stamp>,
-    /// The file at the last look.
+    /// The stamp of the file at the last check.
     seen: Option<Stamp>,
     in_force: DeploymentSettings,
 }
 
 impl SettingsFile {
-    /// The settings that were read from a file at start.
+    /// Creates the state for settings that were read from a file at the start.
     pub fn new(path: PathBuf, in_force: DeploymentSettings) -> Self {
         Self { path, read: None, seen: None, in_force }
     }
@@ -41,8 +42,8 @@
         &self.in_force
     }
 
-    /// Looks at the file: whether it is another than was last read, and the same as at the last look. One that is
-    /// being written may hold a value that is cut off, yet can be read.
+    /// Checks the file: whether it differs from the last one read, and is the same as at the last check. A
+    /// file that is being written may contain a truncated value that is still valid.
     pub fn has_changed(&mut self) -> bool {
         let stamp = stamp(&self.path);
         let has_settled = stamp == self.seen;
@@ -50,10 +51,10 @@
         has_settled && stamp != self.read
     }
 
-    /// Reads the file again and takes over what can change at once. `None` where nothing does. The log names
-    /// every key that changes or cannot; a file with faults changes nothing.
+    /// Reads the file again and applies the settings that can change at runtime. `None` if none does. The log
+    /// names every key that changes or cannot; a file with errors changes nothing.
     pub fn read_again(&mut self, metrics: &Metrics) -> Option<&DeploymentSettings> {
-        // Taken before the text: what is written while it is read counts as a change.
+        // Taken before the text is read, so that a write during the read counts as a change.
         self.read = stamp(&self.path);
         let path = self.path.display().to_string();
         let text = match std::fs::read_to_string(&self.path) {
@@ -84,7 +85,7 @@
     }
 }
 
-/// The state of a file. `None` where that cannot be told.
+/// The stamp of a file. `None` if it cannot be read.
 fn stamp(path: &Path) -> Option<Stamp> {
     let file = std::fs::metadata(path).ok()?;
     Some(Stamp { written_at: file.modified().ok()?, bytes: file.len(), inode: file.ino() })
--- a/components/edge/src/reload/tests.rs
+++ b/components/edge/src/reload/tests.rs
@@ -28,7 +28,7 @@
 repeat_allowance = 106
 ";
 
-/// A file of its own for a test, removed at the end.
+/// A temporary file for a test, removed at the end.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Looks at a file until it has settled, and reads it where it has changed.
+/// Checks the file until it has stopped changing, and reloads it if it has changed.
 fn settle(file: &mut SettingsFile) {
     for _ in 0..3 {
         if file.has_changed() {
@@ -68,7 +68,7 @@
     let scratch = Scratch::new("half");
     let mut file = scratch.read();
     settle(&mut file);
-    // Every key of it can be read, but the last value is cut off.
+    // Every key in it is valid, but the last value is truncated.
     scratch.write(FILE.trim_end().strip_suffix('6').unwrap());
     assert!(!file.has_changed());
     scratch.write(FILE);
--- a/components/edge/src/returns.rs
+++ b/components/edge/src/returns.rs
@@ -1,8 +1,8 @@
-//! Runners that the store has listed again because it came back from an older copy.
+//! Runners that the store lists again because it was restored from an older copy.
 //!
-//! One whose entry had gone shortly before the store went back may have left for good: whoever knew that it is gone is held
-//! to that. It is believed to be there once it writes its entry again, or once the entry has stood for longer than entries
-//! of runners that are gone do.
+//! A runner whose row was deleted shortly before the restore may have left for good, so a process that knew
+//! of the deletion does not use it yet. It uses the runner once the runner writes its row again, or once the
+//! row has existed for longer than the rows of stopped runners do.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use platform::store::Change;
 use uptime::Instant;
 
-/// How old a copy may be: what went before that is not in it. Platforms keep no longer history.
+/// The greatest age of a copy: a row deleted before that is not in it. Platforms keep no longer history.
 const OLDEST_COPY: Duration = Duration::from_secs(20);
-/// How long an entry that came back with a copy is held: longer than three heartbeats, after which one that
-/// nobody writes has run out.
+/// How long a row that came back with a copy is ignored: longer than three heartbeats, after which a row that
+/// is not renewed has expired.
 const HELD: Duration = Duration::from_secs(4);
 
-/// Entries that went, and those that came back with a copy.
+/// Deleted rows, and those that came back with a copy.
 #[derive(Debug, Default)]
 pub struct Returns {
     gone: BTreeMap<InstanceId, Instant>,
@@ -26,20 +26,20 @@
 }
 
 impl Returns {
-    /// An entry is listed no more.
+    /// Records that a row is no longer listed.
     pub fn note_gone(&mut self, now: Instant, id: &InstanceId) {
         self.gone.retain(|_, at| now.saturating_duration_since(*at) <= OLDEST_COPY);
         self.gone.insert(id.clone(), now);
         self.held.remove(id);
     }
 
-    /// An entry was written.
+    /// Records that a row was written.
     pub fn note_listed(&mut self, id: &InstanceId) {
         self.gone.remove(id);
         self.held.remove(id);
     }
 
-    /// Takes in what a listing of the copy holds, and tells whether that is to be believed later only.
+    /// Handles a row in the listing of a restored copy. Returns whether its use is delayed.
     pub fn hold(&mut self, now: Instant, change: &Change) -> bool {
         let Change::Runner(record) = change else {
             return false;
@@ -53,7 +53,7 @@
         is_back
     }
 
-    /// The entries that have stood for long enough.
+    /// Removes and returns the rows whose delay is over.
     pub fn take_due(&mut self, now: Instant) -> Vec<RunnerRecord> {
         let (due, later) =
             std::mem::take(&mut self.held).into_iter().partition(|it| it.1 .1 <= now);
@@ -62,7 +62,7 @@
         due.into_values().map(|it| it.0).collect()
     }
 
-    /// How long until the next one is due, if some are held.
+    /// The time until the next delay is over, if there is one.
     pub fn left(&self, now: Instant) -> Option<Duration> {
         self.held.values().map(|it| it.1.saturating_duration_since(now)).min()
     }
--- a/components/edge/src/returns/tests.rs
+++ b/components/edge/src/returns/tests.rs
@@ -1,4 +1,4 @@
-//! Entries that come back with a copy of the store.
+//! Tests of rows that come back with a copy of the store.
 
 use fleet::LifeWord;
 use gateway::RunnerState;
--- a/components/edge/src/run.rs
+++ b/components/edge/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway or a sidecar: start, signals, planned stop.
+//! The main loop of a gateway or sidecar process: start, signals, planned stop.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::sidecar::SidecarNode;
 use crate::spawner::Spawner;
 
-/// Runs a process until it is told to stop. `path` is the file that its settings came from.
+/// Runs a process until it receives a stop signal. `path` is the file that its settings were read from.
 pub fn run(settings: &DeploymentSettings, path: PathBuf) -> eyre::Result<()> {
     let node = &settings.node;
     let logs = telemetry::start_bounded_logs(&node.name.0, &node.log_level, node.log_lines_per_s)?;
@@ -31,10 +31,10 @@
     async_io::block_on(executor.run(life))
 }
 
-/// How long the last lines of the log have to be written.
+/// The time for writing the last lines of the log.
 const LAST_LINES: Duration = Duration::from_millis(60);
 
-/// What runs.
+/// The running node.
 enum Node {
     /// A gateway.
     Gateway(GatewayNode),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Goes on with other settings. Nothing that is under way is touched.
+    /// Applies changed settings. Work in progress is not affected.
     fn apply(&self, settings: &DeploymentSettings) {
         match self {
             Self::Gateway(gateway) => gateway.apply(settings),
@@ -70,13 +70,13 @@
     }
 }
 
-/// What wakes the process.
+/// What wakes the main loop.
 enum Wake {
-    /// It is to stop.
+    /// A stop signal.
     Stop,
-    /// The settings are to be read again.
+    /// A signal to read the settings again.
     Reload,
-    /// It is time to look whether they have changed.
+    /// It is time to check whether the settings have changed.
     Look,
 }
 
@@ -124,7 +124,7 @@
     }
     drop(node);
     log::info!("stopped");
-    // The writer of logs ends with the process.
+    // The log writer ends with the process.
     Timer::after(LAST_LINES).await;
     Ok(())
 }
--- a/components/edge/src/server.rs
+++ b/components/edge/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server that stops without cutting off requests.
+//! An HTTP server that stops without interrupting requests.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -23,19 +23,19 @@
 use crate::gateway::AnswerBody;
 use crate::spawner::Spawner;
 
-/// How long to wait after the system refused to accept a connection.
+/// How long to wait after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the connections of a server share.
+/// The settings and state shared by the connections of a server.
 #[derive(Clone)]
 pub struct ServerOptions {
-    /// How long a connection may rest, and a head may take.
+    /// How long a connection may be idle, and how long a request head may take.
     pub idle: Duration,
     /// Closed when the server stops.
     pub stopping: Receiver<()>,
-    /// How many connections are open.
+    /// The number of open connections.
     pub open: Rc<Cell<usize>>,
-    /// What is kept for those who are connected.
+    /// The state of the callers that are connected.
     pub callers: Callers,
 }
 
@@ -45,7 +45,7 @@
     listener.map_err(|error| Error::new(Code::AddressInUse, format!("{address}: {error}")))
 }
 
-/// Accepts connections and answers their requests, for as long as the task runs.
+/// Accepts connections and answers their requests for as long as the task runs.
 pub async fn serve<H, F>(
     spawner: Spawner,
     listener: TcpListener,
--- a/components/edge/src/store_time.rs
+++ b/components/edge/src/store_time.rs
@@ -1,8 +1,9 @@
-//! When rows of the platform's store were written, by the store's own history.
+//! Bounds on when rows of the platform's store were written, from the store's own history.
 //!
-//! Answers of the store tell its newest revision and what its clock shows. A row with a higher revision was written after
-//! that moment, however long any answer took. How long an answer took tells nothing: a store that looks at a question late,
-//! a connection that comes up slowly and a process without processor look like a store that waited for a change.
+//! Answers of the store contain its newest revision and its clock. A row with a higher revision was written
+//! after that time, however long the answer took. The duration of a call itself says nothing: a store that
+//! processes a call late, a connection that is opened slowly and a process without processor time look like a
+//! store that waited for a change.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,45 +11,46 @@
 use fleet::{NamedVersion, StorePlace};
 use uptime::Instant;
 
-/// How long readings are kept: longer than any version binds.
+/// How long readings are kept: longer than any version is relevant.
 const KEPT_FOR: Duration = Duration::from_secs(30);
-/// How long an answer may have been under way that shows the store's clock closely.
+/// The longest transit time of an answer that determines the store's clock precisely.
 const CLOSE: Duration = Duration::from_millis(50);
-/// The most readings that are kept. Those between may go: a row is then taken for older than it is.
+/// The most readings that are kept. If some in between are removed, a row is considered older than it is.
 const MOST_READINGS: usize = 256;
 
-/// What an answer of the store told.
+/// The store's revision and clock in one answer.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     /// The newest revision.
     newest: StorePlace,
-    /// What the store's clock showed, in milliseconds.
+    /// The store's clock, in milliseconds.
     clock_ms: u64,
-    /// The answer was not made before this.
+    /// The answer was not produced before this time.
     made: Instant,
-    /// When it had arrived.
+    /// When the answer arrived.
     arrived: Instant,
 }
 
-/// A moment at which a row had not been written.
+/// A time at which a row was not yet written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unwritten {
-    /// What the store's clock showed, in milliseconds.
+    /// The store's clock, in milliseconds.
     pub clock_ms: u64,
-    /// It was not before this, by the clock of this process.
+    /// The earliest corresponding time of this process's clock.
     pub at: Instant,
 }
 
-/// What answers of the store told of its history.
+/// Readings of the store's revision and clock.
 #[derive(Debug, Default)]
 pub struct StoreTime {
-    /// Oldest first by the store's clock.
+    /// Ordered by the store's clock, oldest first.
     readings: VecDeque<Reading>,
     told: ToldClock,
 }
 
 impl StoreTime {
-    /// Takes in the store's newest revision and its clock at an answer, which was not made before `made`.
+    /// Records the newest revision and the clock in an answer of the store that was not produced before
+    /// `made`.
     pub fn note(&mut self, newest: StorePlace, clock_ms: u64, made: Instant) {
         let now = Instant::now();
         self.readings.retain(|it| now.saturating_duration_since(it.made) < KEPT_FOR);
@@ -60,8 +62,8 @@
         }
     }
 
-    /// The last known moment at which the row at a place of the history had not been written. `None` where nothing is
-    /// known from before, or not of the same era.
+    /// The last known time at which the row at a position of the history was not yet written. `None` if no
+    /// earlier reading of the same era is known.
     pub fn unwritten(&self, row: StorePlace) -> Option<Unwritten> {
         let is_before =
             |it: &&Reading| it.newest.era == row.era && it.newest.revision < row.revision;
@@ -69,28 +71,28 @@
         Some(Unwritten { clock_ms: reading.clock_ms, at: reading.made })
     }
 
-    /// Takes in what another process says that the clock shows now, in milliseconds. What it says of a moment may be long
-    /// on its way, so the word counts that puts the clock ahead furthest.
+    /// Records the clock value that another process reported. Reports are delayed in transit, so the one that
+    /// implies the highest clock value counts.
     pub fn note_told(&mut self, clock_ms: u64) {
         self.told.note(Instant::now(), clock_ms);
     }
 
-    /// What the store's clock shows at a moment, in milliseconds, at most as far as answers tell. `None` where nothing was
-    /// heard of it lately.
+    /// An upper bound of the store's clock at a time, in milliseconds, from answers of the store, or else
+    /// from reports of other processes. `None` if nothing was received lately.
     pub fn clock_ms(&self, now: Instant) -> Option<u64> {
         let shown = |it: &Reading| it.clock_ms + millis(now, it.made) + 1;
         self.readings.iter().map(shown).min().or_else(|| self.told.clock_ms(now))
     }
 
-    /// What others are told of the clock now, in milliseconds. `None` until an answer has shown it closely: who is told goes by
-    /// the word that puts it ahead furthest.
+    /// The clock value to report to other processes, in milliseconds. `None` until an answer has determined
+    /// it precisely, since receivers use the highest reported value.
     pub fn told_clock_ms(&self, now: Instant) -> Option<u64> {
         let is_close = |it: &Reading| it.arrived.saturating_duration_since(it.made) <= CLOSE;
         let is_known = self.readings.is_empty() || self.readings.iter().any(is_close);
         self.clock_ms(now).filter(|_| is_known)
     }
 
-    /// Sets the ages of versions that others tell of by the store's clock, for those words were on their way.
+    /// Sets the ages of reported versions by the store's clock, since the reports were delayed in transit.
     pub fn set_ages<'a>(&self, named: impl IntoIterator<Item = &'a mut NamedVersion>) {
         let Some(clock_ms) = self.clock_ms(Instant::now()) else {
             return;
@@ -106,17 +108,18 @@
     now.saturating_duration_since(earlier).as_millis() as u64
 }
 
-/// What others say of the store's clock: of the words of a while the one that was on its way for the shortest time.
+/// The store's clock as reported by other processes: of the reports within a time span, the one with the
+/// shortest delay.
 #[derive(Debug, Default)]
 struct ToldClock {
-    /// Of the words of this span of `KEPT_FOR`, and of the one before.
+    /// The best reports of the current span of `KEPT_FOR` and of the previous one.
     best: Option<Word>,
     before: Option<Word>,
-    /// When this span began.
+    /// When the current span started.
     since: Option<Instant>,
 }
 
-/// What the store's clock showed at a moment, in milliseconds, by somebody's word.
+/// A reported value of the store's clock, in milliseconds, and when it was received.
 #[derive(Clone, Copy, Debug)]
 struct Word {
     clock_ms: u64,
--- a/components/edge/src/store_time/tests.rs
+++ b/components/edge/src/store_time/tests.rs
@@ -6,10 +6,9 @@
     StorePlace { era: None, revision }
 }
 
-/// Answers at these moments before one that is taken for now, in milliseconds, each with the newest revision. The store's
-/// clock shows 50,000 then.
+/// Records answers given as (milliseconds before now, newest revision). The store's clock shows 50,000 now.
 fn read(answers: &[(u64, u64)]) -> (StoreTime, Instant) {
-    // Clocks count from the start of the process.
+    // The process's clock starts at zero, so a time in the future leaves room for earlier ones.
     let now = Instant::now() + Duration::from_secs(10);
     let mut time = StoreTime::default();
     for (ago, newest) in answers {
@@ -39,7 +38,7 @@
     assert_eq!(time.unwritten(StorePlace { era: Some(2), revision: 11 }), None);
 }
 
-/// An answer that was asked for long before it was made would put the store's clock too far ahead.
+/// An answer that was requested long before it was produced would put the store's clock too far ahead.
 #[test]
 fn the_clock_is_read_from_the_answer_that_tells_most_exactly() {
     let (mut time, now) = read(&[(900, 7)]);
@@ -70,7 +69,7 @@
     NamedVersion { model: "m".into(), version: 2, age_ms, after_ms }
 }
 
-/// A word that was held for three seconds on a narrow link tells an age that lacks those.
+/// A report that was delayed by three seconds on a narrow link contains an age that is three seconds too low.
 #[test]
 fn ages_that_others_tell_are_by_the_clock_and_not_by_when_the_word_came() {
     let mut time = StoreTime::default();
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -30,10 +30,11 @@
 use crate::returns::Returns;
 use crate::yielding::Yielding;
 
-/// How much longer than a feed waits the store may be silent before its news is taken for old.
+/// How much longer than the wait of a feed call the store may be silent before its changes are considered
+/// old.
 const LATE_AFTER: Duration = Duration::from_millis(1200);
 
-/// The pause before the next look where nobody is to be asked yet.
+/// The pause before the next check if there is nothing to call yet.
 const NOBODY_PAUSE: Duration = Duration::from_millis(50);
 
 pub use self::options::{Dated, Seen, WatchOptions};
@@ -86,7 +87,7 @@
         log_answer(watch.options.table, call, reader, watch.asked.elapsed(), &result);
         let result = result.map(drop);
         if watch.is_reader_lost(&result) {
-            // Another reader, or the store, is asked at once.
+            // Another reader, or the store, is called at once.
             continue;
         }
         let outcome = result.as_ref().map_or_else(|error| error.code.name(), |()| "ok");
@@ -117,17 +118,17 @@
     }
 }
 
-/// Whether the store has answered, and what was read before is of a history that is gone.
+/// Whether the store answered that the history of the known revision is gone.
 fn is_history_gone(error: &Error) -> bool {
     error.code == Code::NotFound
 }
 
-/// A pause out of a range.
+/// Draws a random pause from a range.
 fn draw(pause: Range<Duration>) -> Duration {
     rand::rng().random_range(pause)
 }
 
-/// How many of the known runners one answer says are gone.
+/// How many of the known runners one answer removes.
 #[derive(Clone, Copy)]
 struct Lost {
     gone: usize,
@@ -136,40 +137,40 @@
 
 struct Watch {
     options: WatchOptions,
-    /// The link to the store.
+    /// The client of the store.
     link: Link,
-    /// The reader that is asked instead, and the link to it.
+    /// The reader that is called instead of the store, and its client.
     reader: Option<(SocketAddr, Link)>,
     yielding: Yielding,
-    /// When the task began.
+    /// When the task started.
     started: Instant,
-    /// Told that the store came back from an older copy, or is to be asked at once.
+    /// Receives a message when the store was restored from an older copy or is to be called at once.
     calls: Receiver<()>,
-    /// Where the feed goes on. `None` until the table has been listed, and where what was read is of a history that is
-    /// gone.
+    /// The position after which the feed continues. `None` until the table has been listed, and if the known
+    /// history is gone.
     place: Option<StorePlace>,
-    /// The era of what was read last.
+    /// The era of the last answer.
     era: Option<u64>,
-    /// Runners that the copy has again.
+    /// Runners that a restored copy contains again.
     returns: Returns,
     /// The runners that are listed.
     runners: BTreeSet<InstanceId>,
     evacuated: EvacuatedHalls,
     faults: ToldFaults,
     connected: bool,
-    /// When the question was asked that was answered last, or is open.
+    /// When the last call was sent.
     asked: Instant,
-    /// How long the store was to wait for news then.
+    /// How long the store was to wait for changes in that call.
     wait: Duration,
     freshness: Freshness,
-    /// Up to when everything is known that is in the table.
+    /// Up to which time the content of the table is known.
     known: Instant,
     /// When the store last answered.
     heard: Option<Instant>,
     lateness: Lateness,
     /// The newest version of each model that was read.
     named: BTreeMap<ModelName, u64>,
-    /// Runners that have been missing since it was back.
+    /// Runners that are missing since the store is back.
     lapses: Lapses,
 }
 
@@ -210,19 +211,20 @@
         self.heard = Some(Instant::now());
         self.place = Some(place);
         if place.era == self.options.era.current() {
-            // The rise that this listing shows need not be told of again.
+            // This listing already covers the increase of the era that a pending message announces.
             let _ = self.calls.try_recv();
         }
         deliver(Seen::Whole);
         Ok(answered)
     }
 
-    /// Takes in the era of a listing, and tells whether the store came back from an older copy since the one before.
+    /// Records the era of a listing. Returns whether the store was restored from an older copy since the
+    /// previous one.
     fn note_era(&mut self, era: Option<u64>, deliver: &mut impl FnMut(Seen)) -> bool {
         let before = std::mem::replace(&mut self.era, era);
         let went_back = before.is_some() && era > before;
         if went_back {
-            // Entries that the copy lacks are written again, as after an outage, however few they are.
+            // Rows that the copy lacks are written again, as after an outage, however few they are.
             self.lapses.note_copy(Instant::now());
             self.lateness.note_gap();
             self.yielding.forget();
@@ -231,7 +233,7 @@
         went_back
     }
 
-    /// How long until something is due that was held back.
+    /// The time until the next delayed change is due.
     fn due_in(&self) -> Option<Duration> {
         let now = Instant::now();
         self.lapses.left(now).into_iter().chain(self.returns.left(now)).min()
@@ -244,7 +246,7 @@
         let answer = match self.ask(place, wait).await {
             Some(answer) => answer?,
             None if self.options.era.current() != place.era => {
-                // Another call of this process has found that the history is another one.
+                // Another call of this process has detected that the history has changed.
                 return Err(self.begin_again("the store came back from an older copy"));
             }
             None => {
@@ -258,7 +260,7 @@
         }
         let era = self.options.era.note(&answer.headers)?;
         if era != place.era {
-            // The page tells of a history with a gap behind what was read before.
+            // The page continues a history that has a gap after what was read before.
             return Err(self.begin_again("the store came back from an older copy"));
         }
         let age = read_age(&answer.headers);
@@ -288,7 +290,7 @@
         let gone = page.changes.iter().filter(is_gone).count();
         let lost = Lost { gone, known: self.runners.len() };
         if self.reader.is_none() {
-            // What the page tells of happened behind the answer that did not hold it.
+            // The changes of the page happened after the previous answer, which did not contain them.
             let age = (!late).then(|| before.elapsed());
             self.options.reading.keep_changes(self.options.table, &body, age);
         }
@@ -298,7 +300,8 @@
         Ok(answered)
     }
 
-    /// Asks for the changes behind a place. `None` where it is to be asked anew first.
+    /// Requests the changes after a position. `None` if the call was interrupted because it has to be made
+    /// again.
     async fn ask(&mut self, place: StorePlace, wait: Duration) -> Option<Result<CallAnswer>> {
         let call = store::feed(self.options.table, place.revision, wait.as_millis() as u64);
         let begin = match self.reader {
@@ -315,23 +318,23 @@
         .await
     }
 
-    /// What was read is of a history that is gone: the table is listed next.
+    /// Discards the known position, whose history is gone, so that the table is listed next.
     fn begin_again(&mut self, reason: &str) -> Error {
         self.place = None;
-        // Whatever this task was told of a rise, the listing will show.
+        // The listing covers any pending message about an increase of the era.
         let _ = self.calls.try_recv();
         Error::new(Code::NotFound, reason.to_owned())
     }
 
-    /// Whether the store has not answered for longer than usual. One that fails is not silent because nothing
-    /// changes.
+    /// Whether the store has not answered for longer than usual. A store whose calls fail is not silent for
+    /// lack of changes.
     fn was_silent(&self) -> bool {
         let usual = self.options.patience.feed_wait(self.connected) + self.options.spacing;
         self.heard.is_none_or(|it| it.elapsed() > usual + LATE_AFTER)
     }
 
-    /// Notes that the store answered, and how long it waited where it had no news. Gives a moment before which the answer
-    /// was not made.
+    /// Records that the store answered, and how long it waited if it had no changes. Returns a time before
+    /// which the answer was not produced.
     fn note_answer(
         &mut self,
         waited: Option<Duration>,
@@ -349,7 +352,7 @@
         made
     }
 
-    /// Hands a change on, unless it is to be believed later only.
+    /// Delivers a change, unless it is delayed.
     fn pass_on(
         &mut self,
         change: Change,
@@ -373,7 +376,7 @@
                 }
             }
             Change::RunnerUnreadable(id) => {
-                // Whatever the entry was before, another writer has put this in its place.
+                // Another writer has replaced the earlier row.
                 if self.runners.remove(id) {
                     let change = Change::RunnerGone(id.clone());
                     deliver(Seen::Change { change, dated: Dated::default() });
@@ -389,7 +392,7 @@
         deliver(Seen::Change { change, dated });
     }
 
-    /// Logs when the store is lost and when it is back, and tells whether either happened.
+    /// Logs that the store is lost or back. Returns whether either happened.
     fn note(&mut self, result: Result<()>) -> bool {
         let table = format!("{:?}", self.options.table);
         match result {
--- a/components/edge/src/watch/dating.rs
+++ b/components/edge/src/watch/dating.rs
@@ -1,4 +1,4 @@
-//! When what an answer tells of happened, by the store's history.
+//! Dates the changes of an answer by the store's history.
 
 use fleet::StorePlace;
 use platform::store::Change;
@@ -9,15 +9,16 @@
 use crate::store_time::Unwritten;
 
 impl Watch {
-    /// Takes in the newest revision and the store's clock at an answer that was not made before `made`.
+    /// Records the newest revision and the store's clock in an answer that was not produced before `made`.
     pub(super) fn note_reading(&self, newest: StorePlace, clock_ms: Option<u64>, made: Instant) {
         if let Some(clock_ms) = clock_ms {
             self.options.time.borrow_mut().note(newest, clock_ms, made);
         }
     }
 
-    /// When a version was named, as far as the store's history tells: by its first row, for one that is known may be written
-    /// again. A reader of the hall may know where this process has read nothing from before.
+    /// When a version was named, as far as the store's history shows. Its first row counts, since the row of
+    /// a known version may be written again. A reader of the hall may know the age if this process has read
+    /// nothing from before.
     pub(super) fn date(&mut self, change: &Change, told: Option<ToldAge>) -> Dated {
         let Change::Version { ref model, version, revision } = *change else {
             return Dated::default();
--- a/components/edge/src/watch/options.rs
+++ b/components/edge/src/watch/options.rs
@@ -1,4 +1,4 @@
-//! How a table is followed, and what is told of it.
+//! Options and events of a followed table.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,63 +18,66 @@
 /// How a table is followed.
 #[derive(Clone)]
 pub struct WatchOptions {
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
     /// The table.
     pub table: Table,
-    /// How long calls may take and how far apart they are.
+    /// The timeouts and pauses of calls.
     pub patience: Patience,
-    /// The shortest time between the first two feeds or listings. It doubles with each, so that a process
-    /// that starts with others soon knows them all.
+    /// The shortest time between the first two feed calls or listings. It doubles with each, so that a
+    /// process that starts together with others soon knows all of them.
     pub first_spacing: Duration,
-    /// The shortest time between two feeds or listings later on.
+    /// The shortest time between two later feed calls or listings.
     pub spacing: Duration,
-    /// The longest rest after a large answer that waited behind others. Zero where the table yields to nothing.
+    /// The longest pause after a large answer that was queued behind others. Zero if the table does not yield
+    /// the link.
     pub longest_rest: Duration,
-    /// Counts the calls.
+    /// The metrics that count the calls.
     pub metrics: Rc<Metrics>,
     /// The store's era.
     pub era: Rc<Era>,
-    /// Who reads the store for this hall.
+    /// The readers of the store in this hall.
     pub reading: Reading,
-    /// What answers told of the store's history, for every table of this process.
+    /// Readings of the store's clock and revisions, shared by all tables of this process.
     pub time: Rc<RefCell<StoreTime>>,
-    /// Whether this process asks often, so that a change can be dated closely.
+    /// Whether this process polls often, so that changes can be dated closely.
     pub dates_closely: Rc<dyn Fn() -> bool>,
 }
 
-/// When a change happened, as far as that is known.
+/// When a change happened, as far as it is known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Dated {
-    /// How long ago at most. `None` where nobody knows: the store was not heard before.
+    /// The greatest possible age. `None` if it is unknown because there was no earlier answer of the store.
     pub age: Option<Duration>,
-    /// What the store's clock showed, in milliseconds, when it had not happened, where the age is by that.
+    /// The store's clock when the change had not happened yet, in milliseconds, if the age was derived from
+    /// it.
     pub after_ms: Option<u64>,
 }
 
-/// What a watch tells of.
+/// An event of a followed table.
 #[derive(Debug)]
 pub enum Seen {
-    /// Something changed.
+    /// A change of the table.
     Change {
-        /// What.
+        /// The change.
         change: Change,
         /// When it happened, if it is a version of weights.
         dated: Dated,
     },
-    /// These data halls are evacuated.
+    /// The evacuated data halls.
     Evacuations(EvacuationList),
-    /// The table has been read whole at least once.
+    /// The table has been read completely at least once.
     Whole,
-    /// The store answered: nothing else was in the table than what was told.
+    /// The store answered, and all changes in its answer have been delivered.
     Heard {
-        /// When the question was asked.
+        /// When the call was sent.
         asked: Instant,
-        /// Up to when that is certain.
+        /// Up to which time the content of the table is known.
         known: Instant,
     },
-    /// The store answers again, or does not any more.
+    /// Whether the store answers, after a change of that.
     Reached(bool),
-    /// The store came back from an older copy: what was written since is gone. What is told next is of that copy.
+    /// The store was restored from an older copy, and what was written since is lost. The following changes
+    /// are from that copy.
     WentBack,
 }
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -1,4 +1,4 @@
-//! Whom a table is followed at: the store, or a reader of the own hall.
+//! Selects where a table is followed: at the store, or at a reader of the same hall.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::link::Link;
 use crate::listing::call_name;
 
-/// How long a feed waits where changes are to be dated closely.
+/// How long a feed call waits if changes are to be dated closely.
 const CLOSE_WAIT: Duration = Duration::from_millis(200);
 
 impl Watch {
-    /// Chooses whom to ask next, and tells whether somebody is to be asked. A gateway that has to tell others what it has not
-    /// read itself lists it.
+    /// Selects where to send the next call. Returns whether there is somewhere to send it. A gateway that has
+    /// to serve a table to others that it has not read itself lists it.
     pub(super) fn choose_source(&mut self) -> bool {
         let reading = &self.options.reading;
         match reading.source() {
@@ -36,7 +36,7 @@
         true
     }
 
-    /// The link to whom is asked.
+    /// The client of the selected source.
     pub(super) fn asked_link(&mut self) -> &mut Link {
         self.reader.as_mut().map_or(&mut self.link, |(_, link)| link)
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes what became of a question to a reader, and tells whether it gave no answer.
+    /// Records the outcome of a call to a reader. Returns whether the reader gave no answer.
     pub(super) fn is_reader_lost(&mut self, result: &Result<()>) -> bool {
         let Some((reader, _)) = self.reader else {
             return false;
@@ -67,14 +67,15 @@
         }
     }
 
-    /// What is kept to be told on is known up to now.
+    /// Records up to which time the cached table is complete.
     pub(super) fn note_kept(&self) {
         if let (None, Some(place)) = (&self.reader, self.place) {
             self.options.reading.note_known(self.options.table, self.known, place);
         }
     }
 
-    /// How long to rest before the next question. A reader of the own hall is asked at once again.
+    /// How long to pause before the next call. A reader of the same hall is called again after the shortest
+    /// pause.
     pub(super) fn pause(&self, spacing: Duration) -> Duration {
         if self.reader.is_some() {
             return self.options.first_spacing;
@@ -82,7 +83,7 @@
         spacing.max(self.yielding.rest())
     }
 
-    /// How long the next feed waits.
+    /// How long the next feed call waits.
     pub(super) fn feed_wait(&self) -> Duration {
         let (patience, reading) = (self.options.patience, &self.options.reading);
         if self.reader.is_some() {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// How old a reader says that its answer is. The store says nothing of that.
+    /// The age that a reader reports for its answer. The store reports none.
     pub(super) fn told(&self, age: Option<ToldAge>) -> Result<Option<ToldAge>> {
         match self.reader {
             None => Ok(None),
--- a/components/edge/src/yielding.rs
+++ b/components/edge/src/yielding.rs
@@ -1,36 +1,38 @@
-//! Yielding the link to the store to more urgent answers.
+//! Yields the link to the store to more urgent answers.
 //!
-//! Gateways of a region share one link to the store. While many runners change, each feed of them gives a large answer,
-//! and the answers of all gateways stand in one queue, the configuration behind them. So a process measures how long its
-//! answers stood in that queue, by the store's clock, and after a large answer that waited it rests a multiple of the
-//! wait before it asks again: the queue stays short however many processes there are and however narrow the link is.
+//! The gateways of a region share one link to the store. While many runners change, each feed call for them
+//! has a large answer, and the answers to all gateways are in one queue, with the configuration behind them.
+//! So a process measures the queueing delay of its answers by the store's clock. After a large answer that
+//! was delayed it pauses for a multiple of the delay before the next call. This keeps the queue short for any
+//! number of processes and any width of the link.
 
 use std::time::Duration;
 
-/// An answer of at least so many bytes takes notable time on a narrow link.
+/// The smallest answer, in bytes, that takes notable time on a narrow link.
 const BULK_BYTES: usize = 32 * 1024;
-/// How many times as long as its answer waited a process rests.
+/// The pause after a large answer, as a multiple of its queueing delay.
 const RESTS_PER_DELAY: u32 = 8;
-/// How much of a rest the next one is at least, in eighths.
+/// The smallest ratio of a pause to the previous one, in eighths.
 const KEPT_OF_EIGHT: u32 = 7;
-/// How long the least delay is remembered at least: clocks drift, and paths change.
+/// How long the smallest delay is remembered at least. It expires because clocks drift and paths change.
 const WINDOW: Duration = Duration::from_secs(60);
 
-/// How long answers wait on their way, beyond the quickest of late.
+/// The queueing delay of answers, relative to the fastest recent answer.
 ///
-/// The two clocks have different starts, so only differences of their difference say anything.
+/// The two clocks have different starting points, so only changes of their difference are meaningful.
 #[derive(Debug, Default)]
 struct QueueDelay {
-    /// When the current window began, by the clock of this process.
+    /// When the current window started, by the process's clock.
     window_began: Duration,
-    /// The least difference of the clocks in the window before, in milliseconds.
+    /// The smallest difference of the clocks in the previous window, in milliseconds.
     before: Option<i64>,
-    /// The least one in the current window.
+    /// The smallest difference in the current window, in milliseconds.
     current: Option<i64>,
 }
 
 impl QueueDelay {
-    /// Takes in that an answer came at `now`, which the store gave when its clock showed `clock_ms`.
+    /// Records an answer that arrived at `now` and was produced when the store's clock showed `clock_ms`.
+    /// Returns its queueing delay.
     fn take(&mut self, now: Duration, clock_ms: u64) -> Duration {
         if now.saturating_sub(self.window_began) >= WINDOW {
             self.before = self.current.take();
@@ -44,40 +46,40 @@
     }
 }
 
-/// How long a process rests between two large answers.
+/// The pause between two large answers.
 #[derive(Debug)]
 pub struct Yielding {
-    /// The longest rest. Zero where the table yields to nothing.
+    /// The longest pause. Zero if the table does not yield the link.
     longest: Duration,
     delay: QueueDelay,
     rest: Duration,
 }
 
 impl Yielding {
-    /// Rests for `longest` at most.
+    /// Creates a state whose pauses last `max_pause` at most.
     pub fn new(longest: Duration) -> Self {
         Self { longest, delay: QueueDelay::default(), rest: Duration::ZERO }
     }
 
-    /// Takes in an answer of so many bytes that came at `now`, by the clock of this process. `clock_ms` is what the
-    /// store's clock showed when it gave it; without that nothing is known of its way.
+    /// Records an answer of `bytes` bytes that arrived at `now`, by the process's clock. `clock_ms` is the
+    /// store's clock when it was produced; without it the delay is unknown.
     pub fn take(&mut self, now: Duration, clock_ms: Option<u64>, bytes: usize) {
         let delay = clock_ms.map_or(Duration::ZERO, |it| self.delay.take(now, it));
         if bytes < BULK_BYTES {
             self.rest = Duration::ZERO;
             return;
         }
-        // A rest that ended at once would let all come back together.
+        // If pauses ended abruptly, all processes would call again at the same time.
         let kept = self.rest * KEPT_OF_EIGHT / 8;
         self.rest = kept.max(delay * RESTS_PER_DELAY).min(self.longest);
     }
 
-    /// The store came back from an older copy: its clock may be another one.
+    /// Discards the measured delays: after a restore from an older copy the store's clock may be another one.
     pub fn forget(&mut self) {
         self.delay = QueueDelay::default();
     }
 
-    /// How long to rest before the next question.
+    /// How long to pause before the next call.
     pub fn rest(&self) -> Duration {
         self.rest
     }
--- a/components/edge/src/yielding/tests.rs
+++ b/components/edge/src/yielding/tests.rs
@@ -5,14 +5,14 @@
 use super::{Yielding, BULK_BYTES, RESTS_PER_DELAY};
 
 const LONGEST: Duration = Duration::from_millis(2000);
-/// What the store's clock shows when that of the process shows nothing.
+/// How far the store's clock is ahead of the process's clock, in milliseconds.
 const AHEAD: u64 = 7_000_000;
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Takes in an answer that was given at `at` and took `way`, both in milliseconds.
+/// Records an answer that was produced at `at` and took `transit`, both in milliseconds.
 fn take(yielding: &mut Yielding, at: u64, way: u64, bytes: usize) -> Duration {
     yielding.take(millis(at + way), Some(AHEAD + at), bytes);
     yielding.rest()
@@ -83,8 +83,8 @@
 }
 
 proptest! {
-    /// Processes that share a link and ask again as soon as they may keep the queue short, from a start in step on: nobody
-    /// waits for more than a quarter of what each would wait for without rests.
+    /// Processes that share a link and call again as soon as they may keep the queue short, even if they
+    /// start in step: no process waits longer than a quarter of what it would wait without pauses.
     #[test]
     fn the_queue_of_many_stays_short(processes in 2_usize..200, answer_ms in 1_u64..60) {
         let round = processes as u64 * answer_ms;
--- a/components/edge/tests/patience.rs
+++ b/components/edge/tests/patience.rs
@@ -1,13 +1,13 @@
-//! Whenever a call is lost, its process has asked again within the contact time.
+//! Tests that after any lost call a process calls again within the contact time.
 
 use std::time::Duration;
 
 use edge::Patience;
 use proptest::prelude::*;
 
-/// What a new connection and the call behind it may take on a busy processor.
+/// The time of a new connection and the call on it, on a busy processor.
 const CALL: Duration = Duration::from_millis(150);
-/// Failures in a row, more than an outage of minutes brings.
+/// The most failures in a row: more than an outage of minutes causes.
 const FAILURES: u32 = 200;
 
 fn contact() -> impl Strategy<Value = Duration> {
