--- a/components/edge/src/answer_log.rs
+++ b/components/edge/src/answer_log.rs
@@ -9,7 +9,7 @@
 
 /// Summary of an answer of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct AnswerSummary {
     /// The number of rows.
     pub rows: usize,
     /// The position in the store's history up to which the answer is complete.
@@ -22,15 +22,15 @@
     table: Table,
     call: &str,
     reader: Option<SocketAddr>,
-    asked: Duration,
-    outcome: &Result<Told>,
+    elapsed: Duration,
+    outcome: &Result<AnswerSummary>,
 ) {
     let table = format!("{table:?}");
     let reader = reader.map(|it| it.to_string());
     let reader = reader.as_deref();
-    let asked_ms = asked.as_millis() as u64;
+    let asked_ms = elapsed.as_millis() as u64;
     match outcome {
-        Ok(Told { rows, place }) => log::info!(
+        Ok(AnswerSummary { rows, place }) => log::info!(
             table = table.as_str(),
             call = call,
             reader = reader,
--- a/components/edge/src/caller.rs
+++ b/components/edge/src/caller.rs
@@ -17,13 +17,13 @@
 use telemetry::Metrics;
 use uptime::Instant;
 
-use crate::backlog::{Backlog, BacklogBounds, ConnectionId, Dropped, NoMemory};
+use crate::caller_buffers::{BufferLimits, CallerBuffers, ConnectionId, NoMemory, SlowConnection};
 use crate::clock::Clock;
 use crate::gateway::AnswerBody;
 
 /// Why the connection of a caller that does not read is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reason {
+enum CloseReason {
     /// The caller read nothing during the timeout of its route.
     Stalled,
     /// The time of a stream is over and the caller has not read the earlier bytes.
@@ -32,7 +32,7 @@
     Memory,
 }
 
-impl Reason {
+impl CloseReason {
     fn name(self) -> &'static str {
         match self {
             Self::Stalled => "stalled",
@@ -47,7 +47,7 @@
 pub struct Callers(Rc<Shared>);
 
 struct Shared {
-    backlog: RefCell<Backlog>,
+    buffers: RefCell<CallerBuffers>,
     connections: RefCell<BTreeMap<ConnectionId, Weak<Caller>>>,
     clock: Clock,
     metrics: Rc<Metrics>,
@@ -55,9 +55,9 @@
 
 impl Callers {
     /// Creates the state without connections.
-    pub fn new(bounds: BacklogBounds, clock: Clock, metrics: Rc<Metrics>) -> Self {
+    pub fn new(limits: BufferLimits, clock: Clock, metrics: Rc<Metrics>) -> Self {
         Self(Rc::new(Shared {
-            backlog: RefCell::new(Backlog::new(bounds)),
+            buffers: RefCell::new(CallerBuffers::new(limits)),
             connections: RefCell::default(),
             clock,
             metrics,
@@ -65,44 +65,44 @@
     }
 
     /// The limits of the buffered bytes.
-    pub fn bounds(&self) -> BacklogBounds {
-        self.0.backlog.borrow().bounds()
+    pub fn limits(&self) -> BufferLimits {
+        self.0.buffers.borrow().limits()
     }
 
     /// The bytes that are buffered for all callers.
-    pub fn kept_bytes(&self) -> usize {
-        self.0.backlog.borrow().total()
+    pub fn buffered_bytes(&self) -> usize {
+        self.0.buffers.borrow().total()
     }
 
     /// Adds a connection. `read_timeout` is how long the caller may read nothing until a request sets another
     /// value.
-    pub fn connect(&self, patience: Duration) -> Rc<Caller> {
-        let id = self.0.backlog.borrow_mut().open();
+    pub fn connect(&self, read_timeout: Duration) -> Rc<Caller> {
+        let id = self.0.buffers.borrow_mut().open();
         let caller = Rc::new(Caller {
             callers: self.clone(),
             id,
-            patience: Cell::new(patience),
-            stream_until: Cell::new(None),
-            is_dropped: Cell::new(false),
+            read_timeout: Cell::new(read_timeout),
+            stream_deadline: Cell::new(None),
+            is_closed: Cell::new(false),
             waker: RefCell::default(),
         });
         self.0.connections.borrow_mut().insert(id, Rc::downgrade(&caller));
         caller
     }
 
-    fn drop_slow(&self, dropped: Dropped) {
-        self.note(Reason::Memory, dropped);
-        let caller = self.0.connections.borrow().get(&dropped.id).and_then(Weak::upgrade);
+    fn close_slow(&self, slow: SlowConnection) {
+        self.log_closed(CloseReason::Memory, slow);
+        let caller = self.0.connections.borrow().get(&slow.id).and_then(Weak::upgrade);
         let Some(caller) = caller else {
             return;
         };
-        caller.is_dropped.set(true);
+        caller.is_closed.set(true);
         let waker = caller.waker.take();
         waker.into_iter().for_each(Waker::wake);
     }
 
-    fn note(&self, reason: Reason, dropped: Dropped) {
-        let Dropped { bytes, age_ms, .. } = dropped;
+    fn log_closed(&self, reason: CloseReason, slow: SlowConnection) {
+        let SlowConnection { bytes, age_ms, .. } = slow;
         log::warn!(reason = reason.name(), bytes = bytes, age_ms = age_ms; "connection of a slow reader closed");
         self.0.metrics.count_slow_reader(reason.name());
     }
@@ -112,69 +112,69 @@
 pub struct Caller {
     callers: Callers,
     id: ConnectionId,
-    patience: Cell<Duration>,
+    read_timeout: Cell<Duration>,
     /// Until when a runner may work on the current stream.
-    stream_until: Cell<Option<Instant>>,
-    is_dropped: Cell<bool>,
+    stream_deadline: Cell<Option<Instant>>,
+    is_closed: Cell<bool>,
     /// Wakes the connection while it waits for its reader.
     waker: RefCell<Option<Waker>>,
 }
 
 impl Caller {
     /// The limits of the buffered bytes.
-    pub fn bounds(&self) -> BacklogBounds {
-        self.callers.bounds()
+    pub fn limits(&self) -> BufferLimits {
+        self.callers.limits()
     }
 
     /// Accounts for bytes of a request's body.
-    pub fn keep_body(&self, bytes: usize) -> Result<(), NoMemory> {
-        self.callers.0.backlog.borrow_mut().keep_body(self.id, bytes)
+    pub fn reserve_body(&self, bytes: usize) -> Result<(), NoMemory> {
+        self.callers.0.buffers.borrow_mut().reserve_body(self.id, bytes)
     }
 
     /// Releases the body of the request.
     pub fn release_body(&self) {
-        self.callers.0.backlog.borrow_mut().release_body(self.id);
+        self.callers.0.buffers.borrow_mut().release_body(self.id);
     }
 
     /// Sets how long the caller may read nothing.
-    pub fn set_patience(&self, patience: Duration) {
-        self.patience.set(patience);
+    pub fn set_read_timeout(&self, read_timeout: Duration) {
+        self.read_timeout.set(read_timeout);
     }
 
     /// Sets until when a runner may work on the current stream. `None` if there is no stream.
-    pub fn set_stream_until(&self, until: Option<Instant>) {
-        self.stream_until.set(until);
+    pub fn set_stream_deadline(&self, until: Option<Instant>) {
+        self.stream_deadline.set(until);
     }
 
-    fn note_answer(&self, bytes: usize) {
+    fn reserve_answer(&self, bytes: usize) {
         let now = self.callers.0.clock.now();
-        let dropped = self.callers.0.backlog.borrow_mut().keep_answer(now, self.id, bytes);
-        dropped.into_iter().for_each(|it| self.callers.drop_slow(it));
+        let slow = self.callers.0.buffers.borrow_mut().reserve_answer(now, self.id, bytes);
+        slow.into_iter().for_each(|it| self.callers.close_slow(it));
     }
 
-    fn note_read(&self, bytes: usize) {
-        self.callers.0.backlog.borrow_mut().note_read(self.id, bytes);
+    fn record_read(&self, bytes: usize) {
+        self.callers.0.buffers.borrow_mut().record_read(self.id, bytes);
     }
 
     /// When and why a caller that has read nothing since `since` is disconnected.
-    fn limit(&self, since: Instant) -> (Instant, Reason) {
-        let stalled = since + self.patience.get();
-        match self.stream_until.get() {
-            Some(until) if until < stalled => (until, Reason::Late),
-            _ => (stalled, Reason::Stalled),
+    fn read_deadline(&self, since: Instant) -> (Instant, CloseReason) {
+        let stalled = since + self.read_timeout.get();
+        match self.stream_deadline.get() {
+            Some(until) if until < stalled => (until, CloseReason::Late),
+            _ => (stalled, CloseReason::Stalled),
         }
     }
 
-    fn note_limit(&self, reason: Reason, since: Instant) {
-        let bytes = self.callers.0.backlog.borrow().of(self.id);
+    fn log_timeout(&self, reason: CloseReason, since: Instant) {
+        let bytes = self.callers.0.buffers.borrow().bytes_of(self.id);
         let age_ms = since.elapsed().as_millis() as u64;
-        self.callers.note(reason, Dropped { id: self.id, bytes, age_ms });
+        self.callers.log_closed(reason, SlowConnection { id: self.id, bytes, age_ms });
     }
 }
 
 impl Drop for Caller {
     fn drop(&mut self) {
-        self.callers.0.backlog.borrow_mut().close(self.id);
+        self.callers.0.buffers.borrow_mut().close(self.id);
         self.callers.0.connections.borrow_mut().remove(&self.id);
     }
 }
@@ -184,7 +184,7 @@
     stream: S,
     caller: Rc<Caller>,
     /// Since when the caller has accepted no bytes.
-    blocked: Option<Instant>,
+    blocked_since: Option<Instant>,
     /// Wakes the connection when the timeout expires.
     timer: Option<(Instant, Timer)>,
 }
@@ -192,15 +192,15 @@
 impl<S> CallerStream<S> {
     /// Wraps the stream of a caller's connection.
     pub fn new(stream: S, caller: Rc<Caller>) -> Self {
-        Self { stream, caller, blocked: None, timer: None }
+        Self { stream, caller, blocked_since: None, timer: None }
     }
 
-    fn wait_for_reader(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let since = *self.blocked.get_or_insert_with(Instant::now);
-        let (until, reason) = self.caller.limit(since);
+    fn poll_read_timeout(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let since = *self.blocked_since.get_or_insert_with(Instant::now);
+        let (until, reason) = self.caller.read_deadline(since);
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            self.caller.note_limit(reason, since);
+            self.caller.log_timeout(reason, since);
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         self.caller.waker.replace(Some(cx.waker().clone()));
@@ -235,14 +235,14 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.caller.is_dropped.get() {
+        if self.caller.is_closed.get() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         match Pin::new(&mut self.stream).poll_write(cx, bytes) {
-            Poll::Pending => self.wait_for_reader(cx),
+            Poll::Pending => self.poll_read_timeout(cx),
             Poll::Ready(Ok(written)) => {
-                (self.blocked, self.timer) = (None, None);
-                self.caller.note_read(written);
+                (self.blocked_since, self.timer) = (None, None);
+                self.caller.record_read(written);
                 Poll::Ready(Ok(written))
             }
             failed => failed,
@@ -259,19 +259,19 @@
 }
 
 /// The body of an answer whose bytes are accounted for until they are read.
-pub struct CountedBody {
+pub struct AccountedBody {
     body: AnswerBody,
     caller: Rc<Caller>,
 }
 
-impl CountedBody {
+impl AccountedBody {
     /// Wraps the body of an answer to a caller.
     pub fn new(body: AnswerBody, caller: Rc<Caller>) -> Self {
         Self { body, caller }
     }
 }
 
-impl Body for CountedBody {
+impl Body for AccountedBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -281,7 +281,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let frame = self.body.as_mut().poll_frame(cx);
         if let Poll::Ready(Some(Ok(frame))) = &frame {
-            self.caller.note_answer(frame.data_ref().map_or(0, Bytes::len));
+            self.caller.reserve_answer(frame.data_ref().map_or(0, Bytes::len));
         }
         frame
     }
--- a/components/edge/src/caller/tests.rs
+++ b/components/edge/src/caller/tests.rs
@@ -22,7 +22,7 @@
 use telemetry::Metrics;
 
 use super::{Caller, Callers};
-use crate::backlog::BacklogBounds;
+use crate::caller_buffers::BufferLimits;
 use crate::clock::Clock;
 use crate::gateway::{whole_body, AnswerBody};
 use crate::server::{serve_connection, ServerOptions};
@@ -30,27 +30,27 @@
 /// Memory of the process, in MB.
 const MEMORY_MB: u64 = 112;
 /// Size of a large plain answer, in bytes.
-const LARGE: usize = 100_000;
+const LARGE_ANSWER_BYTES: usize = 100_000;
 /// Bytes that a connection buffers in each direction.
-const WINDOW: usize = 4096;
+const WINDOW_BYTES: usize = 4096;
 /// Number of callers of each kind.
-const CALLERS: usize = 200;
+const CALLERS_OF_EACH_KIND: usize = 200;
 /// How long a caller may read nothing.
-const PATIENCE: Duration = Duration::from_millis(700);
+const READ_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time after which a caller that does not read differs from one that has just started.
-const SHOWN: Duration = Duration::from_millis(200);
-const IDLE: Duration = Duration::from_secs(20);
+const SLOW_AFTER: Duration = Duration::from_millis(200);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
 
 /// One end of a connection.
-struct End(piper::Reader, piper::Writer);
+struct ConnectionEnd(piper::Reader, piper::Writer);
 
-fn connection() -> (End, End) {
-    let (to_caller, to_server) = (piper::pipe(WINDOW), piper::pipe(WINDOW));
-    (End(to_caller.0, to_server.1), End(to_server.0, to_caller.1))
+fn connection() -> (ConnectionEnd, ConnectionEnd) {
+    let (to_caller, to_server) = (piper::pipe(WINDOW_BYTES), piper::pipe(WINDOW_BYTES));
+    (ConnectionEnd(to_caller.0, to_server.1), ConnectionEnd(to_server.0, to_caller.1))
 }
 
-impl AsyncRead for End {
+impl AsyncRead for ConnectionEnd {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -60,7 +60,7 @@
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for ConnectionEnd {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -80,30 +80,34 @@
 
 /// A server whose callers are connected in memory.
 #[derive(Clone)]
-struct Stage {
+struct TestServer {
     executor: Rc<LocalExecutor<'static>>,
     options: ServerOptions,
     callers: Callers,
     _open: Sender<()>,
 }
 
-impl Stage {
+impl TestServer {
     fn new() -> Self {
-        let bounds = BacklogBounds::of_memory(MEMORY_MB);
-        let callers = Callers::new(bounds, Clock::start(), Rc::new(Metrics::start().unwrap()));
+        let limits = BufferLimits::from_memory_mb(MEMORY_MB);
+        let callers = Callers::new(limits, Clock::start(), Rc::new(Metrics::start().unwrap()));
         let (open, stopping) = async_channel::bounded(1);
-        let options =
-            ServerOptions { idle: IDLE, stopping, open: Rc::default(), callers: callers.clone() };
+        let options = ServerOptions {
+            idle: IDLE_TIMEOUT,
+            stopping,
+            open: Rc::default(),
+            callers: callers.clone(),
+        };
         Self { executor: Rc::default(), options, callers, _open: open }
     }
 
-    fn connect<F>(&self, answer: impl Fn(Rc<Caller>) -> F + Clone + 'static) -> End
+    fn connect<F>(&self, answer: impl Fn(Rc<Caller>) -> F + Clone + 'static) -> ConnectionEnd
     where
         F: std::future::Future<Output = Response<AnswerBody>> + 'static,
     {
-        let (caller, server) = connection();
+        let (caller, end) = connection();
         let handler = move |_: Request<Incoming>, caller| answer(caller);
-        self.executor.spawn(serve_connection(server, self.options.clone(), handler)).detach();
+        self.executor.spawn(serve_connection(end, self.options.clone(), handler)).detach();
         caller
     }
 
@@ -111,7 +115,7 @@
         future::block_on(self.executor.run(future))
     }
 
-    fn metric(&self, reason: &str) -> bool {
+    fn has_metric(&self, reason: &str) -> bool {
         let line = format!("silverdock_slow_readers_total{{reason=\"{reason}\"}}");
         self.callers
             .0
@@ -122,16 +126,16 @@
     }
 }
 
-async fn large(caller: Rc<Caller>) -> Response<AnswerBody> {
-    caller.set_patience(PATIENCE);
-    Response::new(whole_body(vec![7; LARGE]))
+async fn large_answer(caller: Rc<Caller>) -> Response<AnswerBody> {
+    caller.set_read_timeout(READ_TIMEOUT);
+    Response::new(whole_body(vec![7; LARGE_ANSWER_BYTES]))
 }
 
 /// Reads a whole answer and returns the number of bytes received.
-async fn read_all(mut end: End) -> usize {
+async fn read_all(mut end: ConnectionEnd) -> usize {
     end.write_all(REQUEST).await.unwrap();
-    let (mut read, mut buffer) = (0, [0; WINDOW]);
-    while read < LARGE {
+    let (mut read, mut buffer) = (0, [0; WINDOW_BYTES]);
+    while read < LARGE_ANSWER_BYTES {
         match end.read(&mut buffer).await {
             Ok(count @ 1..) => read += count,
             _ => break,
@@ -141,7 +145,7 @@
 }
 
 /// Reads one byte a second until the connection ends.
-async fn read_slowly(mut end: End) {
+async fn read_slowly(mut end: ConnectionEnd) {
     end.write_all(REQUEST).await.unwrap();
     while let Ok(1) = end.read(&mut [0; 1]).await {
         Timer::after(Duration::from_secs(1)).await;
@@ -155,64 +159,73 @@
 }
 
 /// The processor time that serving `CALLERS` fast readers takes. Nothing else runs meanwhile.
-async fn time_of_quick(stage: &Stage) -> Duration {
-    let begun = processor_time();
-    let reading: Vec<_> =
-        (0..CALLERS).map(|_| stage.executor.spawn(read_all(stage.connect(large)))).collect();
+async fn quick_callers_time(server: &TestServer) -> Duration {
+    let started = processor_time();
+    let reading: Vec<_> = (0..CALLERS_OF_EACH_KIND)
+        .map(|_| server.executor.spawn(read_all(server.connect(large_answer))))
+        .collect();
     for read in reading {
-        assert!(read.await >= LARGE, "every quick caller gets its whole answer");
+        assert!(read.await >= LARGE_ANSWER_BYTES, "every quick caller gets its whole answer");
     }
-    processor_time() - begun
+    processor_time() - started
 }
 
 #[test]
 fn slow_readers_take_bounded_memory_and_no_time_of_quick_ones() {
-    let alone = Stage::new();
-    let beside = Stage::new();
-    let most: Rc<Cell<usize>> = Rc::default();
-    let (quick_alone, quick_beside) = beside.run(async {
-        for _ in 0..CALLERS {
-            beside.executor.spawn(read_slowly(beside.connect(large))).detach();
+    let without_slow = TestServer::new();
+    let with_slow = TestServer::new();
+    let max_buffered: Rc<Cell<usize>> = Rc::default();
+    let (quick_time_without_slow, quick_time_with_slow) = with_slow.run(async {
+        for _ in 0..CALLERS_OF_EACH_KIND {
+            with_slow.executor.spawn(read_slowly(with_slow.connect(large_answer))).detach();
         }
         // By now the slow readers are recognised as slow.
-        Timer::after(SHOWN).await;
-        let (callers, seen) = (beside.callers.clone(), most.clone());
-        let watch = async move {
+        Timer::after(SLOW_AFTER).await;
+        let (callers, max_seen) = (with_slow.callers.clone(), max_buffered.clone());
+        let sampling = async move {
             loop {
-                seen.set(seen.get().max(callers.kept_bytes()));
+                max_seen.set(max_seen.get().max(callers.buffered_bytes()));
                 future::yield_now().await;
             }
         };
-        let _watch = beside.executor.spawn(watch);
-        let (mut quick_alone, mut quick_beside) = (Duration::MAX, Duration::MAX);
+        let _sampling = with_slow.executor.spawn(sampling);
+        let (mut quick_time_without_slow, mut quick_time_with_slow) =
+            (Duration::MAX, Duration::MAX);
         for _ in 0..5 {
-            let time = alone.executor.run(time_of_quick(&alone)).await;
-            quick_alone = quick_alone.min(time);
-            quick_beside = quick_beside.min(time_of_quick(&beside).await);
+            let time = without_slow.executor.run(quick_callers_time(&without_slow)).await;
+            quick_time_without_slow = quick_time_without_slow.min(time);
+            quick_time_with_slow = quick_time_with_slow.min(quick_callers_time(&with_slow).await);
         }
-        (quick_alone, quick_beside)
+        (quick_time_without_slow, quick_time_with_slow)
     });
-    assert!(most.get() <= beside.callers.bounds().process, "{} bytes were kept", most.get());
-    assert!(beside.metric("memory"), "slow readers gave way");
-    let bound = quick_alone.mul_f64(1.1);
-    assert!(quick_beside <= bound, "{quick_beside:?} beside slow readers, {quick_alone:?} alone");
+    assert!(
+        max_buffered.get() <= with_slow.callers.limits().process,
+        "{} bytes were buffered",
+        max_buffered.get()
+    );
+    assert!(with_slow.has_metric("memory"), "slow readers were disconnected");
+    let bound = quick_time_without_slow.mul_f64(1.1);
+    assert!(
+        quick_time_with_slow <= bound,
+        "{quick_time_with_slow:?} with slow readers, {quick_time_without_slow:?} without"
+    );
 }
 
 #[test]
 fn a_caller_that_reads_nothing_is_let_go_after_the_time_of_its_route() {
-    let stage = Stage::new();
-    let mut end = stage.connect(large);
-    let begun = Instant::now();
-    stage.run(async {
+    let server = TestServer::new();
+    let mut end = server.connect(large_answer);
+    let started = Instant::now();
+    server.run(async {
         end.write_all(REQUEST).await.unwrap();
-        while stage.options.open.get() > 0 || begun.elapsed() < Duration::from_millis(50) {
+        while server.options.open.get() > 0 || started.elapsed() < Duration::from_millis(50) {
             Timer::after(Duration::from_millis(5)).await;
-            assert!(begun.elapsed() < 3 * PATIENCE, "the connection is still open");
+            assert!(started.elapsed() < 3 * READ_TIMEOUT, "the connection is still open");
         }
     });
-    assert!(begun.elapsed() >= PATIENCE, "closed after {:?}", begun.elapsed());
-    assert!(stage.metric("stalled"));
-    assert_eq!(stage.callers.kept_bytes(), 0);
+    assert!(started.elapsed() >= READ_TIMEOUT, "closed after {:?}", started.elapsed());
+    assert!(server.has_metric("stalled"));
+    assert_eq!(server.callers.buffered_bytes(), 0);
 }
 
 /// Records when it is dropped, which is when the connection to a runner is closed.
@@ -225,9 +238,9 @@
 }
 
 /// An endless stream that produces data for as long as it is read.
-fn endless(runner: Runner) -> Response<AnswerBody> {
+fn endless_stream(runner: Runner) -> Response<AnswerBody> {
     let frames = stream::unfold(runner, |runner| async move {
-        let frame: Result<_, Error> = Ok(Frame::data(Bytes::from(vec![7; WINDOW])));
+        let frame: Result<_, Error> = Ok(Frame::data(Bytes::from(vec![7; WINDOW_BYTES])));
         Some((frame, runner))
     });
     Response::new(Box::pin(StreamBody::new(frames)))
@@ -235,26 +248,26 @@
 
 #[test]
 fn a_stream_that_is_read_a_byte_a_second_holds_its_runner_no_longer_than_its_time() {
-    let stage = Stage::new();
+    let server = TestServer::new();
     let released: Rc<RefCell<Option<Instant>>> = Rc::default();
     let until = Duration::from_millis(1500);
-    let begun = Instant::now();
-    let end = stage.connect({
+    let started = Instant::now();
+    let end = server.connect({
         let released = released.clone();
         move |caller: Rc<Caller>| {
-            caller.set_patience(IDLE);
-            caller.set_stream_until(Some(uptime::Instant::now() + until));
-            std::future::ready(endless(Runner(released.clone())))
+            caller.set_read_timeout(IDLE_TIMEOUT);
+            caller.set_stream_deadline(Some(uptime::Instant::now() + until));
+            std::future::ready(endless_stream(Runner(released.clone())))
         }
     });
-    stage.run(async {
-        stage.executor.spawn(read_slowly(end)).detach();
-        while released.borrow().is_none() && begun.elapsed() < 3 * until {
+    server.run(async {
+        server.executor.spawn(read_slowly(end)).detach();
+        while released.borrow().is_none() && started.elapsed() < 3 * until {
             Timer::after(Duration::from_millis(5)).await;
         }
     });
     let released = released.borrow().expect("the runner is released");
-    let took = released.duration_since(begun);
+    let took = released.duration_since(started);
     assert!(took >= until && took < until + Duration::from_millis(500), "{took:?}");
-    assert!(stage.metric("late"));
+    assert!(server.has_metric("late"));
 }
--- a/components/edge/src/lateness.rs
+++ b/components/edge/src/catch_up.rs
@@ -5,36 +5,36 @@
 
 /// Whether a feed is still catching up.
 #[derive(Debug)]
-pub struct Lateness {
+pub struct CatchUp {
     /// Whether changes from before a gap may still arrive.
-    behind: bool,
+    is_behind: bool,
 }
 
-impl Default for Lateness {
+impl Default for CatchUp {
     fn default() -> Self {
         // A process that starts does not know what happened before.
-        Self { behind: true }
+        Self { is_behind: true }
     }
 }
 
-impl Lateness {
+impl CatchUp {
     /// Marks the following changes as possibly old: the store was restored from an older copy.
-    pub fn note_gap(&mut self) {
-        self.behind = true;
+    pub fn record_gap(&mut self) {
+        self.is_behind = true;
     }
 
     /// Records a listing. `was_silent` says whether the store had not answered for longer than usual.
-    pub fn take_listing(&mut self, was_silent: bool) {
-        self.behind |= was_silent;
+    pub fn record_listing(&mut self, was_silent: bool) {
+        self.is_behind |= was_silent;
     }
 
     /// Records the answer to a feed call and returns whether its changes are old. Only an empty answer shows
     /// that nothing older is left: one that arrived late may have been produced late.
-    pub fn take_feed(&mut self, was_silent: bool, is_empty: bool) -> bool {
-        self.behind |= was_silent;
-        let is_old = self.behind;
+    pub fn record_feed(&mut self, was_silent: bool, is_empty: bool) -> bool {
+        self.is_behind |= was_silent;
+        let is_old = self.is_behind;
         if is_empty {
-            self.behind = false;
+            self.is_behind = false;
         }
         is_old
     }
--- a/components/edge/src/news.rs
+++ b/components/edge/src/datagram_socket.rs
@@ -11,7 +11,7 @@
 use errors::{Code, Error, Result};
 use telemetry::Metrics;
 
-use crate::additions::{decode_datagram, encode_datagram};
+use crate::extensions::{decode_datagram, encode_datagram};
 use crate::message::Datagram;
 
 /// The largest datagram, in bytes.
@@ -24,14 +24,14 @@
 
 /// A socket for datagrams.
 #[derive(Clone)]
-pub struct News {
+pub struct DatagramSocket {
     socket: UdpSocket,
     metrics: Rc<Metrics>,
     /// Peers that were logged because their datagrams could not be read completely.
     foreign: Rc<RefCell<BTreeSet<SocketAddr>>>,
 }
 
-impl News {
+impl DatagramSocket {
     /// Binds a socket to an address.
     pub async fn bind(address: SocketAddr, metrics: Rc<Metrics>) -> Result<Self> {
         let socket = UdpSocket::bind(address).await;
--- a/components/edge/src/lapses.rs
+++ b/components/edge/src/delayed_removals.rs
@@ -13,35 +13,35 @@
 
 /// How long after the store's return runners that it no longer lists are kept: two seconds for the runner to
 /// write its row again, and half a second until this process receives it.
-const GRACE: Duration = Duration::from_millis(2500);
+const REMOVAL_DELAY: Duration = Duration::from_millis(2500);
 
 /// The runners that are missing from the list since the store is back.
 #[derive(Debug, Default)]
-pub struct Lapses {
+pub struct DelayedRemovals {
     back_at: Option<Instant>,
     /// Whether the store was restored from an older copy. Then any single row written after the copy may be
     /// lost.
-    from_copy: bool,
+    restored_from_copy: bool,
     missing: BTreeSet<InstanceId>,
 }
 
-impl Lapses {
+impl DelayedRemovals {
     /// Records that the store answers again after an outage.
-    pub fn note_return(&mut self, now: Instant) {
+    pub fn record_store_return(&mut self, now: Instant) {
         self.back_at = Some(now);
-        self.from_copy = false;
+        self.restored_from_copy = false;
     }
 
     /// Records that the store was restored from an older copy.
-    pub fn note_copy(&mut self, now: Instant) {
+    pub fn record_store_restore(&mut self, now: Instant) {
         self.back_at = Some(now);
-        self.from_copy = true;
+        self.restored_from_copy = true;
     }
 
     /// Handles a runner that is no longer listed, where `gone` of `known` runners disappeared at once.
     /// Returns whether its removal is delayed.
-    pub fn hold(&mut self, now: Instant, id: &InstanceId, gone: usize, known: usize) -> bool {
-        if self.is_over(now) || (2 * gone < known && !self.from_copy) {
+    pub fn delay(&mut self, now: Instant, id: &InstanceId, gone: usize, known: usize) -> bool {
+        if self.is_over(now) || (2 * gone < known && !self.restored_from_copy) {
             return false;
         }
         self.missing.insert(id.clone());
@@ -49,7 +49,7 @@
     }
 
     /// Records that a runner is listed.
-    pub fn note_listed(&mut self, id: &InstanceId) {
+    pub fn record_listed(&mut self, id: &InstanceId) {
         self.missing.remove(id);
     }
 
@@ -63,12 +63,12 @@
     }
 
     /// The time until the missing runners are removed, if there are any.
-    pub fn left(&self, now: Instant) -> Option<Duration> {
+    pub fn time_left(&self, now: Instant) -> Option<Duration> {
         let back_at = self.back_at.filter(|_| !self.missing.is_empty())?;
-        Some((back_at + GRACE).saturating_duration_since(now))
+        Some((back_at + REMOVAL_DELAY).saturating_duration_since(now))
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        self.back_at.is_none_or(|at| now >= at + GRACE)
+        self.back_at.is_none_or(|at| now >= at + REMOVAL_DELAY)
     }
 }
--- a/components/edge/src/era.rs
+++ b/components/edge/src/era.rs
@@ -15,14 +15,14 @@
 /// The highest era found in an answer of the store, shared by all calls of a process.
 pub struct Era {
     current: Cell<Option<u64>>,
-    tasks: RefCell<Vec<Sender<()>>>,
+    subscribers: RefCell<Vec<Sender<()>>>,
     metrics: Rc<Metrics>,
 }
 
 impl Era {
     /// Creates the state before the first answer.
     pub fn new(metrics: Rc<Metrics>) -> Self {
-        Self { current: Cell::default(), tasks: RefCell::default(), metrics }
+        Self { current: Cell::default(), subscribers: RefCell::default(), metrics }
     }
 
     /// The highest era received. `None` if the store sends none.
@@ -32,37 +32,37 @@
 
     /// A channel that receives a message on each increase of the era, and whenever the store has to be called
     /// at once.
-    pub fn calls(&self) -> Receiver<()> {
-        let (task, calls) = async_channel::bounded(1);
-        self.tasks.borrow_mut().push(task);
-        calls
+    pub fn subscribe(&self) -> Receiver<()> {
+        let (subscriber, notifications) = async_channel::bounded(1);
+        self.subscribers.borrow_mut().push(subscriber);
+        notifications
     }
 
     /// Makes every task that waits for the store call it at once.
-    pub fn call_all(&self) {
-        for task in self.tasks.borrow().iter() {
+    pub fn notify_all(&self) {
+        for subscriber in self.subscribers.borrow().iter() {
             // One pending message is enough.
-            let _ = task.try_send(());
+            let _ = subscriber.try_send(());
         }
     }
 
     /// Records the era in the headers of an answer and returns it. An answer with a lower era than the
     /// highest one received, or without an era after one with it, is an error: it does not describe the
     /// present content of the store.
-    pub fn note(&self, headers: &HeaderMap) -> Result<Option<u64>> {
-        let told = store::read_era(headers)?;
-        let known = self.current.get();
-        if told < known {
-            let detail = format!("an answer of era {told:?} after one of era {known:?}");
+    pub fn record(&self, headers: &HeaderMap) -> Result<Option<u64>> {
+        let received = store::read_era(headers)?;
+        let previous = self.current.get();
+        if received < previous {
+            let detail = format!("answer of era {received:?} after one of era {previous:?}");
             return Err(Error::new(Code::PlatformRefused, detail));
         }
-        self.current.set(told);
-        if let (Some(before), Some(era)) = (known, told.filter(|_| told > known)) {
+        self.current.set(received);
+        if let (Some(before), Some(era)) = (previous, received.filter(|_| received > previous)) {
             log::warn!(era = era, before = before; "the store came back from an older copy");
             self.metrics.count_era();
-            self.call_all();
+            self.notify_all();
         }
-        Ok(told)
+        Ok(received)
     }
 }
 
--- a/components/edge/src/era/tests.rs
+++ b/components/edge/src/era/tests.rs
@@ -19,29 +19,29 @@
 #[test]
 fn a_store_without_eras_is_believed_as_it_is() {
     let era = era();
-    assert_eq!(era.note(&answer(None)).unwrap(), None);
+    assert_eq!(era.record(&answer(None)).unwrap(), None);
     assert_eq!(era.current(), None);
 }
 
 #[test]
 fn the_first_era_is_no_rise_and_each_higher_one_is() {
     let era = era();
-    let rises = era.calls();
-    era.note(&answer(Some("7"))).unwrap();
-    assert!(rises.try_recv().is_err());
-    era.note(&answer(Some("7"))).unwrap();
-    assert!(rises.try_recv().is_err());
-    era.note(&answer(Some("8"))).unwrap();
-    assert!(rises.try_recv().is_ok());
+    let notifications = era.subscribe();
+    era.record(&answer(Some("7"))).unwrap();
+    assert!(notifications.try_recv().is_err());
+    era.record(&answer(Some("7"))).unwrap();
+    assert!(notifications.try_recv().is_err());
+    era.record(&answer(Some("8"))).unwrap();
+    assert!(notifications.try_recv().is_ok());
     assert_eq!(era.current(), Some(8));
 }
 
 #[test]
 fn answers_from_before_and_without_an_era_are_errors_once_one_was_told() {
     let era = era();
-    era.note(&answer(Some("8"))).unwrap();
-    assert!(era.note(&answer(Some("7"))).is_err());
-    assert!(era.note(&answer(None)).is_err());
-    assert!(era.note(&answer(Some("soon"))).is_err());
+    era.record(&answer(Some("8"))).unwrap();
+    assert!(era.record(&answer(Some("7"))).is_err());
+    assert!(era.record(&answer(None)).is_err());
+    assert!(era.record(&answer(Some("soon"))).is_err());
     assert_eq!(era.current(), Some(8));
 }
--- a/components/edge/src/evacuated.rs
+++ b/components/edge/src/evacuated.rs
@@ -10,13 +10,13 @@
 #[derive(Debug, Default)]
 pub struct EvacuatedHalls {
     /// When each row was read from a feed of current changes. `None` if the evacuation may be older.
-    began: BTreeMap<Hall, Option<Instant>>,
+    began_at: BTreeMap<Hall, Option<Instant>>,
 }
 
 impl EvacuatedHalls {
     /// Applies a complete listing. A hall that is missing in it is no longer evacuated. How long a hall that
     /// is new in it has been evacuated is unknown.
-    pub fn take_listing(
+    pub fn apply_listing(
         &mut self,
         now: Instant,
         place: StorePlace,
@@ -27,16 +27,16 @@
             _ => None,
         });
         let began = listed.map(|hall| {
-            let at = self.began.get(&hall).copied().flatten();
+            let at = self.began_at.get(&hall).copied().flatten();
             (hall, at)
         });
-        self.began = began.collect();
+        self.began_at = began.collect();
         self.list(now, place)
     }
 
     /// Applies the changes of a feed. Returns the evacuated halls if one of them changed. `late` says whether
     /// the changes may have happened some time ago.
-    pub fn take_feed(
+    pub fn apply_feed(
         &mut self,
         now: Instant,
         place: StorePlace,
@@ -47,10 +47,10 @@
         for change in changes {
             match change {
                 Change::Evacuated(hall) => {
-                    self.began.entry(hall.clone()).or_insert((!late).then_some(now));
+                    self.began_at.entry(hall.clone()).or_insert((!late).then_some(now));
                 }
                 Change::Reopened(hall) => {
-                    self.began.remove(hall);
+                    self.began_at.remove(hall);
                 }
                 _ => continue,
             }
@@ -64,7 +64,7 @@
             hall: hall.clone(),
             age_ms: at.map(|at| now.saturating_duration_since(at).as_millis() as u64),
         };
-        EvacuationList { place, evacuated: self.began.iter().map(evacuation).collect() }
+        EvacuationList { place, evacuated: self.began_at.iter().map(evacuation).collect() }
     }
 }
 
--- a/components/edge/src/evacuated/tests.rs
+++ b/components/edge/src/evacuated/tests.rs
@@ -17,42 +17,42 @@
 #[test]
 fn a_row_that_went_while_the_store_was_away_is_missing_from_the_listing() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
-    halls.take_feed(now, 10.into(), &[evacuated("a"), evacuated("b")], false);
+    halls.apply_feed(now, 10.into(), &[evacuated("a"), evacuated("b")], false);
     let later = now + Duration::from_millis(700);
-    let list = halls.take_listing(later, 20.into(), &[evacuated("b")]);
+    let list = halls.apply_listing(later, 20.into(), &[evacuated("b")]);
     assert_eq!((list.place.revision, ages(&list)), (20, vec![("b", Some(700))]));
 }
 
 #[test]
 fn nobody_knows_for_how_long_what_a_listing_shows_first_has_been_evacuated() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
-    let list = halls.take_listing(now, 20.into(), &[evacuated("a")]);
+    let list = halls.apply_listing(now, 20.into(), &[evacuated("a")]);
     assert_eq!(ages(&list), [("a", None)]);
 }
 
 #[test]
 fn late_news_has_no_age_and_fresh_news_has() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
-    let list = halls.take_feed(now, 10.into(), &[evacuated("a")], true).unwrap();
+    let list = halls.apply_feed(now, 10.into(), &[evacuated("a")], true).unwrap();
     assert_eq!(ages(&list), [("a", None)]);
-    let list = halls.take_feed(now, 11.into(), &[evacuated("b")], false).unwrap();
+    let list = halls.apply_feed(now, 11.into(), &[evacuated("b")], false).unwrap();
     assert_eq!(ages(&list), [("a", None), ("b", Some(0))]);
 }
 
 #[test]
 fn a_hall_that_was_taken_back_and_is_evacuated_again_starts_anew() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
-    halls.take_feed(now, 10.into(), &[evacuated("a")], false);
+    halls.apply_feed(now, 10.into(), &[evacuated("a")], false);
     let later = now + Duration::from_millis(900);
     let changes = [Change::Reopened("a".into()), evacuated("a")];
-    let list = halls.take_feed(later, 12.into(), &changes, false).unwrap();
+    let list = halls.apply_feed(later, 12.into(), &changes, false).unwrap();
     assert_eq!(ages(&list), [("a", Some(0))]);
 }
 
 #[test]
 fn a_page_that_tells_of_no_hall_gives_no_list() {
     let mut halls = EvacuatedHalls::default();
-    assert_eq!(halls.take_feed(Instant::now(), 10.into(), &[], false), None);
+    assert_eq!(halls.apply_feed(Instant::now(), 10.into(), &[], false), None);
 }
 
 fn gateway() -> Gateway {
@@ -83,12 +83,12 @@
     })
 }
 
-fn tell(gateway: &mut Gateway, now: Millis, list: EvacuationList) {
+fn apply(gateway: &mut Gateway, now: Millis, list: EvacuationList) {
     gateway.reduce(now, 1, gateway::Event::Evacuations(list));
 }
 
 /// The list that a sidecar reports to gateways after it received the list of `from`.
-fn through(sidecar: &mut Rollout, now: Millis, from: &Gateway) -> EvacuationList {
+fn relay_through(sidecar: &mut Rollout, now: Millis, from: &Gateway) -> EvacuationList {
     sidecar.reduce(now, rollout::Event::Evacuations(from.evacuations(now)));
     sidecar.evacuations().list(now)
 }
@@ -96,32 +96,41 @@
 #[test]
 fn a_gateway_that_the_store_refuses_hears_of_a_hall_and_of_its_end_from_a_sidecar() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
-    let (mut informed, mut refused, mut sidecar) = (gateway(), gateway(), sidecar());
-    tell(&mut refused, now, EvacuatedHalls::default().take_listing(started, 5.into(), &[]));
-    let list = halls.take_feed(started, 10.into(), &[evacuated("a")], false).unwrap();
-    tell(&mut informed, now, list);
+    let (mut connected, mut disconnected, mut sidecar) = (gateway(), gateway(), sidecar());
+    apply(&mut disconnected, now, EvacuatedHalls::default().apply_listing(started, 5.into(), &[]));
+    let list = halls.apply_feed(started, 10.into(), &[evacuated("a")], false).unwrap();
+    apply(&mut connected, now, list);
     let later = now.plus(400);
-    let told = through(&mut sidecar, later, &informed);
-    tell(&mut refused, later, told);
-    assert_eq!(ages(&refused.evacuations(later)), [("a", Some(400))]);
+    let report = relay_through(&mut sidecar, later, &connected);
+    apply(&mut disconnected, later, report);
+    assert_eq!(ages(&disconnected.evacuations(later)), [("a", Some(400))]);
     // The disconnected gateway's own report is not newer meanwhile and must not undo the end of the
     // evacuation.
-    let list = halls.take_feed(started, 20.into(), &[Change::Reopened("a".into())], false).unwrap();
-    tell(&mut informed, later, list);
-    through(&mut sidecar, later, &informed);
-    let told = through(&mut sidecar, later, &refused);
-    tell(&mut refused, later, told);
-    assert_eq!(ages(&refused.evacuations(later)), []);
+    let list =
+        halls.apply_feed(started, 20.into(), &[Change::Reopened("a".into())], false).unwrap();
+    apply(&mut connected, later, list);
+    relay_through(&mut sidecar, later, &connected);
+    let report = relay_through(&mut sidecar, later, &disconnected);
+    apply(&mut disconnected, later, report);
+    assert_eq!(ages(&disconnected.evacuations(later)), []);
 }
 
 #[test]
 fn a_listing_of_a_store_that_is_behind_does_not_take_a_hall_back() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
     let mut gateway = gateway();
-    tell(&mut gateway, now, halls.take_feed(started, 10.into(), &[evacuated("a")], false).unwrap());
-    tell(&mut gateway, now, halls.take_listing(started, 8.into(), &[]));
+    apply(
+        &mut gateway,
+        now,
+        halls.apply_feed(started, 10.into(), &[evacuated("a")], false).unwrap(),
+    );
+    apply(&mut gateway, now, halls.apply_listing(started, 8.into(), &[]));
     assert_eq!(gateway.evacuations(now).evacuated.len(), 1);
-    tell(&mut gateway, now, halls.take_feed(started, 12.into(), &[evacuated("a")], true).unwrap());
+    apply(
+        &mut gateway,
+        now,
+        halls.apply_feed(started, 12.into(), &[evacuated("a")], true).unwrap(),
+    );
     assert_eq!(ages(&gateway.evacuations(now)), [("a", Some(0))]);
 }
 
@@ -135,11 +144,11 @@
     };
     sidecar.reduce(now, rollout::Event::Evacuations(known));
     // The store has moved on when the row is finally read, so the sidecar's list is older than the gateway's.
-    tell(&mut slow, now, halls.take_feed(started, 15.into(), &[evacuated("a")], false).unwrap());
-    tell(&mut slow, now, sidecar.evacuations().list(now));
+    apply(&mut slow, now, halls.apply_feed(started, 15.into(), &[evacuated("a")], false).unwrap());
+    apply(&mut slow, now, sidecar.evacuations().list(now));
     assert_eq!(ages(&slow.evacuations(now)), [("a", Some(0))]);
-    let told = through(&mut sidecar, now, &slow);
-    tell(&mut slow, now, told);
+    let report = relay_through(&mut sidecar, now, &slow);
+    apply(&mut slow, now, report);
     assert_eq!(ages(&slow.evacuations(now)), [("a", Some(2000))]);
 }
 
@@ -147,16 +156,16 @@
 fn an_age_grows_by_no_less_than_the_time_however_often_it_is_relayed() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
     let (mut gateways, mut sidecar) = ([gateway(), gateway()], sidecar());
-    tell(
+    apply(
         &mut gateways[0],
         now,
-        halls.take_feed(started, 10.into(), &[evacuated("a")], false).unwrap(),
+        halls.apply_feed(started, 10.into(), &[evacuated("a")], false).unwrap(),
     );
     for round in 0..100 {
         let asked = now.plus(round * 20);
-        let told = through(&mut sidecar, asked, &gateways[round as usize % 2]);
+        let report = relay_through(&mut sidecar, asked, &gateways[round as usize % 2]);
         // The report arrives 10 ms later.
-        gateways.iter_mut().for_each(|it| tell(it, asked.plus(10), told.clone()));
+        gateways.iter_mut().for_each(|it| apply(it, asked.plus(10), report.clone()));
     }
     let end = now.plus(2000);
     assert_eq!(ages(&gateways[0].evacuations(end)), [("a", Some(2000))]);
@@ -167,13 +176,13 @@
 fn a_fleet_of_new_gateways_goes_by_its_own_listing_not_by_what_sidecars_still_tell() {
     let (started, now) = (Instant::now(), Millis(1_000_000));
     let (mut fresh, mut sidecar) = (gateway(), sidecar());
-    let old = EvacuatedHalls::default().take_listing(started, 10.into(), &[evacuated("a")]);
+    let old = EvacuatedHalls::default().apply_listing(started, 10.into(), &[evacuated("a")]);
     sidecar.reduce(now, rollout::Event::Evacuations(old));
     // The sidecar's report arrives first. The row was deleted while nobody followed the table.
-    tell(&mut fresh, now, sidecar.evacuations().list(now));
+    apply(&mut fresh, now, sidecar.evacuations().list(now));
     assert_eq!(fresh.evacuations(now).evacuated.len(), 1);
-    tell(&mut fresh, now, EvacuatedHalls::default().take_listing(started, 11.into(), &[]));
-    let told = through(&mut sidecar, now, &fresh);
-    tell(&mut fresh, now, told);
+    apply(&mut fresh, now, EvacuatedHalls::default().apply_listing(started, 11.into(), &[]));
+    let report = relay_through(&mut sidecar, now, &fresh);
+    apply(&mut fresh, now, report);
     assert!(fresh.evacuations(now).evacuated.is_empty() && sidecar.evacuations().is_empty());
 }
--- a/components/edge/src/additions.rs
+++ b/components/edge/src/extensions.rs
@@ -25,12 +25,12 @@
 
 /// A numbered extension with its encoded value.
 #[derive(Serialize, Deserialize)]
-struct Addition {
+struct Extension {
     number: u16,
     bytes: Vec<u8>,
 }
 
-impl Addition {
+impl Extension {
     fn new(number: u16, value: &impl Serialize) -> Self {
         let bytes = postcard::to_stdvec(value).expect("it holds numbers alone");
         Self { number, bytes }
@@ -39,7 +39,7 @@
 
 /// The extensions of a datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Additions {
+pub struct Extensions {
     /// The store era of its evacuation list.
     era: Option<u64>,
     /// How long slots have been scarce at a runner that has none free, in milliseconds.
@@ -54,16 +54,16 @@
     pub unknown: usize,
 }
 
-impl Additions {
+impl Extensions {
     /// Decodes the bytes after a message. Messages of the first builds have none.
     fn read(bytes: &[u8]) -> Result<Self> {
         if bytes.is_empty() {
             return Ok(Self::default());
         }
         let unreadable = |_| Error::new(Code::BadFrame, "unreadable additions");
-        let listed: Vec<Addition> = postcard::from_bytes(bytes).map_err(unreadable)?;
+        let listed: Vec<Extension> = postcard::from_bytes(bytes).map_err(unreadable)?;
         let mut additions = Self::default();
-        for Addition { number, bytes } in listed {
+        for Extension { number, bytes } in listed {
             match number {
                 ERA => additions.era = Some(postcard::from_bytes(&bytes).map_err(unreadable)?),
                 SHORT_MS => {
@@ -85,13 +85,13 @@
 
     /// Encodes the extensions. The result is empty if there are none.
     fn write(&self) -> Vec<u8> {
-        let era = self.era.map(|it| Addition::new(ERA, &it));
-        let short_ms = self.short_ms.map(|it| Addition::new(SHORT_MS, &it));
-        let limit = self.limit.map(|it| Addition::new(LIMIT, &it));
-        let limits = (!self.limits.is_empty()).then(|| Addition::new(LIMITS, &self.limits));
-        let dates = self.version_dates.as_ref().map(|it| Addition::new(VERSION_DATES, it));
+        let era = self.era.map(|it| Extension::new(ERA, &it));
+        let short_ms = self.short_ms.map(|it| Extension::new(SHORT_MS, &it));
+        let limit = self.limit.map(|it| Extension::new(LIMIT, &it));
+        let limits = (!self.limits.is_empty()).then(|| Extension::new(LIMITS, &self.limits));
+        let dates = self.version_dates.as_ref().map(|it| Extension::new(VERSION_DATES, it));
         let listed = era.into_iter().chain(short_ms).chain(limit).chain(limits).chain(dates);
-        let listed: Vec<Addition> = listed.collect();
+        let listed: Vec<Extension> = listed.collect();
         if listed.is_empty() {
             return Vec::new();
         }
@@ -115,17 +115,17 @@
 /// Encodes a datagram with its extensions.
 pub fn encode_datagram(datagram: &Datagram) -> Vec<u8> {
     let mut bytes = crate::message::encode(datagram);
-    bytes.extend(Additions::of(datagram).write());
+    bytes.extend(Extensions::of(datagram).write());
     bytes
 }
 
 /// Decodes a datagram with its extensions. Unreadable extensions are ignored, since the datagram is valid
 /// without them.
-pub fn decode_datagram(bytes: &[u8]) -> Result<(Datagram, Additions)> {
+pub fn decode_datagram(bytes: &[u8]) -> Result<(Datagram, Extensions)> {
     let unreadable = |_| Error::new(Code::BadFrame, "an unreadable message");
     let (mut datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).map_err(unreadable)?;
     let additions =
-        Additions::read(rest).unwrap_or(Additions { unknown: 1, ..Additions::default() });
+        Extensions::read(rest).unwrap_or(Extensions { unknown: 1, ..Extensions::default() });
     if let Some(evacuations) = datagram.evacuations_mut() {
         evacuations.place.era = additions.era;
     }
--- a/components/edge/src/additions/tests.rs
+++ b/components/edge/src/extensions/tests.rs
@@ -40,7 +40,7 @@
 fn a_datagram_without_an_era_is_one_of_the_first_format() {
     assert_eq!(encode_datagram(&load(None)), encode(&load(None)));
     let (datagram, additions) = decode_datagram(&encode(&load(None))).unwrap();
-    assert_eq!((datagram, additions), (load(None), Additions::default()));
+    assert_eq!((datagram, additions), (load(None), Extensions::default()));
 }
 
 #[test]
@@ -118,11 +118,11 @@
         numbers in proptest::collection::vec((UNKNOWN..u16::MAX, proptest::collection::vec(any::<u8>(), 0..40)), 0..5),
         era in proptest::option::of(any::<u64>()),
     ) {
-        let mut listed: Vec<Addition> =
-            numbers.iter().cloned().map(|(number, bytes)| Addition { number, bytes }).collect();
+        let mut listed: Vec<Extension> =
+            numbers.iter().cloned().map(|(number, bytes)| Extension { number, bytes }).collect();
         if let Some(era) = era {
             let bytes = postcard::to_stdvec(&era).unwrap();
-            listed.insert(listed.len() / 2, Addition { number: ERA, bytes });
+            listed.insert(listed.len() / 2, Extension { number: ERA, bytes });
         }
         let mut bytes = encode(&load(None));
         bytes.extend(postcard::to_stdvec(&listed).unwrap());
--- a/components/edge/src/freshness.rs
+++ b/components/edge/src/freshness.rs
@@ -12,49 +12,51 @@
 #[derive(Debug, Default)]
 pub struct Freshness {
     /// The answer was not produced before this time.
-    made: Option<Instant>,
+    produced_at: Option<Instant>,
     /// The store's clock in that answer, in milliseconds, if it was sent.
     clock_ms: Option<u64>,
 }
 
 /// Timing of an answer of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival {
+pub struct AnswerTiming {
     /// When the call was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
     /// When the answer arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// How long the store was to wait for changes, if it returned none.
     pub waited: Option<Duration>,
     /// The store's clock in the answer, in milliseconds, if it was sent.
     pub clock_ms: Option<u64>,
     /// For an answer of a reader, which passes on what it has read: how long it held the call, and how long
     /// before its answer its content was complete.
-    pub told: Option<(Duration, Duration)>,
+    pub by_reader: Option<(Duration, Duration)>,
 }
 
 impl Freshness {
     /// Records an answer and returns the time up to which the table is completely known.
-    pub fn take(&mut self, answer: &Arrival) -> Instant {
-        if let Some((held, known)) = answer.told {
+    pub fn record(&mut self, answer: &AnswerTiming) -> Instant {
+        if let Some((held, known)) = answer.by_reader {
             // The clock value in it belongs to an earlier answer of the store.
             *self = Self::default();
-            return (answer.asked + held).min(answer.arrived) - known;
+            return (answer.sent_at + held).min(answer.arrived_at) - known;
         }
-        let made = match answer.waited {
+        let produced_at = match answer.waited {
             // The store reports that there are no changes only after it has waited.
-            Some(waited) if answer.asked + waited <= answer.arrived => answer.asked + waited,
-            _ => self.made_by_clock(answer).map_or(answer.asked, |at| at.max(answer.asked)),
+            Some(waited) if answer.sent_at + waited <= answer.arrived_at => answer.sent_at + waited,
+            _ => self
+                .produced_at_by_clock(answer)
+                .map_or(answer.sent_at, |at| at.max(answer.sent_at)),
         };
-        let made = made.min(answer.arrived);
-        *self = Self { made: Some(made), clock_ms: answer.clock_ms };
-        made
+        let produced_at = produced_at.min(answer.arrived_at);
+        *self = Self { produced_at: Some(produced_at), clock_ms: answer.clock_ms };
+        produced_at
     }
 
     /// When an answer was produced, by the advance of the store's clock since the previous answer.
-    fn made_by_clock(&self, answer: &Arrival) -> Option<Instant> {
+    fn produced_at_by_clock(&self, answer: &AnswerTiming) -> Option<Instant> {
         let passed_ms = answer.clock_ms?.checked_sub(self.clock_ms?)?;
-        Some(self.made? + Duration::from_millis(passed_ms))
+        Some(self.produced_at? + Duration::from_millis(passed_ms))
     }
 }
 
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -18,7 +18,7 @@
 use super::core::Core;
 use super::request::Job;
 use super::reservations::Wanted;
-use crate::exchange::Exchange;
+use crate::http_connection::HttpConnection;
 
 /// How long opening a connection to a runner may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -55,7 +55,7 @@
     /// Its headers, without the hop-by-hop ones.
     pub headers: HeaderMap,
     /// The connection that it arrives on.
-    pub exchange: Exchange,
+    pub connection: HttpConnection,
     /// The rest of the answer.
     pub body: Incoming,
 }
@@ -89,7 +89,8 @@
             return outcome.into();
         }
         let granted = Instant::now();
-        let Ok(mut exchange) = Exchange::open(self.target.address, CONNECT_TIMEOUT).await else {
+        let Ok(mut connection) = HttpConnection::open(self.target.address, CONNECT_TIMEOUT).await
+        else {
             return AttemptOutcome::NotSent.into();
         };
         let Some(request) = self.request(last_event) else {
@@ -105,13 +106,13 @@
         }
         let was_sent = std::mem::replace(sent, true);
         let begun = Instant::now();
-        let answer = async { exchange.send(request).await.map_err(|_| AttemptOutcome::Lost) };
+        let answer = async { connection.send(request).await.map_err(|_| AttemptOutcome::Lost) };
         let answer = match future::or(answer, async { Err(self.lose_patience(now).await) }).await {
             Ok(answer) => answer,
             Err(outcome) => return outcome.into(),
         };
         self.core.metrics.note_span(Span::Runner, begun.elapsed().as_millis() as u64);
-        let outcome = self.judge(exchange, answer).await;
+        let outcome = self.judge(connection, answer).await;
         if let Outcome::Failure { outcome, .. } = &outcome {
             *sent = was_sent || !outcome.is_not_run();
         }
@@ -219,7 +220,7 @@
         }
     }
 
-    async fn judge(&self, mut exchange: Exchange, answer: Response<Incoming>) -> Outcome {
+    async fn judge(&self, mut connection: HttpConnection, answer: Response<Incoming>) -> Outcome {
         let (head, mut body) = answer.into_parts();
         let facts = headers::read_answer(&head.headers);
         self.take_notice(self.notice(head.status, &facts));
@@ -232,9 +233,14 @@
         }
         let headers = headers::without_hop_by_hop(&head.headers);
         if !head.status.is_server_error() {
-            return Outcome::Answer(RunnerAnswer { status: head.status, headers, exchange, body });
+            return Outcome::Answer(RunnerAnswer {
+                status: head.status,
+                headers,
+                connection,
+                body,
+            });
         }
-        let Ok(text) = exchange.collect(&mut body, HELD_BYTES).await else {
+        let Ok(text) = connection.collect(&mut body, HELD_BYTES).await else {
             return AttemptOutcome::Lost.into();
         };
         let mut answer = Response::new(whole_body(text));
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -13,12 +13,12 @@
 use quarantine::CrashNews;
 use telemetry::{note_crash, Metrics};
 
-use super::home_log;
+use super::home_fault_log;
 use super::notice_log::note_notice;
 use super::reservations::Reservations;
-use super::tables::Tables;
+use super::table_state::Tables;
 use crate::clock::Clock;
-use crate::life_log::note_life;
+use crate::life_change_log::log_life_change;
 use crate::metrics::note_evacuation;
 
 /// Number of gateways that rewrite a row which the store may have lost. It is more than one because a gateway
@@ -120,8 +120,8 @@
                     }
                 }
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
-                Effect::TellOfHomes(faults) => home_log::tell(&faults),
-                Effect::Life(news) => note_life(&self.metrics, &news),
+                Effect::TellOfHomes(faults) => home_fault_log::log_home_faults(&faults),
+                Effect::Life(news) => log_life_change(&self.metrics, &news),
                 Effect::Notice(news) => note_notice(&news),
                 Effect::Crash(news) => {
                     note_crash(&self.metrics, &news);
--- a/components/edge/src/gateway/events.rs
+++ b/components/edge/src/gateway/event_splitter.rs
@@ -4,14 +4,14 @@
 
 /// Buffers an incomplete event, so that another run can resume after the last complete one.
 #[derive(Debug)]
-pub struct EventCutter {
+pub struct EventSplitter {
     /// The most bytes of one event that are buffered.
     most: usize,
     partial: BytesMut,
     last_id: Option<String>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Creates a splitter that buffers at most `max_bytes` bytes of one event.
     pub fn new(most: usize) -> Self {
         Self { most, partial: BytesMut::new(), last_id: None }
--- a/components/edge/src/gateway/follow.rs
+++ b/components/edge/src/gateway/follow_table.rs
@@ -13,9 +13,9 @@
 
 use super::core::Core;
 use super::readers::Reading;
-use super::record::{self, Heard, RecordNews};
-use crate::patience::Patience;
+use super::version_record::{self, Heard, RecordNews};
 use crate::spawner::Spawner;
+use crate::store_timeouts::StoreTimeouts;
 use crate::watch::{watch, Dated, Seen, WatchOptions};
 
 /// The responsibility of gateways that poll often to date versions closely, and the number of gateways that
@@ -56,10 +56,15 @@
         dates_closely: dates_closely(core, table),
     };
     let reading = reading.clone();
-    let (hand_over, heard) = record::channel();
+    let (hand_over, heard) = version_record::channel();
     if table == Table::Operator {
         let version_ms = settings.bounds.version_ms;
-        spawner.detach(record::keep(core.clone(), settings.store.address, version_ms, heard));
+        spawner.detach(version_record::keep(
+            core.clone(),
+            settings.store.address,
+            version_ms,
+            heard,
+        ));
     }
     let core = core.clone();
     let version_ms = settings.bounds.version_ms;
@@ -145,8 +150,8 @@
 }
 
 /// The timeouts of calls to the store.
-pub fn patience(bounds: &BoundSettings) -> Patience {
-    Patience::new(Duration::from_millis(bounds.contact_ms))
+pub fn patience(bounds: &BoundSettings) -> StoreTimeouts {
+    StoreTimeouts::new(Duration::from_millis(bounds.contact_ms))
 }
 
 /// The shortest time between two feed calls of a table: a part of the time in which its changes have to take
--- a/components/edge/src/gateway/node.rs
+++ b/components/edge/src/gateway/node.rs
@@ -19,21 +19,21 @@
 
 use super::answer::{own_answer, whole_body, AnswerBody};
 use super::core::Core;
-use super::follow::{follow, patience, spacing};
-use super::quarantine;
+use super::follow_table::{follow, patience, spacing};
+use super::quarantine_record;
 use super::readers::{tend, Reading};
 use super::request;
 use super::reservations::Reservations;
-use super::sidecars::exchange_news;
+use super::sidecar_datagrams::exchange_news;
 use super::state_log;
 use super::table_server;
-use super::tables::Tables;
-use crate::backlog::BacklogBounds;
+use super::table_state::Tables;
 use crate::caller::Callers;
+use crate::caller_buffers::BufferLimits;
 use crate::clock::Clock;
+use crate::datagram_socket::DatagramSocket;
 use crate::era::Era;
 use crate::metrics::{serve_metrics, Standstills};
-use crate::news::News;
 use crate::server::{listen, serve, ServerOptions};
 use crate::spawner::Spawner;
 
@@ -64,7 +64,8 @@
         let metrics = Rc::new(Metrics::start()?);
         let port = settings.node.first_port;
         let news =
-            News::bind(SocketAddr::new(settings.node.address, port), metrics.clone()).await?;
+            DatagramSocket::bind(SocketAddr::new(settings.node.address, port), metrics.clone())
+                .await?;
         let reservations = Reservations::new(news.clone(), port);
         let patience = patience(&settings.bounds);
         let gap = |table| patience.longest_gap(spacing(&settings.bounds, table));
@@ -77,7 +78,7 @@
             reservations,
             tables.clone(),
         );
-        let bounds = BacklogBounds::of_memory(settings.node.memory_mb);
+        let bounds = BufferLimits::from_memory_mb(settings.node.memory_mb);
         let callers = Callers::new(bounds, core.clock, core.metrics.clone());
         let (stop, stopped) = async_channel::bounded(1);
         let node = Self {
@@ -91,7 +92,7 @@
         };
         let was_asked: Rc<Cell<bool>> = Rc::default();
         let store = settings.store.address;
-        spawner.detach(quarantine::keep(
+        spawner.detach(quarantine_record::keep(
             core.clone(),
             store,
             core.crashes.clone(),
@@ -249,7 +250,7 @@
         let (under_way, waiting) = core.read(|gateway| gateway.load());
         let runners = core.read(|gateway| gateway.pool().len());
         let configuration = core.catalog().map_or(0, |it| it.version);
-        core.metrics.set("caller_bytes_kept", kept.kept_bytes() as u64);
+        core.metrics.set("caller_bytes_kept", kept.buffered_bytes() as u64);
         core.metrics.set("requests_under_way", under_way as u64);
         core.metrics.set("requests_waiting", waiting as u64);
         core.metrics.set("runners_listed", runners as u64);
@@ -292,7 +293,7 @@
         Timer::after(TICK).await;
         if standstills.look(&core.metrics) {
             core.feed(Event::Woke);
-            core.tables.era.call_all();
+            core.tables.era.notify_all();
         }
         core.feed(Event::Tick);
     }
--- a/components/edge/src/gateway/quarantine.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -14,8 +14,8 @@
 use uptime::Instant;
 
 use super::core::Core;
-use crate::exchange::within;
-use crate::link::Link;
+use crate::http_client::HttpClient;
+use crate::http_connection::with_deadline;
 
 /// How long a call may take: three times the slowest usual answer, which leaves time for a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -25,7 +25,7 @@
 /// What wakes the task.
 enum Next {
     /// The status of a request has changed, or the process ends.
-    News(std::result::Result<CrashNews, RecvError>),
+    StatusChange(std::result::Result<CrashNews, RecvError>),
     /// The store was restored from an older copy.
     StoreWentBack,
 }
@@ -39,17 +39,19 @@
     was_asked: Rc<Cell<bool>>,
 ) {
     let mut record = QuarantineRecord::new(core.clock.now());
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
         let next = record.next_at().map(|at| core.clock.instant(at));
         let until = next.unwrap_or_else(|| Instant::now() + REST);
-        let next = future::or(async { Next::News(news.recv().await) }, async {
+        let next = future::or(async { Next::StatusChange(news.recv().await) }, async {
             let _ = core.went_back.recv().await;
             Next::StoreWentBack
         });
-        match within(until, next).await {
-            Some(Next::News(Ok(news))) => record.hear(core.clock.now(), rand::random(), &news),
-            Some(Next::News(Err(_))) => return,
+        match with_deadline(until, next).await {
+            Some(Next::StatusChange(Ok(news))) => {
+                record.hear(core.clock.now(), rand::random(), &news)
+            }
+            Some(Next::StatusChange(Err(_))) => return,
             Some(Next::StoreWentBack) => {
                 let now = core.clock.now();
                 let quarantined = core.read(|it| it.quarantined());
@@ -61,15 +63,20 @@
         }
         let lives = |digest, unrecorded| core.read(|it| it.lives_under(digest, unrecorded));
         if let Some(call) = record.due(core.clock.now(), lives) {
-            make(&core, &mut record, &mut link, call).await;
+            make(&core, &mut record, &mut client, call).await;
             was_asked.set(true);
         }
     }
 }
 
 /// Makes a call and applies its answer.
-async fn make(core: &Core, record: &mut QuarantineRecord, link: &mut Link, call: QuarantineCall) {
-    let answer = match ask(core, link, &call).await {
+async fn make(
+    core: &Core,
+    record: &mut QuarantineRecord,
+    client: &mut HttpClient,
+    call: QuarantineCall,
+) {
+    let answer = match ask(core, client, &call).await {
         Ok(answer) => answer,
         Err(error) => {
             let reason = error.to_string();
@@ -90,9 +97,13 @@
     }
 }
 
-async fn ask(core: &Core, link: &mut Link, call: &QuarantineCall) -> Result<QuarantineAnswer> {
-    let answer = link.call(rows::call(call)?, CALL_TIMEOUT).await?;
-    core.tables.era.note(&answer.headers)?;
+async fn ask(
+    core: &Core,
+    client: &mut HttpClient,
+    call: &QuarantineCall,
+) -> Result<QuarantineAnswer> {
+    let answer = client.call(rows::call(call)?, CALL_TIMEOUT).await?;
+    core.tables.era.record(&answer.headers)?;
     rows::read(call, answer.status, &answer.body)
 }
 
--- a/components/edge/src/gateway/readers.rs
+++ b/components/edge/src/gateway/readers.rs
@@ -19,11 +19,11 @@
 use telemetry::Metrics;
 use uptime::Instant;
 
-use super::follow::spacing;
+use super::follow_table::spacing;
 use crate::clock::Clock;
 use crate::era::Era;
-use crate::exchange::within;
-use crate::link::Link;
+use crate::http_client::HttpClient;
+use crate::http_connection::with_deadline;
 
 /// Header: how long before its answer the reader's content was complete, in milliseconds.
 pub(super) const KNOWN: &str = "silverdock-known-ms";
@@ -156,7 +156,7 @@
                 self.0.due.listen().await;
             }
         };
-        within(Instant::now() + LONGEST_SETTLING, settled).await;
+        with_deadline(Instant::now() + LONGEST_SETTLING, settled).await;
     }
 
     /// The store or reader to call now.
@@ -197,7 +197,7 @@
         self.0.due.notify(usize::MAX);
         if self.is_followed() && !was_followed {
             // From now on it reads for others too: a feed call with a long wait is sent again.
-            self.0.era.call_all();
+            self.0.era.notify_all();
         }
     }
 
@@ -292,17 +292,17 @@
 
 /// Reads and writes the row of readers for as long as the task runs.
 pub async fn tend(reading: Reading, store: SocketAddr, hall: Hall) {
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
         let listener = reading.0.due.listen();
         let next = reading.0.readers.borrow().next_at();
         let until = next.map_or_else(|| Instant::now() + REST, |at| reading.0.clock.instant(at));
-        within(until, listener).await;
+        with_deadline(until, listener).await;
         let call = reading.0.readers.borrow_mut().due(reading.0.clock.now());
         let Some(call) = call else {
             continue;
         };
-        let answer = ask(&reading, &mut link, &hall, &call).await.unwrap_or_else(|error| {
+        let answer = ask(&reading, &mut client, &hall, &call).await.unwrap_or_else(|error| {
             let reason = error.to_string();
             log::warn!(reason = reason.as_str(); "row of the readers not reached");
             ReadersAnswer::Failed
@@ -312,7 +312,7 @@
         let was_reader = reading.is_reader();
         reading.0.readers.borrow_mut().take(now, rand::random(), &call, answer);
         if reading.is_reader() && !was_reader {
-            reading.0.era.call_all();
+            reading.0.era.notify_all();
         }
         reading.0.has_looked.set(true);
         reading.0.due.notify(usize::MAX);
@@ -321,12 +321,12 @@
 
 async fn ask(
     reading: &Reading,
-    link: &mut Link,
+    client: &mut HttpClient,
     hall: &Hall,
     call: &ReadersCall,
 ) -> Result<ReadersAnswer> {
-    let answer = link.call(rows::call(hall, call)?, CALL_TIMEOUT).await?;
-    reading.0.era.note(&answer.headers)?;
+    let answer = client.call(rows::call(hall, call)?, CALL_TIMEOUT).await?;
+    reading.0.era.record(&answer.headers)?;
     rows::read(hall, call, answer.status, &answer.body)
 }
 
--- a/components/edge/src/gateway/relay.rs
+++ b/components/edge/src/gateway/relay.rs
@@ -17,7 +17,7 @@
 use super::answer::{own_answer, whole_body, AnswerBody};
 use super::attempt::{Attempt, Outcome, RunnerAnswer};
 use super::core::{Core, Ticket};
-use super::events::EventCutter;
+use super::event_splitter::EventSplitter;
 use super::request::{before, Job};
 use super::trace::Ending;
 
@@ -66,9 +66,9 @@
 
     /// Buffers a plain answer until it is complete, so that the caller never receives a truncated one.
     async fn plain(mut self) -> Response<AnswerBody> {
-        let most = self.job.caller.bounds().answer;
-        let RunnerAnswer { exchange, body, .. } = &mut self.answer;
-        let collecting = exchange.collect(body, most);
+        let most = self.job.caller.limits().answer;
+        let RunnerAnswer { connection, body, .. } = &mut self.answer;
+        let collecting = connection.collect(body, most);
         let collected = before(&self.core, self.job.limit, collecting).await;
         let id = self.job.facts.id.as_deref();
         match collected {
@@ -89,10 +89,10 @@
 
     fn stream(self) -> Response<AnswerBody> {
         let (status, headers) = (self.answer.status, self.answer.headers.clone());
-        let cutter = EventCutter::new(self.job.caller.bounds().answer);
+        let cutter = EventSplitter::new(self.job.caller.limits().answer);
         // The relay is not polled while the caller does not read, and no runner may be occupied longer than
         // the request's time limit.
-        self.job.caller.set_stream_until(Some(self.core.clock.instant(self.job.limit)));
+        self.job.caller.set_stream_deadline(Some(self.core.clock.instant(self.job.limit)));
         let relay = Relay { begun: self, cutter, ended: false };
         let frames = stream::unfold(relay, |mut relay| async move {
             let bytes = relay.next().await?;
@@ -120,13 +120,13 @@
 struct Relay {
     /// The answer of the current runner.
     begun: Begun,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     ended: bool,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.begun.job.caller.set_stream_until(None);
+        self.begun.job.caller.set_stream_deadline(None);
     }
 }
 
@@ -143,7 +143,7 @@
                 }
                 Read::End if !self.cutter.has_partial() => {
                     self.ended = true;
-                    self.begun.job.caller.set_stream_until(None);
+                    self.begun.job.caller.set_stream_deadline(None);
                     self.begun.finish();
                 }
                 Read::Late => {
@@ -175,8 +175,8 @@
         let gap = Duration::from_millis((self.begun.job.gap_aim_ms as f64 * GAP_PATIENCE) as u64);
         let may_resume = self.begun.job.kind.is_repeatable() && gap < left;
         let wait = if may_resume { gap } else { left };
-        let RunnerAnswer { exchange, body, .. } = &mut self.begun.answer;
-        let next = future::or(async { Some(exchange.next(body).await) }, async {
+        let RunnerAnswer { connection, body, .. } = &mut self.begun.answer;
+        let next = future::or(async { Some(connection.next_bytes(body).await) }, async {
             uptime::sleep(wait).await;
             None
         })
--- a/components/edge/src/gateway/request.rs
+++ b/components/edge/src/gateway/request.rs
@@ -21,8 +21,8 @@
 use super::core::{Core, Ticket};
 use super::relay::Begun;
 use super::trace::{Ending, Trace};
-use crate::backlog::NoMemory;
 use crate::caller::Caller;
+use crate::caller_buffers::NoMemory;
 
 /// `Retry-After` of a gateway that has no configuration, or does not know whether its own is current, in
 /// milliseconds: about the mean time until the next call to the store.
@@ -130,7 +130,7 @@
     };
     let held = routed.timeout_ms.min(facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE));
     let limit = arrived.plus(held);
-    caller.set_patience(Duration::from_millis(routed.timeout_ms));
+    caller.set_read_timeout(Duration::from_millis(routed.timeout_ms));
     let reading = read_body(&caller, body, catalog.limits.body_bytes);
     let body = before(&core, limit, reading).await.unwrap_or(Err(BodyFault::Late));
     let body = match body {
@@ -223,7 +223,7 @@
         if whole.len() + bytes.len() > most {
             return Err(BodyFault::TooLarge);
         }
-        caller.keep_body(bytes.len()).map_err(|NoMemory| BodyFault::NoMemory)?;
+        caller.reserve_body(bytes.len()).map_err(|NoMemory| BodyFault::NoMemory)?;
         whole.extend_from_slice(&bytes);
     }
     Ok(whole.freeze())
--- a/components/edge/src/gateway/reservations.rs
+++ b/components/edge/src/gateway/reservations.rs
@@ -11,9 +11,9 @@
 use gateway::AttemptOutcome;
 use uptime::Instant;
 
-use crate::exchange::within;
+use crate::datagram_socket::DatagramSocket;
+use crate::http_connection::with_deadline;
 use crate::message::{Datagram, Reply};
-use crate::news::News;
 
 /// How long a sidecar may take to answer. A sidecar that gets processor time answers within a few
 /// milliseconds.
@@ -37,13 +37,13 @@
 
 /// Waits for the next reply.
 async fn next(answers: &Receiver<Reply>, timeout: Duration) -> Option<Reply> {
-    within(Instant::now() + timeout, answers.recv()).await?.ok()
+    with_deadline(Instant::now() + timeout, answers.recv()).await?.ok()
 }
 
 /// Reserves slots by asking sidecars.
 #[derive(Clone)]
 pub struct Reservations {
-    news: News,
+    news: DatagramSocket,
     /// The port on which sidecars listen.
     port: u16,
     open: Rc<RefCell<Open>>,
@@ -59,7 +59,7 @@
 
 impl Reservations {
     /// Creates a client that sends over a socket.
-    pub fn new(news: News, port: u16) -> Self {
+    pub fn new(news: DatagramSocket, port: u16) -> Self {
         Self { news, port, open: Rc::default() }
     }
 
--- a/components/edge/src/gateway/sidecars.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -12,10 +12,10 @@
 use uptime::Instant;
 
 use super::core::Core;
-use super::directory;
-use crate::exchange::within;
+use super::sidecar_list;
+use crate::datagram_socket::DatagramSocket;
+use crate::http_connection::with_deadline;
 use crate::message::{weights_services, Datagram, SidecarsPart, WeightsService};
-use crate::news::News;
 use crate::spawner::Spawner;
 
 /// Interval of subscriptions, which ask sidecars for reports and carry what operators wrote. A change of that
@@ -35,12 +35,12 @@
 const SUBSCRIBE_SPACING: Duration = Duration::from_millis(100);
 
 /// Subscribes to the reports of sidecars and processes their datagrams for as long as the tasks run.
-pub fn exchange_news(spawner: &Spawner, core: &Core, news: News, port: u16) {
+pub fn exchange_news(spawner: &Spawner, core: &Core, news: DatagramSocket, port: u16) {
     spawner.detach(ask(core.clone(), news.clone(), port));
     spawner.detach(take(core.clone(), news, port));
 }
 
-async fn ask(core: Core, news: News, port: u16) {
+async fn ask(core: Core, news: DatagramSocket, port: u16) {
     let mut asked_at = None;
     loop {
         let sidecars = sidecars(&core, port);
@@ -59,18 +59,19 @@
             // The first round is not delayed: sidecars grant no slot before it.
             Timer::after(SUBSCRIBE_SPACING).await;
         }
-        within(Instant::now() + SUBSCRIBE_EVERY, core.named.recv()).await;
+        with_deadline(Instant::now() + SUBSCRIBE_EVERY, core.named.recv()).await;
     }
 }
 
-async fn take(core: Core, news: News, port: u16) {
+async fn take(core: Core, news: DatagramSocket, port: u16) {
     let runners = &core.tables.runners;
     loop {
         let (sender, datagram) = news.receive().await;
         match datagram {
             Datagram::WantSidecars { question, service } if runners.is_whole() => {
                 let fresh = !runners.lost.get();
-                let answer = core.read(|it| directory::answer(it, &service, question, fresh));
+                let answer =
+                    core.read(|it| sidecar_list::sidecar_list(it, &service, question, fresh));
                 for part in answer {
                     news.send(sender, &part).await;
                 }
--- a/components/edge/src/gateway/sidecars/tests.rs
+++ b/components/edge/src/gateway/sidecar_datagrams/tests.rs
@@ -12,7 +12,7 @@
 use crate::era::Era;
 use crate::gateway::request::before;
 use crate::gateway::reservations::Reservations;
-use crate::gateway::tables::Tables;
+use crate::gateway::table_state::Tables;
 
 /// Longer than any received state stays valid.
 const SUSPENDED: Duration = Duration::from_secs(8);
@@ -33,7 +33,7 @@
         ablation: Ablation::default(),
     };
     let metrics = Rc::new(telemetry::Metrics::start().unwrap());
-    let news = News::bind(([127, 0, 0, 1], 0).into(), metrics.clone()).await.unwrap();
+    let news = DatagramSocket::bind(([127, 0, 0, 1], 0).into(), metrics.clone()).await.unwrap();
     let tables = Rc::new(Tables::new(|_| Duration::from_secs(6), Era::new(metrics.clone())));
     let reservations = Reservations::new(news, 1);
     let core = Core::new(options, Clock::start(), metrics, "g", reservations, tables);
--- a/components/edge/src/gateway/directory.rs
+++ b/components/edge/src/gateway/sidecar_list.rs
@@ -8,11 +8,11 @@
 use crate::message::{Datagram, ListedSidecar, SidecarsPart};
 
 /// Sidecars in one datagram: each takes at most 28 bytes, and a datagram holds 1,400.
-const SIDECARS_IN_A_PART: usize = 45;
+const SIDECARS_PER_PART: usize = 45;
 
 /// The answer to a sidecar that asks for the sidecars of a service, with one data hall or a part of it per
 /// datagram. `fresh` says whether the gateway is connected to the store.
-pub fn answer(
+pub fn sidecar_list(
     gateway: &Gateway,
     service: &ServiceName,
     question: u64,
@@ -28,7 +28,7 @@
     }
     let parts: Vec<(&Hall, &[ListedSidecar])> = halls
         .iter()
-        .flat_map(|(hall, all)| all.chunks(SIDECARS_IN_A_PART).map(move |it| (hall, it)))
+        .flat_map(|(hall, all)| all.chunks(SIDECARS_PER_PART).map(move |it| (hall, it)))
         .collect();
     let count = parts.len() as u32;
     let datagram = |(part, (hall, sidecars)): (usize, &(&Hall, &[ListedSidecar]))| {
--- a/components/edge/src/gateway/record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -11,8 +11,8 @@
 use uptime::Instant;
 
 use super::core::Core;
-use crate::exchange::within;
-use crate::link::Link;
+use crate::http_client::HttpClient;
+use crate::http_connection::with_deadline;
 
 /// How long a call may take: three times the slowest usual answer, which leaves time for a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -48,12 +48,12 @@
 /// version.
 pub async fn keep(core: Core, store: SocketAddr, version_ms: u64, news: Receiver<RecordNews>) {
     let mut record = VersionRecord::new(version_ms);
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
         let next = record.next_at().map(|at| core.clock.instant(at));
         let until = next.unwrap_or_else(|| Instant::now() + REST);
         let now = core.clock.now();
-        match within(until, news.recv()).await {
+        match with_deadline(until, news.recv()).await {
             Some(Ok(RecordNews::Heard(Heard { model, version, not_before_ms }))) => {
                 record.hear(core.clock.now(), rand::random(), model, version, not_before_ms);
             }
@@ -66,14 +66,14 @@
         }
         record.note_known(&core.read(|it| it.named_versions(core.clock.now())));
         if let Some(call) = record.due(core.clock.now()) {
-            make(&core, &mut record, &mut link, call).await;
+            make(&core, &mut record, &mut client, call).await;
         }
     }
 }
 
 /// Makes a call and applies its answer.
-async fn make(core: &Core, record: &mut VersionRecord, link: &mut Link, call: RecordCall) {
-    let answer = match ask(core, link, &call).await {
+async fn make(core: &Core, record: &mut VersionRecord, client: &mut HttpClient, call: RecordCall) {
+    let answer = match ask(core, client, &call).await {
         Ok(answer) => answer,
         Err(error) => {
             let reason = error.to_string();
@@ -94,9 +94,9 @@
     }
 }
 
-async fn ask(core: &Core, link: &mut Link, call: &RecordCall) -> Result<RecordAnswer> {
-    let answer = link.call(record::call(call)?, CALL_TIMEOUT).await?;
-    core.tables.era.note(&answer.headers)?;
+async fn ask(core: &Core, client: &mut HttpClient, call: &RecordCall) -> Result<RecordAnswer> {
+    let answer = client.call(record::call(call)?, CALL_TIMEOUT).await?;
+    core.tables.era.record(&answer.headers)?;
     record::read(call, answer.status, &answer.body)
 }
 
--- a/components/edge/src/link.rs
+++ b/components/edge/src/http_client.rs
@@ -12,10 +12,10 @@
 use platform::Call;
 use uptime::Instant;
 
-use crate::exchange::{within, Exchange};
+use crate::http_connection::{with_deadline, HttpConnection};
 
 /// The largest answer to a call, in bytes.
-const ANSWER_BYTES: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// The answer to a call.
 pub struct CallAnswer {
@@ -42,28 +42,28 @@
 /// still run when the server is back.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long an idle connection is kept.
-const KEPT_FOR: Duration = Duration::from_millis(1000);
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1000);
 
 /// A client that makes one call at a time to a server. A connection on which a call failed is closed.
-pub struct Link {
+pub struct HttpClient {
     address: SocketAddr,
-    exchange: Option<(Exchange, Instant)>,
+    connection: Option<(HttpConnection, Instant)>,
 }
 
-impl Link {
+impl HttpClient {
     /// Creates a client without a connection.
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, exchange: None }
+        Self { address, connection: None }
     }
 
     /// Closes the connection if it has been idle for `idle`: servers limit how many they keep.
-    pub fn close_if_rested(&mut self, rest: Duration) {
-        self.exchange.take_if(|(_, since)| since.elapsed() >= rest);
+    pub fn close_if_idle(&mut self, idle: Duration) {
+        self.connection.take_if(|(_, since)| since.elapsed() >= idle);
     }
 
     /// Whether an idle connection is kept.
     pub fn is_connected(&self) -> bool {
-        self.exchange.is_some()
+        self.connection.is_some()
     }
 
     /// The address of the server.
@@ -75,63 +75,69 @@
     pub async fn call(&mut self, call: Call, timeout: Duration) -> Result<CallAnswer> {
         let until = Instant::now() + timeout;
         let late = || Error::new(Code::TimedOut, "no answer in time");
-        within(until, self.call_patiently(call, timeout, timeout)).await.ok_or_else(late)?
+        with_deadline(until, self.call_with_pause_limit(call, timeout, timeout))
+            .await
+            .ok_or_else(late)?
     }
 
     /// Makes a call whose answer must start within `begin` and may take as long as it likes after that, with
     /// no pause longer than `pause`. A large answer on a narrow link would never arrive if it were cut off
     /// and requested again.
-    pub async fn call_patiently(
+    pub async fn call_with_pause_limit(
         &mut self,
         call: Call,
         begin: Duration,
         pause: Duration,
     ) -> Result<CallAnswer> {
         // Taken out, so that a cancelled call does not leave its connection behind.
-        let kept = self.exchange.take().filter(is_fresh).map(|(exchange, _)| exchange);
+        let kept = self.connection.take().filter(is_reusable).map(|(connection, _)| connection);
         let late = || Error::new(Code::TimedOut, "no answer in time");
-        let begun = begin_call(self.address, kept, call, begin);
-        let (mut exchange, answer) =
-            within(Instant::now() + begin, begun).await.ok_or_else(late)??;
+        let started = start_call(self.address, kept, call, begin);
+        let (mut connection, answer) =
+            with_deadline(Instant::now() + begin, started).await.ok_or_else(late)??;
         let (head, mut body) = answer.into_parts();
-        let body = collect(&mut exchange, &mut body, pause).await?;
-        self.exchange = Some((exchange, Instant::now()));
+        let body = collect(&mut connection, &mut body, pause).await?;
+        self.connection = Some((connection, Instant::now()));
         Ok(CallAnswer { status: head.status.as_u16(), headers: head.headers, body })
     }
 }
 
 /// Whether a kept connection can be used again. Servers close idle connections, and the connection is not
 /// polled meanwhile.
-fn is_fresh((exchange, since): &(Exchange, Instant)) -> bool {
-    exchange.is_open() && since.elapsed() < KEPT_FOR
+fn is_reusable((connection, since): &(HttpConnection, Instant)) -> bool {
+    connection.is_open() && since.elapsed() < MAX_IDLE_TIME
 }
 
 /// Sends a call and waits for the head of its answer.
-async fn begin_call(
+async fn start_call(
     address: SocketAddr,
-    kept: Option<Exchange>,
+    kept: Option<HttpConnection>,
     call: Call,
     timeout: Duration,
-) -> Result<(Exchange, Response<Incoming>)> {
-    let mut exchange = match kept {
-        Some(exchange) => exchange,
-        None => Exchange::open(address, timeout.min(CONNECT_TIMEOUT)).await?,
+) -> Result<(HttpConnection, Response<Incoming>)> {
+    let mut connection = match kept {
+        Some(connection) => connection,
+        None => HttpConnection::open(address, timeout.min(CONNECT_TIMEOUT)).await?,
     };
-    let answer = exchange.send(request(address, call)?).await?;
-    Ok((exchange, answer))
+    let answer = connection.send(request(address, call)?).await?;
+    Ok((connection, answer))
 }
 
 /// Reads a body of at most `MAX_ANSWER_BYTES` bytes, with no pause between them longer than `pause`.
-async fn collect(exchange: &mut Exchange, body: &mut Incoming, pause: Duration) -> Result<Vec<u8>> {
-    let mut whole = Vec::new();
+async fn collect(
+    connection: &mut HttpConnection,
+    body: &mut Incoming,
+    pause: Duration,
+) -> Result<Vec<u8>> {
+    let mut body_bytes = Vec::new();
     loop {
-        let next = within(Instant::now() + pause, exchange.next(body)).await;
+        let next = with_deadline(Instant::now() + pause, connection.next_bytes(body)).await;
         let next = next.ok_or_else(|| Error::new(Code::TimedOut, "the answer stands still"))?;
         let Some(bytes) = next else {
-            return Ok(whole);
+            return Ok(body_bytes);
         };
-        whole.extend_from_slice(&bytes?);
-        if whole.len() > ANSWER_BYTES {
+        body_bytes.extend_from_slice(&bytes?);
+        if body_bytes.len() > MAX_ANSWER_BYTES {
             return Err(Error::new(Code::TooLarge, "the answer is too large"));
         }
     }
--- a/components/edge/src/exchange.rs
+++ b/components/edge/src/http_connection.rs
@@ -27,21 +27,21 @@
 /// Idle time before the peer is probed with TCP keep-alive, and interval between probes: the shortest that
 /// the system accepts. A peer that is cut off sends nothing, and a feed call waits for the store without
 /// traffic.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered probes after which a connection is considered lost.
-const PROBES: u32 = 2;
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
-type ClientConnection = Connection<FuturesIo<TcpStream>, Full<Bytes>>;
+type Driver = Connection<FuturesIo<TcpStream>, Full<Bytes>>;
 
 /// A connection to a server.
-pub struct Exchange {
-    connection: Pin<Box<ClientConnection>>,
+pub struct HttpConnection {
+    driver: Pin<Box<Driver>>,
     /// Whether the connection has ended.
     ended: bool,
     sender: SendRequest<Full<Bytes>>,
 }
 
-impl Exchange {
+impl HttpConnection {
     /// Opens a connection.
     pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self> {
         let stream = connect(address, timeout).await?;
@@ -49,7 +49,7 @@
             .handshake(FuturesIo::new(stream))
             .await
             .map_err(|error| Error::new(Code::Unreachable, error.to_string()))?;
-        Ok(Self { connection: Box::pin(connection), ended: false, sender })
+        Ok(Self { driver: Box::pin(connection), ended: false, sender })
     }
 
     /// Whether another request can be sent.
@@ -59,26 +59,26 @@
 
     /// Sends a request and waits for the head of the answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>> {
-        let Self { connection, ended, sender } = self;
+        let Self { driver, ended, sender } = self;
         let mut answer = std::pin::pin!(sender.send_request(request));
         let answer = poll_fn(|cx| {
             if let Poll::Ready(answer) = answer.as_mut().poll(cx) {
                 return Poll::Ready(answer);
             }
-            drive(connection, ended, cx);
+            poll_driver(driver, ended, cx);
             answer.as_mut().poll(cx)
         });
         answer.await.map_err(|error| Error::new(Code::ConnectionLost, error.to_string()))
     }
 
     /// Waits for the next bytes of a body. `None` at its end.
-    pub async fn next(&mut self, body: &mut Incoming) -> Option<Result<Bytes>> {
-        let Self { connection, ended, .. } = self;
+    pub async fn next_bytes(&mut self, body: &mut Incoming) -> Option<Result<Bytes>> {
+        let Self { driver, ended, .. } = self;
         let frame = poll_fn(|cx| {
             if let Poll::Ready(frame) = Pin::new(&mut *body).poll_frame(cx) {
                 return Poll::Ready(frame);
             }
-            drive(connection, ended, cx);
+            poll_driver(driver, ended, cx);
             Pin::new(&mut *body).poll_frame(cx)
         });
         let frame = frame.await?;
@@ -89,7 +89,7 @@
     /// Reads a whole body of at most `limit` bytes.
     pub async fn collect(&mut self, body: &mut Incoming, limit: usize) -> Result<Vec<u8>> {
         let mut whole = Vec::new();
-        while let Some(bytes) = self.next(body).await {
+        while let Some(bytes) = self.next_bytes(body).await {
             whole.extend_from_slice(&bytes?);
             if whole.len() > limit {
                 return Err(Error::new(Code::TooLarge, "the answer is too large"));
@@ -100,35 +100,35 @@
 }
 
 /// Polls the connection, so that it reads and writes what it can.
-fn drive(connection: &mut Pin<Box<ClientConnection>>, ended: &mut bool, cx: &mut Context<'_>) {
-    if !*ended && connection.as_mut().poll(cx).is_ready() {
+fn poll_driver(driver: &mut Pin<Box<Driver>>, ended: &mut bool, cx: &mut Context<'_>) {
+    if !*ended && driver.as_mut().poll(cx).is_ready() {
         *ended = true;
     }
 }
 
 /// Opens a TCP connection with a timeout.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpStream> {
-    let stream = within(Instant::now() + timeout, TcpStream::connect(address)).await;
+    let stream = with_deadline(Instant::now() + timeout, TcpStream::connect(address)).await;
     let stream = stream
         .ok_or_else(|| Error::new(Code::Unreachable, "no connection in time"))?
         .map_err(|error| Error::new(Code::Unreachable, error.to_string()))?;
-    prepare(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
 
 /// Sets the socket options of every connection. Errors are ignored: a connection without these options only
 /// works less well.
-pub fn prepare(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = sockopt::set_tcp_user_timeout(stream, USER_TIMEOUT_MS);
     let _ = sockopt::set_socket_keepalive(stream, true);
-    let _ = sockopt::set_tcp_keepidle(stream, PROBE_EVERY);
-    let _ = sockopt::set_tcp_keepintvl(stream, PROBE_EVERY);
-    let _ = sockopt::set_tcp_keepcnt(stream, PROBES);
+    let _ = sockopt::set_tcp_keepidle(stream, PROBE_INTERVAL);
+    let _ = sockopt::set_tcp_keepintvl(stream, PROBE_INTERVAL);
+    let _ = sockopt::set_tcp_keepcnt(stream, MAX_UNANSWERED_PROBES);
 }
 
 /// Waits for a future until a deadline. `None` if the deadline passes first.
-pub async fn within<T>(until: Instant, future: impl Future<Output = T>) -> Option<T> {
+pub async fn with_deadline<T>(until: Instant, future: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(future.await) }, async {
         uptime::sleep_until(until).await;
         None
--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -1,35 +1,35 @@
 //! Drivers of gateways and sidecars on the users' platform: they execute the decisions of the reducers in
 //! `gateway` and `rollout`.
 
-mod additions;
 mod answer_log;
-mod backlog;
 mod caller;
+mod caller_buffers;
+mod catch_up;
 mod clock;
+mod datagram_socket;
+mod delayed_removals;
+mod delayed_returns;
 mod era;
 mod evacuated;
-mod exchange;
+mod extensions;
 mod freshness;
 mod gateway;
-mod lapses;
-mod lateness;
-mod life_log;
-mod link;
+mod http_client;
+mod http_connection;
+mod life_change_log;
+mod link_yield;
 mod listing;
 mod message;
 mod metrics;
-mod news;
 mod paging;
-mod patience;
 mod reload;
-mod returns;
 mod run;
 mod server;
 mod sidecar;
 mod spawner;
 mod store_time;
+mod store_timeouts;
 mod watch;
-mod yielding;
 
-pub use patience::Patience;
 pub use run::run;
+pub use store_timeouts::StoreTimeouts;
--- a/components/edge/src/life_log.rs
+++ b/components/edge/src/life_change_log.rs
@@ -5,7 +5,7 @@
 use telemetry::Metrics;
 
 /// Logs and counts a report that belongs to another start of the runner's process than the known one.
-pub fn note_life(metrics: &Metrics, news: &LifeNews) {
+pub fn log_life_change(metrics: &Metrics, news: &LifeNews) {
     let runner = news.runner.0.as_str();
     let (born, known) = (news.told.born, news.known_born);
     match news.change {
@@ -20,10 +20,10 @@
             log::error!(runner = runner, known = known; "a runner that told when it started does not tell it any more");
         }
     }
-    metrics.count_life(name(news.change));
+    metrics.count_life(change_name(news.change));
 }
 
-fn name(change: LifeChange) -> &'static str {
+fn change_name(change: LifeChange) -> &'static str {
     match change {
         LifeChange::Same => "same",
         LifeChange::Began => "began",
--- a/components/edge/src/yielding.rs
+++ b/components/edge/src/link_yield.rs
@@ -48,14 +48,14 @@
 
 /// The pause between two large answers.
 #[derive(Debug)]
-pub struct Yielding {
+pub struct LinkYield {
     /// The longest pause. Zero if the table does not yield the link.
     longest: Duration,
     delay: QueueDelay,
     rest: Duration,
 }
 
-impl Yielding {
+impl LinkYield {
     /// Creates a state whose pauses last `max_pause` at most.
     pub fn new(longest: Duration) -> Self {
         Self { longest, delay: QueueDelay::default(), rest: Duration::ZERO }
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -13,9 +13,9 @@
 
 use crate::era::Era;
 use crate::gateway::{read_age, ToldAge};
-use crate::link::Link;
-use crate::paging::{Haste, Paging};
-use crate::patience::Patience;
+use crate::http_client::HttpClient;
+use crate::paging::{Paging, Urgency};
+use crate::store_timeouts::StoreTimeouts;
 
 /// The longest pause within an answer. A large configuration may take seconds on a narrow link that others
 /// use too.
@@ -49,14 +49,14 @@
 
 /// Lists a complete table. The listing fails if its pages are of different eras.
 pub async fn list(
-    link: &mut Link,
+    client: &mut HttpClient,
     table: Table,
     era: &Era,
     metrics: &Metrics,
-    haste: Haste,
+    haste: Urgency,
 ) -> Result<Listing> {
     let mut cost = ListingCost::begin();
-    let listed = list_pages(link, table, era, metrics, Paging::new(haste), &mut cost).await;
+    let listed = list_pages(client, table, era, metrics, Paging::new(haste), &mut cost).await;
     cost.log(table, listed.as_ref().err());
     listed
 }
@@ -87,7 +87,7 @@
 }
 
 async fn list_pages(
-    link: &mut Link,
+    client: &mut HttpClient,
     table: Table,
     era: &Era,
     metrics: &Metrics,
@@ -101,9 +101,10 @@
     loop {
         let call = page_call(table, &from, &paging);
         let asked = Instant::now();
-        let answer = link.call_patiently(call, Patience::LIST_BEGIN, PIECE_PAUSE).await?;
+        let answer =
+            client.call_with_pause_limit(call, StoreTimeouts::LIST_BEGIN, PIECE_PAUSE).await?;
         paging.take(asked.elapsed());
-        let era = era.note(&answer.headers)?;
+        let era = era.record(&answer.headers)?;
         let age = read_age(&answer.headers);
         let body = answer.success()?;
         cost.count(table, body.len(), metrics);
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -9,7 +9,7 @@
 use rollout::ColdPlan;
 
 use super::*;
-use crate::additions::{decode_datagram, encode_datagram};
+use crate::extensions::{decode_datagram, encode_datagram};
 
 /// The builds that have landed, oldest first.
 const BUILDS: [&str; 6] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
--- a/components/edge/src/paging.rs
+++ b/components/edge/src/paging.rs
@@ -21,24 +21,24 @@
 
 /// How soon a listing is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Haste {
+pub enum Urgency {
     /// Requests wait for it.
     Urgent,
     /// Nothing waits for it: others on the link take precedence.
-    Spread,
+    Background,
 }
 
 /// The pages of one listing.
 #[derive(Debug)]
 pub struct Paging {
-    haste: Haste,
+    haste: Urgency,
     rows: u32,
     rest: Duration,
 }
 
 impl Paging {
     /// Starts a listing.
-    pub fn new(haste: Haste) -> Self {
+    pub fn new(haste: Urgency) -> Self {
         Self { haste, rows: FIRST_ROWS, rest: Duration::ZERO }
     }
 
@@ -57,8 +57,8 @@
         let rows = if took <= QUICK { self.rows * 2 } else { self.rows / 2 };
         self.rows = rows.clamp(LEAST_ROWS, PAGE_ROWS);
         self.rest = match self.haste {
-            Haste::Urgent => Duration::ZERO,
-            Haste::Spread => (took * RESTS_PER_PAGE).min(LONGEST_REST),
+            Urgency::Urgent => Duration::ZERO,
+            Urgency::Background => (took * RESTS_PER_PAGE).min(LONGEST_REST),
         };
     }
 }
--- a/components/edge/src/server.rs
+++ b/components/edge/src/server.rs
@@ -18,9 +18,9 @@
 use hyper::service::service_fn;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::caller::{Caller, CallerStream, Callers, CountedBody};
-use crate::exchange::prepare;
+use crate::caller::{AccountedBody, Caller, CallerStream, Callers};
 use crate::gateway::AnswerBody;
+use crate::http_connection::set_socket_options;
 use crate::spawner::Spawner;
 
 /// How long to wait after the system failed to accept a connection.
@@ -59,7 +59,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (options, handler) = (options.clone(), handler.clone());
-                prepare(&stream);
+                set_socket_options(&stream);
                 spawner.detach(serve_connection(stream, options, handler));
             }
             Err(_) => {
@@ -82,7 +82,7 @@
     let service = service_fn(move |request| {
         let (answer, caller) = (handler(request, caller.clone()), caller.clone());
         async move {
-            let answer = answer.await.map(|body| CountedBody::new(body, caller));
+            let answer = answer.await.map(|body| AccountedBody::new(body, caller));
             Ok::<_, std::convert::Infallible>(answer)
         }
     });
@@ -90,7 +90,7 @@
     builder
         .timer(SmolTimer::new())
         .header_read_timeout(options.idle)
-        .max_buf_size(options.callers.bounds().buffer);
+        .max_buf_size(options.callers.limits().read_ahead);
     let mut connection = std::pin::pin!(builder.serve_connection(FuturesIo::new(stream), service));
     let served = future::or(
         async {
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -18,11 +18,11 @@
 use settings::SidecarSettings;
 use telemetry::{note_crash_change, Metrics};
 
-use super::chunks::Chunks;
-use super::streams::Streams;
+use super::chunk_store::Chunks;
+use super::peer_connections::IdleConnections;
 use crate::clock::Clock;
 use crate::era::Era;
-use crate::link::Link;
+use crate::http_client::HttpClient;
 use crate::message::WeightsService;
 use crate::store_time::StoreTime;
 
@@ -67,9 +67,9 @@
     /// The number of chunk fetches since the last progress line of the log, by outcome.
     pub draws: Rc<RefCell<BTreeMap<&'static str, u32>>>,
     /// Idle connections to the origin.
-    pub origin_links: Rc<RefCell<Vec<Link>>>,
+    pub origin_links: Rc<RefCell<Vec<HttpClient>>>,
     /// Idle connections to other sidecars.
-    pub peer_streams: Rc<RefCell<Streams>>,
+    pub peer_streams: Rc<RefCell<IdleConnections>>,
     /// The number of layers of the model.
     pub layers: Rc<RefCell<u32>>,
     /// The port on which sidecars listen for each other.
@@ -291,8 +291,8 @@
     /// Closes idle connections to the origin, which accepts few connections from all sidecars together.
     pub fn close_rested_links(&self) {
         let mut links = self.origin_links.borrow_mut();
-        links.iter_mut().for_each(|it| it.close_if_rested(ORIGIN_REST));
-        links.retain(Link::is_connected);
+        links.iter_mut().for_each(|it| it.close_if_idle(ORIGIN_REST));
+        links.retain(HttpClient::is_connected);
     }
 
     /// Passes an event to the reducer and its effects to the task that executes them.
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -20,12 +20,12 @@
 use uptime::Instant;
 
 use super::core::Core;
-use crate::exchange::within;
-use crate::link::Link;
+use crate::datagram_socket::DatagramSocket;
+use crate::http_client::HttpClient;
+use crate::http_connection::with_deadline;
 use crate::listing::{list, log_faults};
 use crate::message::{Datagram, SidecarsPart};
-use crate::news::News;
-use crate::paging::Haste;
+use crate::paging::Urgency;
 
 /// How long a gateway may take to answer. It is at most a few milliseconds away and answers at once.
 const ANSWER_PATIENCE: Duration = Duration::from_millis(250);
@@ -46,13 +46,13 @@
 /// Updates the reducer's list of sidecars for as long as the task runs.
 pub async fn follow(
     core: Core,
-    news: News,
+    news: DatagramSocket,
     parts: Receiver<SidecarsPart>,
     settings: DirectorySettings,
 ) {
     let mut times = Directory::new(core.clock.now());
     let mut asker = Asker {
-        link: Link::new(settings.store),
+        client: HttpClient::new(settings.store),
         settings,
         core: core.clone(),
         news,
@@ -67,7 +67,7 @@
             asker.read_store().await;
         }
         let pause = Duration::from_millis(step.pause_ms);
-        within(Instant::now() + pause, core.list_wanted.recv()).await;
+        with_deadline(Instant::now() + pause, core.list_wanted.recv()).await;
     }
 }
 
@@ -128,9 +128,9 @@
 struct Asker {
     settings: DirectorySettings,
     core: Core,
-    news: News,
+    news: DatagramSocket,
     parts: Receiver<SidecarsPart>,
-    link: Link,
+    client: HttpClient,
     /// The number of questions so far.
     questions: u64,
     /// Whether a list was applied.
@@ -162,7 +162,7 @@
             let service = self.core.settings.service.clone();
             self.news.send(gateway, &Datagram::WantSidecars { question, service }).await;
             let until = Instant::now() + ANSWER_PATIENCE;
-            match within(until, self.collect(question)).await {
+            match with_deadline(until, self.collect(question)).await {
                 Some(Collected::List(peers)) => {
                     self.tell(peers);
                     return DirectoryAnswer::List;
@@ -253,8 +253,8 @@
 
     async fn named_gateways(&mut self) -> Result<Vec<SocketAddr>> {
         let (hall, call) = (&self.core.place.hall, ReadersCall::Read);
-        let answer = self.link.call(readers::call(hall, &call)?, ROW_TIMEOUT).await?;
-        self.core.era.note(&answer.headers)?;
+        let answer = self.client.call(readers::call(hall, &call)?, ROW_TIMEOUT).await?;
+        self.core.era.record(&answer.headers)?;
         match readers::read(hall, &call, answer.status, &answer.body)? {
             ReadersAnswer::Row(row) => Ok(row.named),
             ReadersAnswer::Written(_) | ReadersAnswer::Failed => {
@@ -274,9 +274,14 @@
     }
 
     async fn listed_peers(&mut self) -> Result<Vec<Peer>> {
-        let listing =
-            list(&mut self.link, Table::Runners, &self.core.era, &self.core.metrics, Haste::Spread)
-                .await?;
+        let listing = list(
+            &mut self.client,
+            Table::Runners,
+            &self.core.era,
+            &self.core.metrics,
+            Urgency::Background,
+        )
+        .await?;
         log_faults(Table::Runners, &listing.faults);
         let mut peers = Vec::new();
         for change in listing.changes {
--- a/components/edge/src/sidecar/draws.rs
+++ b/components/edge/src/sidecar/fetches.rs
@@ -14,8 +14,8 @@
 
 use super::core::Core;
 use super::peers::readable;
-use crate::exchange::{connect, within};
-use crate::link::Link;
+use crate::http_client::HttpClient;
+use crate::http_connection::{connect, with_deadline};
 use crate::message::{read_frame, write_frame, ChunkRequest, PeerAnswer, PeerRequest};
 
 /// How long a manifest may take to arrive.
@@ -51,7 +51,7 @@
 async fn manifest_from_origin(core: &Core, version: u64) -> Result<Arc<Manifest>> {
     let (origin, model) = origin(core)?;
     let call = weights::manifest(&model, version);
-    let body = Link::new(origin).call(call, MANIFEST_TIMEOUT).await?.success()?;
+    let body = HttpClient::new(origin).call(call, MANIFEST_TIMEOUT).await?.success()?;
     weights::read_manifest(&model.0, version, &body)
 }
 
@@ -108,10 +108,10 @@
     let timeout = until.saturating_duration_since(Instant::now());
     let call = weights::chunk(&model, version, index);
     let kept = core.origin_links.borrow_mut().pop().filter(|it| it.address() == origin);
-    let mut link = kept.unwrap_or_else(|| Link::new(origin));
+    let mut client = kept.unwrap_or_else(|| HttpClient::new(origin));
     let begin = timeout.min(ORIGIN_PAUSE);
-    let answer = link.call_patiently(call, begin, begin).await?;
-    core.origin_links.borrow_mut().push(link);
+    let answer = client.call_with_pause_limit(call, begin, begin).await?;
+    core.origin_links.borrow_mut().push(client);
     answer.success().map(Bytes::from)
 }
 
@@ -148,7 +148,7 @@
     request: &PeerRequest,
 ) -> Result<PeerAnswer> {
     let kept = core.peer_streams.borrow_mut().take(address);
-    let exchange = async {
+    let connection = async {
         let mut stream = match kept {
             Some(stream) => stream,
             None => connect(address, CONNECT_TIMEOUT).await?,
@@ -158,7 +158,7 @@
         Ok::<_, Error>((stream, answer.unwrap_or(PeerAnswer::Missing)))
     };
     let late = || Error::new(Code::PeerStalled, "no answer in time");
-    let (stream, answer) = within(until, exchange).await.ok_or_else(late)??;
+    let (stream, answer) = with_deadline(until, connection).await.ok_or_else(late)??;
     core.peer_streams.borrow_mut().keep(address, stream);
     Ok(answer)
 }
--- a/components/edge/src/sidecar/mod.rs
+++ b/components/edge/src/sidecar/mod.rs
@@ -1,12 +1,12 @@
 //! The driver of a sidecar.
 
-mod chunks;
+mod chunk_store;
 mod core;
 mod directory;
-mod draws;
+mod fetches;
 mod node;
+mod peer_connections;
 mod peers;
 mod runner;
-mod streams;
 
 pub use self::node::SidecarNode;
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -20,17 +20,17 @@
 use super::core::Core;
 use super::directory::{self, spread, DirectorySettings};
 use super::runner::{self, Job};
-use super::{draws, peers};
-use crate::backlog::BacklogBounds;
+use super::{fetches, peers};
 use crate::caller::Callers;
+use crate::caller_buffers::BufferLimits;
+use crate::datagram_socket::DatagramSocket;
 use crate::evacuated::EvacuatedHalls;
-use crate::life_log::note_life;
-use crate::link::Link;
+use crate::http_client::HttpClient;
+use crate::life_change_log::log_life_change;
 use crate::listing::{list, log_faults, Listing};
 use crate::message::{weights_services, Datagram};
 use crate::metrics::{note_evacuation, serve_metrics, Standstills};
-use crate::news::News;
-use crate::paging::Haste;
+use crate::paging::Urgency;
 use crate::server::listen;
 use crate::spawner::Spawner;
 
@@ -77,7 +77,7 @@
             effects,
             settings.bounds.repeat_window_s * 1000,
         );
-        let news = News::bind(listen_at, metrics).await?;
+        let news = DatagramSocket::bind(listen_at, metrics).await?;
         let listener = listen(listen_at).await?;
         spawner.detach(peers::serve(
             spawner.clone(),
@@ -139,15 +139,15 @@
     core: Core,
     effects: Receiver<Effect>,
     jobs: Sender<Job>,
-    news: News,
+    news: DatagramSocket,
 ) {
     while let Ok(effect) = effects.recv().await {
         match effect {
             Effect::Describe(version, source) => {
-                spawner.detach(draws::describe(core.clone(), version, source));
+                spawner.detach(fetches::describe(core.clone(), version, source));
             }
             Effect::Draw(version, draw) => {
-                spawner.detach(draws::draw(core.clone(), version, draw));
+                spawner.detach(fetches::draw(core.clone(), version, draw));
             }
             Effect::Summarize { to, version, have } => {
                 let (from, place) = (core.me.clone(), core.place.clone());
@@ -158,7 +158,7 @@
             }
             Effect::Life(change, told) => {
                 let news = LifeNews { runner: core.me.clone(), change, told, known_born: None };
-                note_life(&core.metrics, &news);
+                log_life_change(&core.metrics, &news);
             }
             Effect::Limit(rate) => {
                 let per_s = rate.map(Rate::per_s);
@@ -191,7 +191,7 @@
 }
 
 /// Notifies other sidecars that this one sends its runner an order.
-async fn tell_of_order(core: &Core, news: &News) {
+async fn tell_of_order(core: &Core, news: &DatagramSocket) {
     for peer in some_peers(core) {
         news.send(peer, &Datagram::Ordered).await;
     }
@@ -199,7 +199,7 @@
 
 /// Asks other sidecars, as soon as they are known, whether this one sent the last order of all, which a
 /// restarted process does not know.
-async fn ask_who_ordered(core: Core, news: News) {
+async fn ask_who_ordered(core: Core, news: DatagramSocket) {
     while core.rollout.borrow().peer_addresses().is_empty() {
         Timer::after(TICK).await;
     }
@@ -221,10 +221,12 @@
 
 /// Reads the named versions from the store while no gateway reports them.
 async fn follow_versions(core: Core, store: SocketAddr) {
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
         wait_until_alone(&core).await;
-        match list(&mut link, Table::Versions, &core.era, &core.metrics, Haste::Spread).await {
+        match list(&mut client, Table::Versions, &core.era, &core.metrics, Urgency::Background)
+            .await
+        {
             Ok(listing) => {
                 log_faults(Table::Versions, &listing.faults);
                 take_versions(&core, listing.changes);
@@ -252,7 +254,7 @@
 /// Reads the configuration's weights settings and the evacuated halls from the store if no gateway reports
 /// them. The configuration may be large, and the machine's link is narrow.
 async fn find_plan(core: Core, store: SocketAddr) {
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
         Timer::after(Duration::from_millis(GATEWAY_PATIENCE) + spread()).await;
         if core.rollout.borrow().plan().is_some() {
@@ -261,7 +263,9 @@
         if !core.is_alone.get() {
             continue;
         }
-        match list(&mut link, Table::Operator, &core.era, &core.metrics, Haste::Spread).await {
+        match list(&mut client, Table::Operator, &core.era, &core.metrics, Urgency::Background)
+            .await
+        {
             Ok(listing) => take_operator_table(&core, listing),
             Err(error) => {
                 let reason = error.to_string();
@@ -276,7 +280,7 @@
     log_faults(Table::Operator, &faults);
     // Evacuations are applied before the runner's service is known: no slot is granted until then, and none
     // in an evacuated hall afterwards.
-    let evacuated = EvacuatedHalls::default().take_listing(Instant::now(), place, &changes);
+    let evacuated = EvacuatedHalls::default().apply_listing(Instant::now(), place, &changes);
     core.feed(Event::Evacuations(evacuated));
     for change in changes {
         if let Change::Configuration(catalog) = change {
@@ -293,7 +297,7 @@
     stopping: Receiver<()>,
 ) -> Result<()> {
     let address = SocketAddr::new(settings.node.address, settings.node.last_port);
-    let bounds = BacklogBounds::of_memory(settings.node.memory_mb);
+    let bounds = BufferLimits::from_memory_mb(settings.node.memory_mb);
     let callers = Callers::new(bounds, core.clock, core.metrics.clone());
     let (metrics, core) = (core.metrics.clone(), core.clone());
     let refresh = move || {
--- a/components/edge/src/sidecar/streams.rs
+++ b/components/edge/src/sidecar/peer_connections.rs
@@ -12,11 +12,11 @@
 
 /// Idle connections by peer.
 #[derive(Default)]
-pub struct Streams {
+pub struct IdleConnections {
     resting: HashMap<SocketAddr, Vec<(TcpStream, Instant)>>,
 }
 
-impl Streams {
+impl IdleConnections {
     /// Takes an idle connection to a peer, if there is one.
     pub fn take(&mut self, peer: SocketAddr) -> Option<TcpStream> {
         let resting = self.resting.get_mut(&peer)?;
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -16,11 +16,11 @@
 use uptime::Instant;
 
 use super::core::{Core, Subscription};
-use crate::exchange::{prepare, within};
+use crate::datagram_socket::DatagramSocket;
+use crate::http_connection::{set_socket_options, with_deadline};
 use crate::message::{
     frame, lost, read_frame, ChunkRequest, Datagram, PeerAnswer, PeerRequest, Reply, SidecarsPart,
 };
-use crate::news::News;
 use crate::spawner::Spawner;
 
 /// Concurrent uploads of chunks. With few of them each chunk arrives sooner and can be passed on.
@@ -86,15 +86,15 @@
 impl Uploader {
     /// Answers requests until the other side disconnects or is idle for too long.
     async fn serve(self, mut stream: TcpStream) -> errors::Result<()> {
-        prepare(&stream);
+        set_socket_options(&stream);
         let late = || Error::new(Code::PeerStalled, "no request in time");
         loop {
             let rest = Instant::now() + REST;
-            let request = within(rest, read_frame(&mut stream)).await.ok_or_else(late)?;
+            let request = with_deadline(rest, read_frame(&mut stream)).await.ok_or_else(late)?;
             let request = readable(&self.core, "request", request)?;
             self.uploads.set(self.uploads.get() + 1);
             let until = Instant::now() + UPLOAD_TIMEOUT;
-            let sent = within(until, self.answer(&mut stream, request)).await;
+            let sent = with_deadline(until, self.answer(&mut stream, request)).await;
             self.uploads.set(self.uploads.get() - 1);
             sent.ok_or_else(late)??;
         }
@@ -134,7 +134,7 @@
 }
 
 /// Processes datagrams for as long as the task runs.
-pub async fn listen(core: Core, news: News, sidecars: Sender<SidecarsPart>) {
+pub async fn listen(core: Core, news: DatagramSocket, sidecars: Sender<SidecarsPart>) {
     loop {
         let (sender, datagram) = news.receive().await;
         match datagram {
@@ -219,7 +219,7 @@
 }
 
 /// Answers a gateway's reservation.
-pub async fn reply(core: &Core, news: &News, question: Question, verdict: Verdict) {
+pub async fn reply(core: &Core, news: &DatagramSocket, question: Question, verdict: Verdict) {
     let reply = match verdict {
         Verdict::Granted => Reply::Granted,
         Verdict::Queued => Reply::Queued,
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -16,10 +16,10 @@
 use uptime::Instant;
 
 use super::core::Core;
-use crate::exchange::within;
-use crate::link::Link;
+use crate::datagram_socket::DatagramSocket;
+use crate::http_client::HttpClient;
+use crate::http_connection::with_deadline;
 use crate::message::Datagram;
-use crate::news::News;
 
 /// How often the runner is asked for its report while requests wait for a slot.
 const REPORT_SPACING: Duration = Duration::from_millis(25);
@@ -49,15 +49,15 @@
 }
 
 /// Polls the runner's report and sends its load to the gateways.
-pub async fn report(core: Core, news: News) {
-    let mut link = Link::new(core.settings.runner);
+pub async fn report(core: Core, news: DatagramSocket) {
+    let mut client = HttpClient::new(core.settings.runner);
     let mut heard = false;
     let mut reports = Reports::default();
     let mut told = None;
     let mut leaves = false;
     loop {
         let asked_at = core.clock.now();
-        let report = read_report(&core, &mut link).await;
+        let report = read_report(&core, &mut client).await;
         if report.is_ok() != heard {
             heard = report.is_ok();
             log::info!(heard = heard; "runner");
@@ -76,7 +76,7 @@
         }
         Timer::after(REPORT_SPACING).await;
         if core.rollout.borrow().waiting() == 0 {
-            within(Instant::now() + REPORT_EVERY - REPORT_SPACING, core.look.recv()).await;
+            with_deadline(Instant::now() + REPORT_EVERY - REPORT_SPACING, core.look.recv()).await;
         }
     }
 }
@@ -84,7 +84,7 @@
 /// Sends the load to the gateways that are due for a report. `last_sent` is the load that was last sent.
 async fn tell_due(
     core: &Core,
-    news: &News,
+    news: &DatagramSocket,
     reports: &mut Reports,
     told: &mut Option<RunnerLoad>,
     load: RunnerLoad,
@@ -101,7 +101,12 @@
     tell_gateways(core, news, &gateways, load).await;
 }
 
-async fn tell_gateways(core: &Core, news: &News, gateways: &[SocketAddr], load: RunnerLoad) {
+async fn tell_gateways(
+    core: &Core,
+    news: &DatagramSocket,
+    gateways: &[SocketAddr],
+    load: RunnerLoad,
+) {
     let clock_ms = core.time.borrow().told_clock_ms(Instant::now());
     let datagram = Datagram::Load {
         runner: core.settings.runner,
@@ -116,8 +121,11 @@
 }
 
 /// Reads the runner's report and the facts in the headers of its answer.
-async fn read_report(core: &Core, link: &mut Link) -> Result<(runner::Report, AnswerFacts)> {
-    let answer = link.call(runner::report(), CALL_TIMEOUT).await?;
+async fn read_report(
+    core: &Core,
+    client: &mut HttpClient,
+) -> Result<(runner::Report, AnswerFacts)> {
+    let answer = client.call(runner::report(), CALL_TIMEOUT).await?;
     let facts = headers::read_answer(&answer.headers);
     let report = runner::read_report(&answer.success()?, *core.layers.borrow())?;
     Ok((report, facts))
@@ -133,12 +141,12 @@
 
 /// Executes jobs at the runner for as long as the task runs.
 pub async fn work(core: Core, jobs: Receiver<Job>) {
-    let mut link = Link::new(core.settings.runner);
+    let mut client = HttpClient::new(core.settings.runner);
     while let Ok(job) = jobs.recv().await {
         let Some(model) = core.rollout.borrow().plan().map(|it| it.model.clone()) else {
             continue;
         };
-        let mut worker = Worker { core: &core, link: &mut link, model };
+        let mut worker = Worker { core: &core, client: &mut client, model };
         match job {
             Job::Find(version) => worker.find(version).await,
             Job::Stage(version) => worker.stage(version).await,
@@ -155,18 +163,18 @@
         return;
     };
     let layers = *core.layers.borrow();
-    let mut link = Link::new(core.settings.runner);
-    let outcome = give(&mut link, runner::retire(&model, version, sequence, layers)).await;
+    let mut client = HttpClient::new(core.settings.runner);
+    let outcome = give(&mut client, runner::retire(&model, version, sequence, layers)).await;
     let word = format!("{outcome:?}");
     log::warn!(version = version, sequence = sequence, outcome = word.as_str(); "version given up at its bound");
 }
 
 /// Sends an order to the runner.
-async fn give(link: &mut Link, order: Result<Call>) -> OrderOutcome {
+async fn give(client: &mut HttpClient, order: Result<Call>) -> OrderOutcome {
     let Ok(call) = order else {
         return OrderOutcome::Refused;
     };
-    match link.call(call, CALL_TIMEOUT).await {
+    match client.call(call, CALL_TIMEOUT).await {
         Ok(answer) => runner::order_outcome(answer.status),
         Err(_) => OrderOutcome::Unanswered,
     }
@@ -174,7 +182,7 @@
 
 struct Worker<'a> {
     core: &'a Core,
-    link: &'a mut Link,
+    client: &'a mut HttpClient,
     model: ModelName,
 }
 
@@ -201,7 +209,7 @@
     }
 
     async fn listed(&mut self, chunks: u32) -> Bitmap {
-        let answer = self.link.call(weights::staged(&self.model), CALL_TIMEOUT).await;
+        let answer = self.client.call(weights::staged(&self.model), CALL_TIMEOUT).await;
         let body = answer.and_then(|it| it.success());
         body.and_then(|body| weights::read_staged(&body, chunks))
             .unwrap_or_else(|_| Bitmap::new(chunks))
@@ -209,7 +217,7 @@
 
     async fn staged(&mut self, index: u32) -> Result<Bytes> {
         let call = weights::staged_chunk(&self.model, index);
-        let answer = self.link.call(call, CALL_TIMEOUT).await?;
+        let answer = self.client.call(call, CALL_TIMEOUT).await?;
         if answer.status == 404 {
             return Ok(Bytes::new());
         }
@@ -233,7 +241,7 @@
         let chunk = self.core.chunks.borrow().get(version, index);
         let bytes = chunk.ok_or_else(|| Error::new(Code::ChunkMissing, "not here"))?;
         let call = weights::stage(&self.model, index, bytes.to_vec());
-        let answer = self.link.call(call, CALL_TIMEOUT).await?;
+        let answer = self.client.call(call, CALL_TIMEOUT).await?;
         if (200..300).contains(&answer.status) {
             return Ok(());
         }
@@ -241,7 +249,7 @@
     }
 
     async fn order(&mut self, version: u64, sequence: u64, cut: bool) {
-        let outcome = give(self.link, runner::start(&self.model, version, sequence, cut)).await;
+        let outcome = give(self.client, runner::start(&self.model, version, sequence, cut)).await;
         let word = format!("{outcome:?}");
         log::info!(version = version, sequence = sequence, cut = cut, outcome = word.as_str(); "ordered");
         self.core.feed(Event::Ordered(version, outcome));
--- a/components/edge/src/patience.rs
+++ b/components/edge/src/store_timeouts.rs
@@ -37,11 +37,11 @@
 
 /// The timeouts and pauses of calls to the store, derived from the contact time.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct StoreTimeouts {
     contact: Duration,
 }
 
-impl Patience {
+impl StoreTimeouts {
     /// How long the answer to a listing may take to start. Processes that start together share the links to
     /// the store.
     pub const LIST_BEGIN: Duration = Duration::from_millis(1500);
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -1,6 +1,6 @@
 //! Follows a table of the platform's store.
 
-mod dating;
+mod change_dates;
 mod options;
 mod source;
 
@@ -18,17 +18,17 @@
 use rand::Rng;
 use uptime::Instant;
 
-use crate::answer_log::{log_answer, Told};
+use crate::answer_log::{log_answer, AnswerSummary};
+use crate::catch_up::CatchUp;
+use crate::delayed_removals::DelayedRemovals;
+use crate::delayed_returns::DelayedReturns;
 use crate::evacuated::EvacuatedHalls;
-use crate::freshness::{Arrival, Freshness};
+use crate::freshness::{AnswerTiming, Freshness};
 use crate::gateway::{read_age, ToldAge};
-use crate::lapses::Lapses;
-use crate::lateness::Lateness;
-use crate::link::{CallAnswer, Link};
+use crate::http_client::{CallAnswer, HttpClient};
+use crate::link_yield::LinkYield;
 use crate::listing::{call_name, list, Listing, ToldFaults, PIECE_PAUSE};
-use crate::paging::Haste;
-use crate::returns::Returns;
-use crate::yielding::Yielding;
+use crate::paging::Urgency;
 
 /// How much longer than the wait of a feed call the store may be silent before its changes are considered
 /// old.
@@ -41,17 +41,17 @@
 
 /// Follows a table for as long as the task runs.
 pub async fn watch(options: WatchOptions, mut deliver: impl FnMut(Seen)) {
-    let calls = options.era.calls();
+    let wake_ups = options.era.subscribe();
     let mut watch = Watch {
-        link: Link::new(options.store),
+        client: HttpClient::new(options.store),
         reader: None,
-        yielding: Yielding::new(options.longest_rest),
+        yielding: LinkYield::new(options.longest_rest),
         started: Instant::now(),
         options,
-        calls,
+        wake_ups,
         place: None,
         era: None,
-        returns: Returns::default(),
+        delayed_returns: DelayedReturns::default(),
         runners: BTreeSet::new(),
         evacuated: EvacuatedHalls::default(),
         faults: ToldFaults::default(),
@@ -61,18 +61,18 @@
         freshness: Freshness::default(),
         known: Instant::now(),
         heard: None,
-        lateness: Lateness::default(),
+        catch_up: CatchUp::default(),
         named: BTreeMap::new(),
-        lapses: Lapses::default(),
+        delayed_removals: DelayedRemovals::default(),
     };
     watch.options.reading.wait_until_settled().await;
     let mut spacing = watch.options.first_spacing;
     let mut failures = 0;
     loop {
-        for id in watch.lapses.take_due(Instant::now()) {
+        for id in watch.delayed_removals.take_due(Instant::now()) {
             deliver(Seen::Change { change: Change::RunnerGone(id), dated: Dated::default() });
         }
-        for record in watch.returns.take_due(Instant::now()) {
+        for record in watch.delayed_returns.take_due(Instant::now()) {
             deliver(Seen::Change { change: Change::Runner(record), dated: Dated::default() });
         }
         if !watch.choose_source() {
@@ -138,21 +138,21 @@
 struct Watch {
     options: WatchOptions,
     /// The client of the store.
-    link: Link,
+    client: HttpClient,
     /// The reader that is called instead of the store, and its client.
-    reader: Option<(SocketAddr, Link)>,
-    yielding: Yielding,
+    reader: Option<(SocketAddr, HttpClient)>,
+    yielding: LinkYield,
     /// When the task started.
     started: Instant,
     /// Receives a message when the store was restored from an older copy or is to be called at once.
-    calls: Receiver<()>,
+    wake_ups: Receiver<()>,
     /// The position after which the feed continues. `None` until the table has been listed, and if the known
     /// history is gone.
     place: Option<StorePlace>,
     /// The era of the last answer.
     era: Option<u64>,
     /// Runners that a restored copy contains again.
-    returns: Returns,
+    delayed_returns: DelayedReturns,
     /// The runners that are listed.
     runners: BTreeSet<InstanceId>,
     evacuated: EvacuatedHalls,
@@ -167,19 +167,19 @@
     known: Instant,
     /// When the store last answered.
     heard: Option<Instant>,
-    lateness: Lateness,
+    catch_up: CatchUp,
     /// The newest version of each model that was read.
     named: BTreeMap<ModelName, u64>,
     /// Runners that are missing since the store is back.
-    lapses: Lapses,
+    delayed_removals: DelayedRemovals,
 }
 
 impl Watch {
-    async fn list(&mut self, deliver: &mut impl FnMut(Seen)) -> Result<Told> {
+    async fn list(&mut self, deliver: &mut impl FnMut(Seen)) -> Result<AnswerSummary> {
         self.asked = Instant::now();
         let (table, era) = (self.options.table, self.options.era.clone());
         let metrics = self.options.metrics.clone();
-        let listed = list(self.asked_link(), table, &era, &metrics, Haste::Urgent).await?;
+        let listed = list(self.source_client(), table, &era, &metrics, Urgency::Urgent).await?;
         let Listing { place, clock_ms, changes, faults, pages, age } = listed;
         let told = self.told(age)?;
         match self.reader {
@@ -191,7 +191,7 @@
         self.note_reading(place, clock_ms, made);
         let went_back = self.note_era(place.era, deliver);
         self.faults.tell_all(self.options.table, &self.options.metrics, &faults);
-        let answered = Told { rows: changes.len(), place };
+        let answered = AnswerSummary { rows: changes.len(), place };
         let listed: BTreeSet<InstanceId> = changes.iter().filter_map(listed_runner).collect();
         let gone: Vec<InstanceId> = self.runners.difference(&listed).cloned().collect();
         let lost = Lost { gone: gone.len(), known: self.runners.len() };
@@ -199,12 +199,12 @@
             self.pass_on(Change::RunnerGone(id), told, lost, deliver);
         }
         if self.options.table == Table::Operator {
-            let evacuated = self.evacuated.take_listing(Instant::now(), place, &changes);
+            let evacuated = self.evacuated.apply_listing(Instant::now(), place, &changes);
             deliver(Seen::Evacuations(evacuated));
         }
-        self.lateness.take_listing(self.was_silent());
+        self.catch_up.record_listing(self.was_silent());
         for change in changes {
-            if !(went_back && self.returns.hold(Instant::now(), &change)) {
+            if !(went_back && self.delayed_returns.delay(Instant::now(), &change)) {
                 self.pass_on(change, told, lost, deliver);
             }
         }
@@ -212,7 +212,7 @@
         self.place = Some(place);
         if place.era == self.options.era.current() {
             // This listing already covers the increase of the era that a pending message announces.
-            let _ = self.calls.try_recv();
+            let _ = self.wake_ups.try_recv();
         }
         deliver(Seen::Whole);
         Ok(answered)
@@ -225,8 +225,8 @@
         let went_back = before.is_some() && era > before;
         if went_back {
             // Rows that the copy lacks are written again, as after an outage, however few they are.
-            self.lapses.note_copy(Instant::now());
-            self.lateness.note_gap();
+            self.delayed_removals.record_store_restore(Instant::now());
+            self.catch_up.record_gap();
             self.yielding.forget();
             deliver(Seen::WentBack);
         }
@@ -236,10 +236,18 @@
     /// The time until the next delayed change is due.
     fn due_in(&self) -> Option<Duration> {
         let now = Instant::now();
-        self.lapses.left(now).into_iter().chain(self.returns.left(now)).min()
+        self.delayed_removals
+            .time_left(now)
+            .into_iter()
+            .chain(self.delayed_returns.time_left(now))
+            .min()
     }
 
-    async fn feed(&mut self, place: StorePlace, deliver: &mut impl FnMut(Seen)) -> Result<Told> {
+    async fn feed(
+        &mut self,
+        place: StorePlace,
+        deliver: &mut impl FnMut(Seen),
+    ) -> Result<AnswerSummary> {
         let patience = self.options.patience;
         let wait = self.feed_wait();
         let wait = self.due_in().map_or(wait, |left| wait.min(left));
@@ -258,7 +266,7 @@
         if store::is_history_gone(answer.status) {
             return Err(self.begin_again("the store forgot its history"));
         }
-        let era = self.options.era.note(&answer.headers)?;
+        let era = self.options.era.record(&answer.headers)?;
         if era != place.era {
             // The page continues a history that has a gap after what was read before.
             return Err(self.begin_again("the store came back from an older copy"));
@@ -281,10 +289,10 @@
         }
         self.faults.tell(self.options.table, &self.options.metrics, &page.faults);
         let was_silent = self.was_silent();
-        let late = self.lateness.take_feed(was_silent, page.changes.is_empty());
+        let late = self.catch_up.record_feed(was_silent, page.changes.is_empty());
         let now = Instant::now();
-        let answered = Told { rows: page.rows, place: read };
-        let evacuated = self.evacuated.take_feed(now, read, &page.changes, late);
+        let answered = AnswerSummary { rows: page.rows, place: read };
+        let evacuated = self.evacuated.apply_feed(now, read, &page.changes, late);
         evacuated.into_iter().for_each(|list| deliver(Seen::Evacuations(list)));
         let is_gone = |change: &&Change| matches!(change, Change::RunnerGone(_));
         let gone = page.changes.iter().filter(is_gone).count();
@@ -309,10 +317,10 @@
             None => self.options.patience.feed_begin(wait),
         };
         (self.asked, self.wait) = (Instant::now(), wait);
-        let calls = self.calls.clone();
-        let answer = self.asked_link().call_patiently(call, begin, PIECE_PAUSE);
+        let wake_ups = self.wake_ups.clone();
+        let answer = self.source_client().call_with_pause_limit(call, begin, PIECE_PAUSE);
         future::or(async { Some(answer.await) }, async {
-            let _ = calls.recv().await;
+            let _ = wake_ups.recv().await;
             None
         })
         .await
@@ -322,7 +330,7 @@
     fn begin_again(&mut self, reason: &str) -> Error {
         self.place = None;
         // The listing covers any pending message about an increase of the era.
-        let _ = self.calls.try_recv();
+        let _ = self.wake_ups.try_recv();
         Error::new(Code::NotFound, reason.to_owned())
     }
 
@@ -341,13 +349,13 @@
         clock_ms: Option<u64>,
         told: Option<ToldAge>,
     ) -> Instant {
-        let arrived = Instant::now();
-        let told = told.map(|it| (it.held, it.known));
-        let answer = Arrival { asked: self.asked, arrived, waited, clock_ms, told };
-        let made = self.freshness.take(&answer);
+        let arrived_at = Instant::now();
+        let by_reader = told.map(|it| (it.held, it.known));
+        let answer = AnswerTiming { sent_at: self.asked, arrived_at, waited, clock_ms, by_reader };
+        let made = self.freshness.record(&answer);
         self.known = made.max(self.known);
         if !self.connected {
-            self.lapses.note_return(Instant::now());
+            self.delayed_removals.record_store_return(Instant::now());
         }
         made
     }
@@ -363,14 +371,14 @@
         match &change {
             Change::Runner(record) => {
                 self.runners.insert(record.id.clone());
-                self.lapses.note_listed(&record.id);
-                self.returns.note_listed(&record.id);
+                self.delayed_removals.record_listed(&record.id);
+                self.delayed_returns.record_listed(&record.id);
             }
             Change::RunnerGone(id) => {
                 if self.runners.remove(id) {
-                    self.returns.note_gone(Instant::now(), id);
+                    self.delayed_returns.record_removed(Instant::now(), id);
                 }
-                if self.lapses.hold(Instant::now(), id, lost.gone, lost.known) {
+                if self.delayed_removals.delay(Instant::now(), id, lost.gone, lost.known) {
                     log::info!(runner = id.0.as_str(); "runner missing since the store is back");
                     return;
                 }
--- a/components/edge/src/watch/options.rs
+++ b/components/edge/src/watch/options.rs
@@ -12,8 +12,8 @@
 
 use crate::era::Era;
 use crate::gateway::Reading;
-use crate::patience::Patience;
 use crate::store_time::StoreTime;
+use crate::store_timeouts::StoreTimeouts;
 
 /// How a table is followed.
 #[derive(Clone)]
@@ -23,7 +23,7 @@
     /// The table.
     pub table: Table,
     /// The timeouts and pauses of calls.
-    pub patience: Patience,
+    pub patience: StoreTimeouts,
     /// The shortest time between the first two feed calls or listings. It doubles with each, so that a
     /// process that starts together with others soon knows all of them.
     pub first_spacing: Duration,
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -7,7 +7,7 @@
 
 use super::{is_history_gone, Watch};
 use crate::gateway::ToldAge;
-use crate::link::Link;
+use crate::http_client::HttpClient;
 use crate::listing::call_name;
 
 /// How long a feed call waits if changes are to be dated closely.
@@ -28,7 +28,7 @@
             Source::Reader(reader) => {
                 reading.forget(self.options.table);
                 if self.reader.as_ref().is_none_or(|(known, _)| *known != reader) {
-                    self.reader = Some((reader, Link::new(reader)));
+                    self.reader = Some((reader, HttpClient::new(reader)));
                 }
             }
             Source::Nobody => return false,
@@ -37,8 +37,8 @@
     }
 
     /// The client of the selected source.
-    pub(super) fn asked_link(&mut self) -> &mut Link {
-        self.reader.as_mut().map_or(&mut self.link, |(_, link)| link)
+    pub(super) fn source_client(&mut self) -> &mut HttpClient {
+        self.reader.as_mut().map_or(&mut self.client, |(_, client)| client)
     }
 
     /// The name of calls in the metrics.
--- a/components/edge/tests/patience.rs
+++ b/components/edge/tests/store_timeouts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use edge::Patience;
+use edge::StoreTimeouts;
 use proptest::prelude::*;
 
 /// The time of a new connection and the call on it, on a busy processor.
@@ -20,7 +20,7 @@
         contact in contact(),
         failures in 1..FAILURES,
     ) {
-        let patience = Patience::new(contact);
+        let patience = StoreTimeouts::new(contact);
         // The first failure is that of a feed which waited for a change, the others are of short ones.
         let wait = patience.feed_wait(failures == 1);
         let lost_for = patience.feed_begin(wait) + patience.pause(failures).end + CALL;
@@ -32,7 +32,7 @@
         contact in contact(),
         failures in 1..FAILURES,
     ) {
-        let patience = Patience::new(contact);
+        let patience = StoreTimeouts::new(contact);
         let wait = patience.feed_wait(failures == 1);
         let lost_for = patience.feed_begin(wait) + patience.pause(failures).end + CALL;
         let listed = lost_for + patience.pause_before_listing(failures).end + CALL;
@@ -43,7 +43,7 @@
     fn processes_that_hear_together_that_a_history_is_gone_do_not_list_together(
         contact in contact(),
     ) {
-        let pause = Patience::new(contact).pause_before_listing(0);
+        let pause = StoreTimeouts::new(contact).pause_before_listing(0);
         prop_assert!(pause.end - pause.start >= Duration::from_millis(100), "{pause:?}");
     }
 
@@ -52,8 +52,8 @@
         contact in contact(),
         failures in 1..FAILURES,
     ) {
-        let patience = Patience::new(contact);
-        let lost_for = Patience::LIST_BEGIN + patience.pause(failures).end + CALL;
+        let patience = StoreTimeouts::new(contact);
+        let lost_for = StoreTimeouts::LIST_BEGIN + patience.pause(failures).end + CALL;
         prop_assert!(lost_for <= contact, "{lost_for:?} of {contact:?} after {failures} failures");
     }
 
@@ -62,7 +62,7 @@
         contact in (0_u64..20_000).prop_map(Duration::from_millis),
         failures in 1..FAILURES,
     ) {
-        let patience = Patience::new(contact);
+        let patience = StoreTimeouts::new(contact);
         let (pause, next) = (patience.pause(failures), patience.pause(failures + 1));
         prop_assert!(pause.start < pause.end);
         prop_assert!(pause.start <= next.start && pause.end <= next.end);
@@ -70,7 +70,7 @@
 
     #[test]
     fn calls_are_spared_where_the_contact_time_is_long(contact in contact()) {
-        let patience = Patience::new(contact);
+        let patience = StoreTimeouts::new(contact);
         let wait = patience.feed_wait(true);
         prop_assert!(wait >= contact / 2 || wait == Duration::from_secs(5));
     }
