--- a/components/edge/src/caller/tests.rs
+++ b/components/edge/src/caller/tests.rs
@@ -93,9 +93,9 @@
         let callers = Callers::new(limits, Clock::start(), Rc::new(Metrics::start().unwrap()));
         let (open, stopping) = async_channel::bounded(1);
         let options = ServerOptions {
-            idle: IDLE_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
             stopping,
-            open: Rc::default(),
+            open_connections: Rc::default(),
             callers: callers.clone(),
         };
         Self { executor: Rc::default(), options, callers, _open: open }
@@ -218,7 +218,9 @@
     let started = Instant::now();
     server.run(async {
         end.write_all(REQUEST).await.unwrap();
-        while server.options.open.get() > 0 || started.elapsed() < Duration::from_millis(50) {
+        while server.options.open_connections.get() > 0
+            || started.elapsed() < Duration::from_millis(50)
+        {
             Timer::after(Duration::from_millis(5)).await;
             assert!(started.elapsed() < 3 * READ_TIMEOUT, "the connection is still open");
         }
--- a/components/edge/src/datagram_socket.rs
+++ b/components/edge/src/datagram_socket.rs
@@ -17,10 +17,10 @@
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The pause after the system failed to receive.
-const ERROR_PAUSE: Duration = Duration::from_millis(20);
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
 /// The most peers for which unreadable datagrams are logged.
-const MOST_FOREIGN: usize = 256;
+const MAX_LOGGED_PEERS: usize = 256;
 
 /// A socket for datagrams.
 #[derive(Clone)]
@@ -28,7 +28,7 @@
     socket: UdpSocket,
     metrics: Rc<Metrics>,
     /// Peers that were logged because their datagrams could not be read completely.
-    foreign: Rc<RefCell<BTreeSet<SocketAddr>>>,
+    unreadable_peers: Rc<RefCell<BTreeSet<SocketAddr>>>,
 }
 
 impl DatagramSocket {
@@ -37,7 +37,7 @@
         let socket = UdpSocket::bind(address).await;
         let socket = socket
             .map_err(|error| Error::new(Code::AddressInUse, format!("{address}: {error}")))?;
-        Ok(Self { socket, metrics, foreign: Rc::default() })
+        Ok(Self { socket, metrics, unreadable_peers: Rc::default() })
     }
 
     /// Sends a datagram without confirmation. A lost datagram is superseded by a later one.
@@ -46,10 +46,10 @@
     }
 
     /// Counts unreadable content from another build, and logs it once per peer.
-    fn note_foreign(&self, from: SocketAddr, kind: &'static str) {
+    fn record_unreadable(&self, from: SocketAddr, kind: &'static str) {
         self.metrics.count_foreign_message(kind);
-        let mut foreign = self.foreign.borrow_mut();
-        if foreign.len() < MOST_FOREIGN && foreign.insert(from) {
+        let mut unreadable_peers = self.unreadable_peers.borrow_mut();
+        if unreadable_peers.len() < MAX_LOGGED_PEERS && unreadable_peers.insert(from) {
             log::warn!(peer = from.to_string().as_str(), kind = kind; "a peer says what this build cannot read");
         }
     }
@@ -59,17 +59,17 @@
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                Timer::after(ERROR_PAUSE).await;
+                Timer::after(RECEIVE_ERROR_PAUSE).await;
                 continue;
             };
             match decode_datagram(&buffer[..length]) {
-                Ok((datagram, additions)) => {
-                    if additions.unknown > 0 {
-                        self.note_foreign(from, "additions");
+                Ok((datagram, extensions)) => {
+                    if extensions.unknown > 0 {
+                        self.record_unreadable(from, "additions");
                     }
                     return (from, datagram);
                 }
-                Err(_) => self.note_foreign(from, "datagram"),
+                Err(_) => self.record_unreadable(from, "datagram"),
             }
         }
     }
--- a/components/edge/src/extensions.rs
+++ b/components/edge/src/extensions.rs
@@ -61,26 +61,26 @@
             return Ok(Self::default());
         }
         let unreadable = |_| Error::new(Code::BadFrame, "unreadable additions");
-        let listed: Vec<Extension> = postcard::from_bytes(bytes).map_err(unreadable)?;
-        let mut additions = Self::default();
-        for Extension { number, bytes } in listed {
+        let encoded: Vec<Extension> = postcard::from_bytes(bytes).map_err(unreadable)?;
+        let mut extensions = Self::default();
+        for Extension { number, bytes } in encoded {
             match number {
-                ERA => additions.era = Some(postcard::from_bytes(&bytes).map_err(unreadable)?),
+                ERA => extensions.era = Some(postcard::from_bytes(&bytes).map_err(unreadable)?),
                 SHORT_MS => {
-                    additions.short_ms = Some(postcard::from_bytes(&bytes).map_err(unreadable)?);
+                    extensions.short_ms = Some(postcard::from_bytes(&bytes).map_err(unreadable)?);
                 }
-                LIMIT => additions.limit = Some(postcard::from_bytes(&bytes).map_err(unreadable)?),
+                LIMIT => extensions.limit = Some(postcard::from_bytes(&bytes).map_err(unreadable)?),
                 LIMITS => {
-                    additions.limits = postcard::from_bytes(&bytes).map_err(unreadable)?;
+                    extensions.limits = postcard::from_bytes(&bytes).map_err(unreadable)?;
                 }
                 VERSION_DATES => {
                     let dates = postcard::from_bytes(&bytes).map_err(unreadable)?;
-                    additions.version_dates = Some(dates);
+                    extensions.version_dates = Some(dates);
                 }
-                _ => additions.unknown += 1,
+                _ => extensions.unknown += 1,
             }
         }
-        Ok(additions)
+        Ok(extensions)
     }
 
     /// Encodes the extensions. The result is empty if there are none.
@@ -90,12 +90,12 @@
         let limit = self.limit.map(|it| Extension::new(LIMIT, &it));
         let limits = (!self.limits.is_empty()).then(|| Extension::new(LIMITS, &self.limits));
         let dates = self.version_dates.as_ref().map(|it| Extension::new(VERSION_DATES, it));
-        let listed = era.into_iter().chain(short_ms).chain(limit).chain(limits).chain(dates);
-        let listed: Vec<Extension> = listed.collect();
-        if listed.is_empty() {
+        let encoded = era.into_iter().chain(short_ms).chain(limit).chain(limits).chain(dates);
+        let encoded: Vec<Extension> = encoded.collect();
+        if encoded.is_empty() {
             return Vec::new();
         }
-        postcard::to_stdvec(&listed).expect("a list can be encoded")
+        postcard::to_stdvec(&encoded).expect("a list can be encoded")
     }
 
     /// Collects the extensions of a datagram from its fields.
@@ -124,16 +124,16 @@
 pub fn decode_datagram(bytes: &[u8]) -> Result<(Datagram, Extensions)> {
     let unreadable = |_| Error::new(Code::BadFrame, "an unreadable message");
     let (mut datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).map_err(unreadable)?;
-    let additions =
+    let extensions =
         Extensions::read(rest).unwrap_or(Extensions { unknown: 1, ..Extensions::default() });
     if let Some(evacuations) = datagram.evacuations_mut() {
-        evacuations.place.era = additions.era;
+        evacuations.place.era = extensions.era;
     }
-    datagram.set_short_ms(additions.short_ms);
-    datagram.set_limit(additions.limit);
-    datagram.set_limits(additions.limits.clone());
-    datagram.set_version_dates(additions.version_dates.clone());
-    Ok((datagram, additions))
+    datagram.set_short_ms(extensions.short_ms);
+    datagram.set_limit(extensions.limit);
+    datagram.set_limits(extensions.limits.clone());
+    datagram.set_version_dates(extensions.version_dates.clone());
+    Ok((datagram, extensions))
 }
 
 #[cfg(test)]
--- a/components/edge/src/extensions/tests.rs
+++ b/components/edge/src/extensions/tests.rs
@@ -9,9 +9,9 @@
 use crate::message::encode;
 
 /// The lowest extension number that this build does not define.
-const UNKNOWN: u16 = 6;
+const FIRST_UNKNOWN: u16 = 6;
 
-fn load(era: Option<u64>) -> Datagram {
+fn reserved(era: Option<u64>) -> Datagram {
     Datagram::Reserved {
         question: 7,
         reply: crate::message::Reply::Granted,
@@ -38,16 +38,16 @@
 
 #[test]
 fn a_datagram_without_an_era_is_one_of_the_first_format() {
-    assert_eq!(encode_datagram(&load(None)), encode(&load(None)));
-    let (datagram, additions) = decode_datagram(&encode(&load(None))).unwrap();
-    assert_eq!((datagram, additions), (load(None), Extensions::default()));
+    assert_eq!(encode_datagram(&reserved(None)), encode(&reserved(None)));
+    let (datagram, extensions) = decode_datagram(&encode(&reserved(None))).unwrap();
+    assert_eq!((datagram, extensions), (reserved(None), Extensions::default()));
 }
 
 #[test]
 fn the_era_arrives_and_takes_five_bytes() {
-    let bytes = encode_datagram(&load(Some(9)));
-    assert_eq!(bytes.len(), encode(&load(None)).len() + 4);
-    assert_eq!(decode_datagram(&bytes).unwrap().0, load(Some(9)));
+    let bytes = encode_datagram(&reserved(Some(9)));
+    assert_eq!(bytes.len(), encode(&reserved(None)).len() + 4);
+    assert_eq!(decode_datagram(&bytes).unwrap().0, reserved(Some(9)));
 }
 
 #[test]
@@ -67,10 +67,10 @@
 
 #[test]
 fn a_rate_limit_arrives_behind_a_question_for_a_place_and_its_answer() {
-    let told = |rate| ToldLimit { born: Some(1_764_720_000_000), rate, age_ms: 1200 };
+    let limit_of = |rate| ToldLimit { born: Some(1_764_720_000_000), rate, age_ms: 1200 };
     for rate in [fleet::Rate::from_per_s(1.6), None] {
-        for mut datagram in [load(Some(9)), reserve()] {
-            datagram.set_limit(Some(told(rate)));
+        for mut datagram in [reserved(Some(9)), reserve()] {
+            datagram.set_limit(Some(limit_of(rate)));
             let bytes = encode_datagram(&datagram);
             assert_eq!(decode_datagram(&bytes).unwrap().0, datagram);
             let first_format: Datagram = crate::message::decode(&bytes).unwrap();
@@ -108,32 +108,32 @@
 
 #[test]
 fn the_first_format_reads_a_datagram_with_an_era() {
-    let read: Datagram = crate::message::decode(&encode_datagram(&load(Some(9)))).unwrap();
-    assert_eq!(read, load(None));
+    let read: Datagram = crate::message::decode(&encode_datagram(&reserved(Some(9)))).unwrap();
+    assert_eq!(read, reserved(None));
 }
 
 proptest! {
     #[test]
     fn a_datagram_with_unknown_additions_is_read_as_the_one_without(
-        numbers in proptest::collection::vec((UNKNOWN..u16::MAX, proptest::collection::vec(any::<u8>(), 0..40)), 0..5),
+        numbers in proptest::collection::vec((FIRST_UNKNOWN..u16::MAX, proptest::collection::vec(any::<u8>(), 0..40)), 0..5),
         era in proptest::option::of(any::<u64>()),
     ) {
-        let mut listed: Vec<Extension> =
+        let mut encoded: Vec<Extension> =
             numbers.iter().cloned().map(|(number, bytes)| Extension { number, bytes }).collect();
         if let Some(era) = era {
             let bytes = postcard::to_stdvec(&era).unwrap();
-            listed.insert(listed.len() / 2, Extension { number: ERA, bytes });
+            encoded.insert(encoded.len() / 2, Extension { number: ERA, bytes });
         }
-        let mut bytes = encode(&load(None));
-        bytes.extend(postcard::to_stdvec(&listed).unwrap());
-        let (datagram, additions) = decode_datagram(&bytes).unwrap();
-        prop_assert_eq!(datagram, load(era));
-        prop_assert_eq!(additions.unknown, numbers.len());
+        let mut bytes = encode(&reserved(None));
+        bytes.extend(postcard::to_stdvec(&encoded).unwrap());
+        let (datagram, extensions) = decode_datagram(&bytes).unwrap();
+        prop_assert_eq!(datagram, reserved(era));
+        prop_assert_eq!(extensions.unknown, numbers.len());
     }
 
     #[test]
     fn whatever_follows_a_datagram_spoils_nothing_of_it(rest in proptest::collection::vec(any::<u8>(), 0..60)) {
-        let mut bytes = encode(&load(None));
+        let mut bytes = encode(&reserved(None));
         bytes.extend(rest);
         let (datagram, _) = decode_datagram(&bytes).unwrap();
         prop_assert_eq!(datagram.evacuations().map(|it| it.place.revision), Some(530));
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -19,7 +19,7 @@
 use super::table_state::Tables;
 use crate::clock::Clock;
 use crate::life_change_log::log_life_change;
-use crate::metrics::note_evacuation;
+use crate::metrics::record_evacuation;
 
 /// Number of gateways that rewrite a row which the store may have lost. It is more than one because a gateway
 /// may itself just have failed.
@@ -132,7 +132,7 @@
                     let _ = self.crash_news.try_send(news);
                 }
                 Effect::Evacuation(change) => {
-                    note_evacuation(&self.metrics, &change);
+                    record_evacuation(&self.metrics, &change);
                     self.tell_sidecars();
                 }
             }
--- a/components/edge/src/gateway/follow_table.rs
+++ b/components/edge/src/gateway/follow_table.rs
@@ -45,7 +45,7 @@
     let options = WatchOptions {
         store: settings.store.address,
         table,
-        patience: patience(&settings.bounds),
+        timeouts: store_timeouts(&settings.bounds),
         first_spacing: FIRST_SPACING,
         spacing: spacing(&settings.bounds, table),
         longest_rest: longest_rest(&settings.bounds, table),
@@ -150,7 +150,7 @@
 }
 
 /// The timeouts of calls to the store.
-pub fn patience(bounds: &BoundSettings) -> StoreTimeouts {
+pub fn store_timeouts(bounds: &BoundSettings) -> StoreTimeouts {
     StoreTimeouts::new(Duration::from_millis(bounds.contact_ms))
 }
 
--- a/components/edge/src/gateway/node.rs
+++ b/components/edge/src/gateway/node.rs
@@ -19,7 +19,7 @@
 
 use super::answer::{own_answer, whole_body, AnswerBody};
 use super::core::Core;
-use super::follow_table::{follow, patience, spacing};
+use super::follow_table::{follow, spacing, store_timeouts};
 use super::quarantine_record;
 use super::readers::{tend, Reading};
 use super::request;
@@ -33,7 +33,7 @@
 use crate::clock::Clock;
 use crate::datagram_socket::DatagramSocket;
 use crate::era::Era;
-use crate::metrics::{serve_metrics, Standstills};
+use crate::metrics::{serve_metrics, StallDetector};
 use crate::server::{listen, serve, ServerOptions};
 use crate::spawner::Spawner;
 
@@ -53,7 +53,7 @@
     grace: Cell<Duration>,
     stopping: Rc<Cell<bool>>,
     stop: Sender<()>,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     callers: Callers,
     accepting: RefCell<Option<Task<()>>>,
 }
@@ -67,8 +67,8 @@
             DatagramSocket::bind(SocketAddr::new(settings.node.address, port), metrics.clone())
                 .await?;
         let reservations = Reservations::new(news.clone(), port);
-        let patience = patience(&settings.bounds);
-        let gap = |table| patience.longest_gap(spacing(&settings.bounds, table));
+        let timeouts = store_timeouts(&settings.bounds);
+        let gap = |table| timeouts.max_answer_gap(spacing(&settings.bounds, table));
         let tables = Rc::new(Tables::new(gap, Era::new(metrics.clone())));
         let core = Core::new(
             options(settings),
@@ -86,7 +86,7 @@
             grace: Cell::new(Duration::from_secs(settings.bounds.grace_s)),
             stopping: Rc::default(),
             stop,
-            open: Rc::default(),
+            open_connections: Rc::default(),
             callers: callers.clone(),
             accepting: RefCell::default(),
         };
@@ -125,9 +125,9 @@
         };
         let listener = listen(gateway.callers).await?;
         let options = ServerOptions {
-            idle: Duration::from_millis(gateway::Limits::default().idle_timeout_ms),
+            idle_timeout: Duration::from_millis(gateway::Limits::default().idle_timeout_ms),
             stopping: stopped,
-            open: self.open.clone(),
+            open_connections: self.open_connections.clone(),
             callers: self.callers.clone(),
         };
         let core = self.core.clone();
@@ -149,9 +149,9 @@
         };
         let listener = listen(gateway.readiness).await?;
         let options = ServerOptions {
-            idle: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(30),
             stopping: stopped,
-            open: Rc::default(),
+            open_connections: Rc::default(),
             callers: self.callers.clone(),
         };
         let stopping = self.stopping.clone();
@@ -174,9 +174,9 @@
         let address = SocketAddr::new(settings.node.address, settings.node.first_port);
         let listener = listen(address).await?;
         let options = ServerOptions {
-            idle: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(30),
             stopping: stopped,
-            open: Rc::default(),
+            open_connections: Rc::default(),
             callers: self.callers.clone(),
         };
         let reading = reading.clone();
@@ -204,7 +204,7 @@
         Timer::after(LINGER).await;
         drop(self.accepting.borrow_mut().take());
         self.stop.close();
-        while self.open.get() > 0 && Instant::now() < end {
+        while self.open_connections.get() > 0 && Instant::now() < end {
             Timer::after(STOP_POLL).await;
         }
     }
@@ -288,10 +288,10 @@
 }
 
 async fn tick(core: Core) {
-    let mut standstills = Standstills::start();
+    let mut stall_detector = StallDetector::start();
     loop {
         Timer::after(TICK).await;
-        if standstills.look(&core.metrics) {
+        if stall_detector.check(&core.metrics) {
             core.feed(Event::Woke);
             core.tables.era.notify_all();
         }
--- a/components/edge/src/gateway/readers.rs
+++ b/components/edge/src/gateway/readers.rs
@@ -170,7 +170,7 @@
     }
 
     /// How long the answer of a reader to a feed call with this wait may take to start.
-    pub fn feed_begin(&self, wait: Duration) -> Duration {
+    pub fn feed_start_timeout(&self, wait: Duration) -> Duration {
         wait + SLACK
     }
 
--- a/components/edge/src/gateway/sidecar_datagrams.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -87,7 +87,7 @@
             }
             Datagram::Load { runner, mut load, evacuations, crashes, clock_ms } => {
                 let mut time = core.tables.time.borrow_mut();
-                clock_ms.into_iter().for_each(|it| time.note_told(it));
+                clock_ms.into_iter().for_each(|it| time.record_report(it));
                 time.set_ages(&mut load.named);
                 drop(time);
                 core.feed(Event::Evacuations(evacuations));
@@ -155,7 +155,7 @@
         let mut cold = core.read(|gateway| gateway.cold_machines(now));
         cold.retain(|_, left| is_fresh || *left > 0);
         Self {
-            clock_ms: core.tables.time.borrow().told_clock_ms(Instant::now()),
+            clock_ms: core.tables.time.borrow().clock_ms_to_report(Instant::now()),
             cold,
             named: core.read(|gateway| gateway.named_versions(now)),
             services: core.catalog().map(|it| weights_services(&it)).unwrap_or_default(),
--- a/components/edge/src/gateway/table_state.rs
+++ b/components/edge/src/gateway/table_state.rs
@@ -13,7 +13,7 @@
 /// The state of a table of the store.
 pub struct TableState {
     /// The longest time between two answers while the store works.
-    longest_gap: Duration,
+    max_answer_gap: Duration,
     /// Since when the table is followed.
     since: Instant,
     /// How long it took until the table was first read completely.
@@ -27,9 +27,9 @@
 impl TableState {
     /// Creates the state before the first answer. Answers arrive at least every `longest_gap` while the store
     /// works.
-    fn new(longest_gap: Duration) -> Self {
+    fn new(max_answer_gap: Duration) -> Self {
         Self {
-            longest_gap,
+            max_answer_gap,
             since: Instant::now(),
             first_whole: Cell::default(),
             lost: Cell::default(),
@@ -60,7 +60,7 @@
 
     /// Whether the known content is current: the store answers, and no answer is overdue.
     pub fn is_confirmed(&self) -> bool {
-        !self.lost.get() && self.was_heard_within(self.longest_gap)
+        !self.lost.get() && self.was_heard_within(self.max_answer_gap)
     }
 
     /// Whether the content of the table is known up to some time within the last `span`.
@@ -95,10 +95,10 @@
 impl Tables {
     /// Creates the state before the first answer. `longest_gap` returns the longest time between two answers
     /// for a table while the store works.
-    pub fn new(longest_gap: impl Fn(Table) -> Duration, era: Era) -> Self {
+    pub fn new(max_answer_gap: impl Fn(Table) -> Duration, era: Era) -> Self {
         Self {
-            operator: TableState::new(longest_gap(Table::Operator)),
-            runners: TableState::new(longest_gap(Table::Runners)),
+            operator: TableState::new(max_answer_gap(Table::Operator)),
+            runners: TableState::new(max_answer_gap(Table::Runners)),
             era: Rc::new(era),
             time: Rc::default(),
         }
--- a/components/edge/src/link_yield/tests.rs
+++ b/components/edge/src/link_yield/tests.rs
@@ -2,84 +2,84 @@
 
 use proptest::prelude::*;
 
-use super::{LinkYield, BULK_BYTES, RESTS_PER_DELAY};
+use super::{LinkYield, LARGE_ANSWER_BYTES, PAUSE_FACTOR};
 
-const LONGEST: Duration = Duration::from_millis(2000);
+const MAX_PAUSE: Duration = Duration::from_millis(2000);
 /// How far the store's clock is ahead of the process's clock, in milliseconds.
-const AHEAD: u64 = 7_000_000;
+const CLOCK_OFFSET_MS: u64 = 7_000_000;
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 /// Records an answer that was produced at `at` and took `transit`, both in milliseconds.
-fn take(yielding: &mut LinkYield, at: u64, way: u64, bytes: usize) -> Duration {
-    yielding.take(millis(at + way), Some(AHEAD + at), bytes);
-    yielding.rest()
+fn record(link_yield: &mut LinkYield, at: u64, transit: u64, bytes: usize) -> Duration {
+    link_yield.record_answer(millis(at + transit), Some(CLOCK_OFFSET_MS + at), bytes);
+    link_yield.pause()
 }
 
 #[test]
 fn rests_a_multiple_of_the_wait_in_the_queue() {
-    let mut yielding = LinkYield::new(LONGEST);
-    assert_eq!(take(&mut yielding, 0, 10, 40), Duration::ZERO);
-    assert_eq!(take(&mut yielding, 100, 110, BULK_BYTES), millis(100) * RESTS_PER_DELAY);
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    assert_eq!(record(&mut link_yield, 0, 10, 40), Duration::ZERO);
+    assert_eq!(record(&mut link_yield, 100, 110, LARGE_ANSWER_BYTES), millis(100) * PAUSE_FACTOR);
 }
 
 #[test]
 fn a_rest_becomes_shorter_by_and_by() {
-    let mut yielding = LinkYield::new(LONGEST);
-    take(&mut yielding, 0, 10, 40);
-    take(&mut yielding, 100, 110, BULK_BYTES);
-    assert_eq!(take(&mut yielding, 2000, 10, BULK_BYTES), millis(700));
-    assert_eq!(take(&mut yielding, 4000, 10, BULK_BYTES - 1), Duration::ZERO);
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    record(&mut link_yield, 0, 10, 40);
+    record(&mut link_yield, 100, 110, LARGE_ANSWER_BYTES);
+    assert_eq!(record(&mut link_yield, 2000, 10, LARGE_ANSWER_BYTES), millis(700));
+    assert_eq!(record(&mut link_yield, 4000, 10, LARGE_ANSWER_BYTES - 1), Duration::ZERO);
 }
 
 #[test]
 fn small_answers_are_asked_for_without_a_rest() {
-    let mut yielding = LinkYield::new(LONGEST);
-    take(&mut yielding, 0, 10, 40);
-    assert_eq!(take(&mut yielding, 100, 900, BULK_BYTES - 1), Duration::ZERO);
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    record(&mut link_yield, 0, 10, 40);
+    assert_eq!(record(&mut link_yield, 100, 900, LARGE_ANSWER_BYTES - 1), Duration::ZERO);
 }
 
 #[test]
 fn a_rest_ends_in_time_however_long_an_answer_took() {
-    let mut yielding = LinkYield::new(LONGEST);
-    take(&mut yielding, 0, 10, 40);
-    assert_eq!(take(&mut yielding, 100, 60_000, BULK_BYTES), LONGEST);
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    record(&mut link_yield, 0, 10, 40);
+    assert_eq!(record(&mut link_yield, 100, 60_000, LARGE_ANSWER_BYTES), MAX_PAUSE);
 }
 
 #[test]
 fn a_table_that_yields_to_nothing_does_not_rest() {
-    let mut yielding = LinkYield::new(Duration::ZERO);
-    take(&mut yielding, 0, 10, 40);
-    assert_eq!(take(&mut yielding, 100, 500, BULK_BYTES), Duration::ZERO);
+    let mut link_yield = LinkYield::new(Duration::ZERO);
+    record(&mut link_yield, 0, 10, 40);
+    assert_eq!(record(&mut link_yield, 100, 500, LARGE_ANSWER_BYTES), Duration::ZERO);
 }
 
 #[test]
 fn without_the_stores_clock_nothing_is_rested() {
-    let mut yielding = LinkYield::new(LONGEST);
-    yielding.take(millis(10), None, BULK_BYTES);
-    assert_eq!(yielding.rest(), Duration::ZERO);
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    link_yield.record_answer(millis(10), None, LARGE_ANSWER_BYTES);
+    assert_eq!(link_yield.pause(), Duration::ZERO);
 }
 
 #[test]
 fn a_way_that_became_longer_for_good_is_the_usual_one_after_a_while() {
-    let mut yielding = LinkYield::new(LONGEST);
-    take(&mut yielding, 0, 10, 40);
-    let mut rest = Duration::ZERO;
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    record(&mut link_yield, 0, 10, 40);
+    let mut pause = Duration::ZERO;
     for second in 1..200 {
-        rest = take(&mut yielding, second * 1000, 110, BULK_BYTES);
+        pause = record(&mut link_yield, second * 1000, 110, LARGE_ANSWER_BYTES);
     }
-    assert!(rest < millis(1), "{rest:?}");
+    assert!(pause < millis(1), "{pause:?}");
 }
 
 #[test]
 fn the_clock_of_a_store_that_came_back_from_a_copy_may_be_another() {
-    let mut yielding = LinkYield::new(LONGEST);
-    take(&mut yielding, 0, 10, 40);
-    yielding.forget();
-    yielding.take(millis(500), Some(3), BULK_BYTES);
-    assert_eq!(yielding.rest(), Duration::ZERO);
+    let mut link_yield = LinkYield::new(MAX_PAUSE);
+    record(&mut link_yield, 0, 10, 40);
+    link_yield.reset();
+    link_yield.record_answer(millis(500), Some(3), LARGE_ANSWER_BYTES);
+    assert_eq!(link_yield.pause(), Duration::ZERO);
 }
 
 proptest! {
@@ -88,19 +88,19 @@
     #[test]
     fn the_queue_of_many_stays_short(processes in 2_usize..200, answer_ms in 1_u64..60) {
         let round = processes as u64 * answer_ms;
-        let longest = millis(round.max(1));
-        let mut waiting: Vec<LinkYield> = (0..processes).map(|_| LinkYield::new(longest)).collect();
+        let max_pause = millis(round.max(1));
+        let mut waiting: Vec<LinkYield> = (0..processes).map(|_| LinkYield::new(max_pause)).collect();
         let mut asks: Vec<u64> = vec![0; processes];
         for it in &mut waiting {
-            take(it, 0, 0, 40);
+            record(it, 0, 0, 40);
         }
         let (mut free_at, mut worst) = (0, 0);
         for step in 0..processes * 40 {
             let next = (0..processes).min_by_key(|it| asks[*it]).expect("there are processes");
             let asked = asks[next];
             free_at = free_at.max(asked) + answer_ms;
-            let rest = take(&mut waiting[next], asked, free_at - asked, BULK_BYTES);
-            asks[next] = free_at + rest.as_millis() as u64;
+            let pause = record(&mut waiting[next], asked, free_at - asked, LARGE_ANSWER_BYTES);
+            asks[next] = free_at + pause.as_millis() as u64;
             if step > processes * 30 {
                 worst = worst.max(free_at - asked);
             }
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -19,9 +19,9 @@
 
 /// The longest pause within an answer. A large configuration may take seconds on a narrow link that others
 /// use too.
-pub const PIECE_PAUSE: Duration = Duration::from_millis(900);
+pub const MAX_ANSWER_PAUSE: Duration = Duration::from_millis(900);
 /// The most unreadable rows that are logged, each with its key and the reason.
-const MOST_FAULTS: usize = 256;
+const MAX_LOGGED_FAULTS: usize = 256;
 
 /// The name of a table's calls in the metrics.
 pub fn call_name(table: Table) -> &'static str {
@@ -53,24 +53,24 @@
     table: Table,
     era: &Era,
     metrics: &Metrics,
-    haste: Urgency,
+    urgency: Urgency,
 ) -> Result<Listing> {
-    let mut cost = ListingCost::begin();
-    let listed = list_pages(client, table, era, metrics, Paging::new(haste), &mut cost).await;
+    let mut cost = ListingCost::start();
+    let listed = list_pages(client, table, era, metrics, Paging::new(urgency), &mut cost).await;
     cost.log(table, listed.as_ref().err());
     listed
 }
 
 /// The time and size of a listing so far.
 struct ListingCost {
-    begun: Instant,
+    started: Instant,
     pages: u64,
     bytes: u64,
 }
 
 impl ListingCost {
-    fn begin() -> Self {
-        Self { begun: Instant::now(), pages: 0, bytes: 0 }
+    fn start() -> Self {
+        Self { started: Instant::now(), pages: 0, bytes: 0 }
     }
 
     fn count(&mut self, table: Table, bytes: usize, metrics: &Metrics) {
@@ -81,7 +81,7 @@
 
     fn log(&self, table: Table, fault: Option<&Error>) {
         let (table, outcome) = (format!("{table:?}"), fault.map_or("whole", |it| it.code.name()));
-        let took_ms = self.begun.elapsed().as_millis() as u64;
+        let took_ms = self.started.elapsed().as_millis() as u64;
         log::info!(table = table.as_str(), outcome = outcome, pages = self.pages, bytes = self.bytes, took_ms = took_ms; "table listed");
     }
 }
@@ -100,10 +100,11 @@
     let mut first = None;
     loop {
         let call = page_call(table, &from, &paging);
-        let asked = Instant::now();
-        let answer =
-            client.call_with_pause_limit(call, StoreTimeouts::LIST_BEGIN, PIECE_PAUSE).await?;
-        paging.take(asked.elapsed());
+        let sent_at = Instant::now();
+        let answer = client
+            .call_with_pause_limit(call, StoreTimeouts::LIST_START_TIMEOUT, MAX_ANSWER_PAUSE)
+            .await?;
+        paging.record_page(sent_at.elapsed());
         let era = era.record(&answer.headers)?;
         let age = read_age(&answer.headers);
         let body = answer.success()?;
@@ -121,7 +122,7 @@
         match page.next {
             Some(next) => {
                 from = next;
-                Timer::after(paging.rest()).await;
+                Timer::after(paging.pause()).await;
             }
             None => {
                 let age = age?;
@@ -151,20 +152,20 @@
 
 /// The unreadable rows that were already logged, so that each is logged once and not at every reading.
 #[derive(Debug, Default)]
-pub struct ToldFaults(BTreeSet<String>);
+pub struct LoggedFaults(BTreeSet<String>);
 
-impl ToldFaults {
+impl LoggedFaults {
     /// Logs the new errors of a complete listing. Errors that are missing in it are resolved.
-    pub fn tell_all(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
+    pub fn log_listing(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
         let listed: BTreeSet<String> = faults.iter().map(Error::to_string).collect();
         self.0.retain(|it| listed.contains(it));
-        self.tell(table, metrics, faults);
+        self.log_new(table, metrics, faults);
     }
 
     /// Logs and counts new errors.
-    pub fn tell(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
+    pub fn log_new(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
         for fault in faults {
-            if self.0.len() < MOST_FAULTS && self.0.insert(fault.to_string()) {
+            if self.0.len() < MAX_LOGGED_FAULTS && self.0.insert(fault.to_string()) {
                 log_faults(table, std::slice::from_ref(fault));
                 metrics.count_platform(call_name(table), "unreadable_row");
             }
--- a/components/edge/src/message.rs
+++ b/components/edge/src/message.rs
@@ -167,9 +167,9 @@
     }
 
     /// Sets `short_ms` of a denial.
-    pub fn set_short_ms(&mut self, told: Option<u32>) {
+    pub fn set_short_ms(&mut self, value: Option<u32>) {
         if let Self::Reserved { reply: Reply::Denied { short_ms, .. }, .. } = self {
-            *short_ms = told;
+            *short_ms = value;
         }
     }
 }
@@ -184,9 +184,9 @@
     }
 
     /// Sets the rate limit of the sidecar's runner.
-    pub fn set_limit(&mut self, told: Option<ToldLimit>) {
+    pub fn set_limit(&mut self, value: Option<ToldLimit>) {
         if let Self::Reserve { limit, .. } | Self::Reserved { limit, .. } = self {
-            *limit = told;
+            *limit = value;
         }
     }
 }
@@ -201,9 +201,9 @@
     }
 
     /// Sets the rate limits of runners.
-    pub fn set_limits(&mut self, told: Vec<LifeLimit>) {
+    pub fn set_limits(&mut self, value: Vec<LifeLimit>) {
         if let Self::Subscribe { limits, .. } | Self::Crashes { limits, .. } = self {
-            *limits = told;
+            *limits = value;
         }
     }
 }
@@ -235,17 +235,18 @@
     }
 
     /// Sets the times at which its versions were named.
-    pub fn set_version_dates(&mut self, told: Option<VersionDates>) {
-        let (VersionDates { clock_ms: told_ms, after_ms }, clock_ms, named) = match (told, self) {
-            (Some(told), Self::Subscribe { clock_ms, named, .. }) => {
-                (told, clock_ms, named.as_mut_slice())
-            }
-            (Some(told), Self::Load { clock_ms, load, .. }) => {
-                (told, clock_ms, load.named.as_mut_slice())
-            }
-            _ => return,
-        };
-        *clock_ms = Some(told_ms);
+    pub fn set_version_dates(&mut self, dates: Option<VersionDates>) {
+        let (VersionDates { clock_ms: sent_clock_ms, after_ms }, clock_ms, named) =
+            match (dates, self) {
+                (Some(dates), Self::Subscribe { clock_ms, named, .. }) => {
+                    (dates, clock_ms, named.as_mut_slice())
+                }
+                (Some(dates), Self::Load { clock_ms, load, .. }) => {
+                    (dates, clock_ms, load.named.as_mut_slice())
+                }
+                _ => return,
+            };
+        *clock_ms = Some(sent_clock_ms);
         named.iter_mut().zip(after_ms).for_each(|(version, after_ms)| version.after_ms = after_ms);
     }
 }
@@ -410,7 +411,7 @@
     stream: &mut (impl AsyncWriteExt + Unpin),
     message: &impl Serialize,
 ) -> Result<()> {
-    stream.write_all(&frame(message)).await.map_err(lost)
+    stream.write_all(&frame(message)).await.map_err(connection_lost)
 }
 
 /// Encodes a message with a length prefix.
@@ -427,18 +428,18 @@
     stream: &mut (impl AsyncReadExt + Unpin),
 ) -> Result<T> {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).await.map_err(lost)?;
+    stream.read_exact(&mut length).await.map_err(connection_lost)?;
     let length = u32::from_le_bytes(length);
     if length > MAX_FRAME_BYTES {
         return Err(Error::new(Code::FrameTooLarge, "a message that is too large"));
     }
     let mut body = vec![0; length as usize];
-    stream.read_exact(&mut body).await.map_err(lost)?;
+    stream.read_exact(&mut body).await.map_err(connection_lost)?;
     decode(&body)
 }
 
 /// Converts the I/O error of a lost connection.
-pub fn lost(error: std::io::Error) -> Error {
+pub fn connection_lost(error: std::io::Error) -> Error {
     Error::new(Code::ConnectionLost, error.to_string())
 }
 
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -39,10 +39,10 @@
     NamedVersion { model: "m".into(), version: 3, age_ms: Some(700), after_ms: None }
 }
 
-fn have() -> Bitmap {
-    let mut have = Bitmap::new(64);
-    [0, 5, 63].into_iter().for_each(|it| have.insert(it));
-    have
+fn stored_chunks() -> Bitmap {
+    let mut stored_chunks = Bitmap::new(64);
+    [0, 5, 63].into_iter().for_each(|it| stored_chunks.insert(it));
+    stored_chunks
 }
 
 fn place() -> Place {
@@ -149,7 +149,12 @@
         ("you-ordered-last", Datagram::YouOrderedLast),
         (
             "summary",
-            Datagram::Summary { from: "10.0.0.7".into(), place: place(), version: 3, have: have() },
+            Datagram::Summary {
+                from: "10.0.0.7".into(),
+                place: place(),
+                version: 3,
+                have: stored_chunks(),
+            },
         ),
     ]
 }
@@ -178,7 +183,7 @@
         index: 17,
         from: "10.0.0.7".into(),
         place: place(),
-        have: have(),
+        have: stored_chunks(),
     };
     vec![
         ("request-chunk", PeerRequest::Chunk(chunk)),
@@ -191,24 +196,24 @@
     let manifest = Manifest::describe("v3", &[7; 5000]).expect("it has chunks");
     vec![
         ("answer-manifest", PeerAnswer::Manifest(manifest)),
-        ("answer-chunk", PeerAnswer::Chunk { bytes: vec![1, 2, 3, 250], have: have() }),
+        ("answer-chunk", PeerAnswer::Chunk { bytes: vec![1, 2, 3, 250], have: stored_chunks() }),
         ("answer-missing", PeerAnswer::Missing),
         ("answer-busy", PeerAnswer::Busy),
     ]
 }
 
-fn folder(build: &str) -> PathBuf {
+fn directory(build: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("samples").join(build)
 }
 
 fn sample(build: &str, name: &str) -> Vec<u8> {
-    let path = folder(build).join(name);
+    let path = directory(build).join(name);
     std::fs::read(&path).unwrap_or_else(|error| panic!("{path:?}: {error}"))
 }
 
 /// Compares the format with what a build wrote: each sample decodes to its value, and the value encodes to
 /// the same bytes.
-fn compare<T>(build: &str, samples: Vec<(&'static str, T)>)
+fn assert_format_unchanged<T>(build: &str, samples: Vec<(&'static str, T)>)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
@@ -222,9 +227,9 @@
 #[test]
 fn every_message_of_each_landed_build_is_read_and_written_as_it_was() {
     for build in BUILDS {
-        compare(build, datagrams());
-        compare(build, requests());
-        compare(build, answers());
+        assert_format_unchanged(build, datagrams());
+        assert_format_unchanged(build, requests());
+        assert_format_unchanged(build, answers());
     }
 }
 
@@ -265,17 +270,18 @@
 
 #[test]
 fn samples_of_this_build_are_written_where_that_is_asked_for() {
-    let Ok(folder) = std::env::var("SILVERDOCK_SAMPLES") else {
+    let Ok(directory) = std::env::var("SILVERDOCK_SAMPLES") else {
         return;
     };
-    let of_datagrams = datagrams().into_iter().map(|(name, it)| (name, encode(&it)));
-    let of_requests = requests().into_iter().map(|(name, it)| (name, encode(&it)));
-    let of_answers = answers().into_iter().map(|(name, it)| (name, encode(&it)));
-    let with_eras =
+    let datagram_bytes = datagrams().into_iter().map(|(name, it)| (name, encode(&it)));
+    let request_bytes = requests().into_iter().map(|(name, it)| (name, encode(&it)));
+    let answer_bytes = answers().into_iter().map(|(name, it)| (name, encode(&it)));
+    let datagram_with_era_bytes =
         datagrams_with_eras().into_iter().map(|(name, it)| (name, encode_datagram(&it)));
-    let all = of_datagrams.chain(with_eras).chain(of_requests).chain(of_answers);
-    std::fs::create_dir_all(&folder).unwrap();
+    let all =
+        datagram_bytes.chain(datagram_with_era_bytes).chain(request_bytes).chain(answer_bytes);
+    std::fs::create_dir_all(&directory).unwrap();
     for (name, bytes) in all {
-        std::fs::write(Path::new(&folder).join(name), bytes).unwrap();
+        std::fs::write(Path::new(&directory).join(name), bytes).unwrap();
     }
 }
--- a/components/edge/src/metrics.rs
+++ b/components/edge/src/metrics.rs
@@ -19,11 +19,11 @@
 use crate::spawner::Spawner;
 
 /// The path of the page.
-const PATH: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 /// The content type that scrapers read.
-const FORMAT: &str = "text/plain; version=0.0.4";
+const METRICS_FORMAT: &str = "text/plain; version=0.0.4";
 /// How long a scraper's connection may be idle.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Serves the page at an address. `refresh` sets the gauges before each scrape.
 pub async fn serve_metrics(
@@ -35,7 +35,12 @@
     refresh: impl Fn() + Clone + 'static,
 ) -> Result<()> {
     let listener = listen(address).await?;
-    let options = ServerOptions { idle: IDLE, stopping, open: Rc::default(), callers };
+    let options = ServerOptions {
+        idle_timeout: IDLE_TIMEOUT,
+        stopping,
+        open_connections: Rc::default(),
+        callers,
+    };
     let handler = move |request: Request<Incoming>, _| {
         refresh();
         metrics.set("log_lines_dropped", telemetry::dropped_lines());
@@ -47,7 +52,7 @@
 
 /// Logs and counts the start or end of the evacuation of a data hall. These are warnings because the log
 /// reserves room for warnings.
-pub fn note_evacuation(metrics: &Metrics, change: &EvacuationChange) {
+pub fn record_evacuation(metrics: &Metrics, change: &EvacuationChange) {
     match change {
         EvacuationChange::Began { evacuation, left_in_ms, place } => {
             let hall = evacuation.hall.0.as_str();
@@ -63,43 +68,44 @@
 }
 
 /// Time between two checks above which the process counts as stalled. It checks several times a second.
-const STOOD_STILL: Duration = Duration::from_millis(1000);
+const STALL_THRESHOLD: Duration = Duration::from_millis(1000);
 
 /// Detects stalls of the process: its machine was suspended, or it got no processor time.
-pub struct Standstills {
+pub struct StallDetector {
     suspensions: Suspensions,
-    looked_at: Instant,
+    checked_at: Instant,
 }
 
-impl Standstills {
+impl StallDetector {
     /// Starts the detection.
     pub fn start() -> Self {
-        Self { suspensions: Suspensions::default(), looked_at: Instant::now() }
+        Self { suspensions: Suspensions::default(), checked_at: Instant::now() }
     }
 
     /// Whether the process stalled since the last check. Logs and counts a suspension of the machine. State
     /// from before a stall is as old as it appears: all clocks used here advance meanwhile.
-    pub fn look(&mut self, metrics: &Metrics) -> bool {
+    pub fn check(&mut self, metrics: &Metrics) -> bool {
         let suspended = self.suspensions.look();
         if let Some(span) = suspended {
             log::warn!(ms = span.as_millis() as u64; "the machine was suspended");
             metrics.count_suspension();
         }
         let now = Instant::now();
-        let since = now.saturating_duration_since(std::mem::replace(&mut self.looked_at, now));
-        let stood_still = since >= STOOD_STILL || suspended.is_some_and(|it| it >= STOOD_STILL);
-        if stood_still {
-            log::warn!(ms = since.as_millis() as u64; "the process stood still");
+        let elapsed = now.saturating_duration_since(std::mem::replace(&mut self.checked_at, now));
+        let stalled =
+            elapsed >= STALL_THRESHOLD || suspended.is_some_and(|it| it >= STALL_THRESHOLD);
+        if stalled {
+            log::warn!(ms = elapsed.as_millis() as u64; "the process stood still");
         }
-        stood_still
+        stalled
     }
 }
 
 fn page(request: &Request<Incoming>, metrics: &Metrics) -> Response<AnswerBody> {
-    if request.uri().path() != PATH {
+    if request.uri().path() != METRICS_PATH {
         return own_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
     }
     let mut answer = Response::new(whole_body(metrics.render()));
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(FORMAT));
+    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_FORMAT));
     answer
 }
--- a/components/edge/src/paging.rs
+++ b/components/edge/src/paging.rs
@@ -11,13 +11,13 @@
 /// The rows of the first page.
 const FIRST_ROWS: u32 = 100;
 /// The fewest rows of a page: with fewer, the fixed cost of a call becomes significant.
-const LEAST_ROWS: u32 = 50;
+const MIN_ROWS: u32 = 50;
 /// A page that arrives within this time was not queued.
-const QUICK: Duration = Duration::from_millis(60);
+const FAST_PAGE: Duration = Duration::from_millis(60);
 /// The pause after a page, as a multiple of the time that the page took. It leaves the link to others.
-const RESTS_PER_PAGE: u32 = 8;
+const PAUSE_FACTOR: u32 = 8;
 /// The longest such pause.
-const LONGEST_REST: Duration = Duration::from_millis(2000);
+const MAX_PAUSE: Duration = Duration::from_millis(2000);
 
 /// How soon a listing is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,15 +31,15 @@
 /// The pages of one listing.
 #[derive(Debug)]
 pub struct Paging {
-    haste: Urgency,
+    urgency: Urgency,
     rows: u32,
-    rest: Duration,
+    pause: Duration,
 }
 
 impl Paging {
     /// Starts a listing.
-    pub fn new(haste: Urgency) -> Self {
-        Self { haste, rows: FIRST_ROWS, rest: Duration::ZERO }
+    pub fn new(urgency: Urgency) -> Self {
+        Self { urgency, rows: FIRST_ROWS, pause: Duration::ZERO }
     }
 
     /// The most rows of the next page.
@@ -48,17 +48,17 @@
     }
 
     /// How long to pause before the next page.
-    pub fn rest(&self) -> Duration {
-        self.rest
+    pub fn pause(&self) -> Duration {
+        self.pause
     }
 
     /// Records how long a page took.
-    pub fn take(&mut self, took: Duration) {
-        let rows = if took <= QUICK { self.rows * 2 } else { self.rows / 2 };
-        self.rows = rows.clamp(LEAST_ROWS, PAGE_ROWS);
-        self.rest = match self.haste {
+    pub fn record_page(&mut self, took: Duration) {
+        let rows = if took <= FAST_PAGE { self.rows * 2 } else { self.rows / 2 };
+        self.rows = rows.clamp(MIN_ROWS, PAGE_ROWS);
+        self.pause = match self.urgency {
             Urgency::Urgent => Duration::ZERO,
-            Urgency::Background => (took * RESTS_PER_PAGE).min(LONGEST_REST),
+            Urgency::Background => (took * PAUSE_FACTOR).min(MAX_PAUSE),
         };
     }
 }
--- a/components/edge/src/reload.rs
+++ b/components/edge/src/reload.rs
@@ -9,7 +9,7 @@
 
 /// How often the file is checked for changes, with one system call. A change is read at the second check that
 /// sees it, so within two intervals.
-pub const LOOK_EVERY: Duration = Duration::from_secs(1);
+pub const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Identifies a state of a file. The modification time alone is not sufficient: its resolution is some
 /// milliseconds, and a file that is truncated and rewritten within one step keeps it.
@@ -25,16 +25,16 @@
     path: PathBuf,
     /// The stamp of the file when it was last read. `None` before that: the settings from the start may be
     /// older than the file.
-    read: Option<Stamp>,
+    read_stamp: Option<Stamp>,
     /// The stamp of the file at the last check.
-    seen: Option<Stamp>,
+    last_stamp: Option<Stamp>,
     in_force: DeploymentSettings,
 }
 
 impl SettingsFile {
     /// Creates the state for settings that were read from a file at the start.
     pub fn new(path: PathBuf, in_force: DeploymentSettings) -> Self {
-        Self { path, read: None, seen: None, in_force }
+        Self { path, read_stamp: None, last_stamp: None, in_force }
     }
 
     /// The settings in force.
@@ -46,16 +46,16 @@
     /// file that is being written may contain a truncated value that is still valid.
     pub fn has_changed(&mut self) -> bool {
         let stamp = stamp(&self.path);
-        let has_settled = stamp == self.seen;
-        self.seen = stamp;
-        has_settled && stamp != self.read
+        let is_stable = stamp == self.last_stamp;
+        self.last_stamp = stamp;
+        is_stable && stamp != self.read_stamp
     }
 
     /// Reads the file again and applies the settings that can change at runtime. `None` if none does. The log
     /// names every key that changes or cannot; a file with errors changes nothing.
-    pub fn read_again(&mut self, metrics: &Metrics) -> Option<&DeploymentSettings> {
+    pub fn reload(&mut self, metrics: &Metrics) -> Option<&DeploymentSettings> {
         // Taken before the text is read, so that a write during the read counts as a change.
-        self.read = stamp(&self.path);
+        self.read_stamp = stamp(&self.path);
         let path = self.path.display().to_string();
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
@@ -76,7 +76,7 @@
             }
         };
         let reload = self.in_force.reload(&file);
-        tell(&reload, metrics);
+        log_reload(&reload, metrics);
         if reload.applied.is_empty() {
             return None;
         }
@@ -91,7 +91,7 @@
     Some(Stamp { written_at: file.modified().ok()?, bytes: file.len(), inode: file.ino() })
 }
 
-fn tell(reload: &Reload, metrics: &Metrics) {
+fn log_reload(reload: &Reload, metrics: &Metrics) {
     if reload.applied.is_empty() && reload.refused.is_empty() {
         log::info!("settings read again: nothing has changed");
     }
--- a/components/edge/src/reload/tests.rs
+++ b/components/edge/src/reload/tests.rs
@@ -5,7 +5,7 @@
 
 use super::SettingsFile;
 
-const FILE: &str = "[node]
+const SETTINGS: &str = "[node]
 name = g1
 region = north
 hall = a
@@ -29,14 +29,14 @@
 ";
 
 /// A temporary file for a test, removed at the end.
-struct Scratch(PathBuf);
+struct TemporaryFile(PathBuf);
 
-impl Scratch {
+impl TemporaryFile {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("reload-{name}-{}", std::process::id()));
-        let scratch = Self(path);
-        scratch.write(FILE);
-        scratch
+        let temporary = Self(path);
+        temporary.write(SETTINGS);
+        temporary
     }
 
     fn write(&self, text: &str) {
@@ -44,83 +44,83 @@
     }
 
     fn read(&self) -> SettingsFile {
-        SettingsFile::new(self.0.clone(), DeploymentSettings::parse(FILE).unwrap())
+        SettingsFile::new(self.0.clone(), DeploymentSettings::parse(SETTINGS).unwrap())
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 /// Checks the file until it has stopped changing, and reloads it if it has changed.
-fn settle(file: &mut SettingsFile) {
+fn reload_if_changed(file: &mut SettingsFile) {
     for _ in 0..3 {
         if file.has_changed() {
-            file.read_again(&Metrics::start().unwrap());
+            file.reload(&Metrics::start().unwrap());
         }
     }
 }
 
 #[test]
 fn a_file_that_is_being_written_is_read_when_it_is_whole() {
-    let scratch = Scratch::new("half");
-    let mut file = scratch.read();
-    settle(&mut file);
+    let temporary = TemporaryFile::new("half");
+    let mut file = temporary.read();
+    reload_if_changed(&mut file);
     // Every key in it is valid, but the last value is truncated.
-    scratch.write(FILE.trim_end().strip_suffix('6').unwrap());
+    temporary.write(SETTINGS.trim_end().strip_suffix('6').unwrap());
     assert!(!file.has_changed());
-    scratch.write(FILE);
-    settle(&mut file);
+    temporary.write(SETTINGS);
+    reload_if_changed(&mut file);
     assert_eq!(file.in_force().bounds.repeat_allowance, 106.0);
 }
 
 #[test]
 fn a_file_that_was_read_half_written_is_read_again_even_if_its_time_stays_the_same() {
-    let scratch = Scratch::new("same-time");
-    let mut file = scratch.read();
-    settle(&mut file);
-    scratch.write(FILE.trim_end().strip_suffix('6').unwrap());
-    let written_at = std::fs::metadata(&scratch.0).unwrap().modified().unwrap();
-    file.read_again(&Metrics::start().unwrap());
-    scratch.write(&FILE.replace("= 106", "= 107"));
+    let temporary = TemporaryFile::new("same-time");
+    let mut file = temporary.read();
+    reload_if_changed(&mut file);
+    temporary.write(SETTINGS.trim_end().strip_suffix('6').unwrap());
+    let written_at = std::fs::metadata(&temporary.0).unwrap().modified().unwrap();
+    file.reload(&Metrics::start().unwrap());
+    temporary.write(&SETTINGS.replace("= 106", "= 107"));
     std::fs::File::options()
         .write(true)
-        .open(&scratch.0)
+        .open(&temporary.0)
         .unwrap()
         .set_modified(written_at)
         .unwrap();
-    settle(&mut file);
+    reload_if_changed(&mut file);
     assert_eq!(file.in_force().bounds.repeat_allowance, 107.0);
 }
 
 #[test]
 fn a_change_between_the_first_reading_and_the_first_look_is_seen() {
-    let scratch = Scratch::new("early");
-    scratch.write(&FILE.replace("= 106", "= 50"));
-    let mut file = scratch.read();
-    settle(&mut file);
+    let temporary = TemporaryFile::new("early");
+    temporary.write(&SETTINGS.replace("= 106", "= 50"));
+    let mut file = temporary.read();
+    reload_if_changed(&mut file);
     assert_eq!(file.in_force().bounds.repeat_allowance, 50.0);
 }
 
 #[test]
 fn a_file_that_stays_the_same_is_not_read_again() {
-    let scratch = Scratch::new("same");
-    let mut file = scratch.read();
-    settle(&mut file);
+    let temporary = TemporaryFile::new("same");
+    let mut file = temporary.read();
+    reload_if_changed(&mut file);
     assert!(!file.has_changed() && !file.has_changed());
 }
 
 #[test]
 fn a_file_that_is_gone_changes_nothing_until_it_is_back() {
-    let scratch = Scratch::new("gone");
-    let mut file = scratch.read();
-    settle(&mut file);
-    std::fs::remove_file(&scratch.0).unwrap();
-    settle(&mut file);
+    let temporary = TemporaryFile::new("gone");
+    let mut file = temporary.read();
+    reload_if_changed(&mut file);
+    std::fs::remove_file(&temporary.0).unwrap();
+    reload_if_changed(&mut file);
     assert_eq!(file.in_force().bounds.repeat_allowance, 106.0);
-    scratch.write(&FILE.replace("= 106", "= 50"));
-    settle(&mut file);
+    temporary.write(&SETTINGS.replace("= 106", "= 50"));
+    reload_if_changed(&mut file);
     assert_eq!(file.in_force().bounds.repeat_allowance, 50.0);
 }
--- a/components/edge/src/run.rs
+++ b/components/edge/src/run.rs
@@ -13,7 +13,7 @@
 use telemetry::{BoundedLogs, Metrics};
 
 use crate::gateway::GatewayNode;
-use crate::reload::{SettingsFile, LOOK_EVERY};
+use crate::reload::{SettingsFile, CHECK_INTERVAL};
 use crate::sidecar::SidecarNode;
 use crate::spawner::Spawner;
 
@@ -22,17 +22,17 @@
     let node = &settings.node;
     let logs = telemetry::start_bounded_logs(&node.name.0, &node.log_level, node.log_lines_per_s)?;
     if !settings.ablation.is_empty() {
-        let without = settings.ablation.to_string();
-        log::warn!(without = without.as_str(); "mechanisms are switched off for a measurement");
+        let switched_off = settings.ablation.to_string();
+        log::warn!(without = switched_off.as_str(); "mechanisms are switched off for a measurement");
     }
     let executor = Rc::new(LocalExecutor::new());
     let file = SettingsFile::new(path, settings.clone());
-    let life = live(Spawner::new(&executor), file, logs);
-    async_io::block_on(executor.run(life))
+    let main_loop = run_node(Spawner::new(&executor), file, logs);
+    async_io::block_on(executor.run(main_loop))
 }
 
 /// The time for writing the last lines of the log.
-const LAST_LINES: Duration = Duration::from_millis(60);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(60);
 
 /// The running node.
 enum Node {
@@ -77,7 +77,7 @@
     /// A signal to read the settings again.
     Reload,
     /// It is time to check whether the settings have changed.
-    Look,
+    CheckSettings,
 }
 
 async fn next_wake(signals: &mut Signals) -> eyre::Result<Wake> {
@@ -87,26 +87,26 @@
             _ => Ok(Wake::Stop),
         }
     };
-    let look = async {
-        Timer::after(LOOK_EVERY).await;
-        Ok(Wake::Look)
+    let check = async {
+        Timer::after(CHECK_INTERVAL).await;
+        Ok(Wake::CheckSettings)
     };
-    future::or(signal, look).await
+    future::or(signal, check).await
 }
 
 fn reload(file: &mut SettingsFile, logs: &BoundedLogs, node: &Node) {
-    let Some(settings) = file.read_again(node.metrics()) else {
+    let Some(settings) = file.reload(node.metrics()) else {
         return;
     };
-    let told = logs.set(&settings.node.log_level, settings.node.log_lines_per_s);
-    if let Err(error) = told {
+    let result = logs.set(&settings.node.log_level, settings.node.log_lines_per_s);
+    if let Err(error) = result {
         let reason = error.to_string();
         log::error!(reason = reason.as_str(); "the logs stay as they are");
     }
     node.apply(settings);
 }
 
-async fn live(spawner: Spawner, mut file: SettingsFile, logs: BoundedLogs) -> eyre::Result<()> {
+async fn run_node(spawner: Spawner, mut file: SettingsFile, logs: BoundedLogs) -> eyre::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .wrap_err("signals cannot be received")?;
     let node = Node::start(&spawner, file.in_force()).await?;
@@ -114,8 +114,8 @@
     loop {
         match next_wake(&mut signals).await? {
             Wake::Stop => break,
-            Wake::Look if !file.has_changed() => {}
-            Wake::Look | Wake::Reload => reload(&mut file, &logs, &node),
+            Wake::CheckSettings if !file.has_changed() => {}
+            Wake::CheckSettings | Wake::Reload => reload(&mut file, &logs, &node),
         }
     }
     log::info!("stopping: no new work, requests in progress finish");
@@ -125,6 +125,6 @@
     drop(node);
     log::info!("stopped");
     // The log writer ends with the process.
-    Timer::after(LAST_LINES).await;
+    Timer::after(LOG_FLUSH_TIME).await;
     Ok(())
 }
--- a/components/edge/src/server.rs
+++ b/components/edge/src/server.rs
@@ -30,11 +30,11 @@
 #[derive(Clone)]
 pub struct ServerOptions {
     /// How long a connection may be idle, and how long a request head may take.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Closed when the server stops.
     pub stopping: Receiver<()>,
     /// The number of open connections.
-    pub open: Rc<Cell<usize>>,
+    pub open_connections: Rc<Cell<usize>>,
     /// The state of the callers that are connected.
     pub callers: Callers,
 }
@@ -76,8 +76,8 @@
     H: Fn(Request<Incoming>, Rc<Caller>) -> F + 'static,
     F: Future<Output = Response<AnswerBody>> + 'static,
 {
-    options.open.set(options.open.get() + 1);
-    let caller = options.callers.connect(options.idle);
+    options.open_connections.set(options.open_connections.get() + 1);
+    let caller = options.callers.connect(options.idle_timeout);
     let stream = CallerStream::new(stream, caller.clone());
     let service = service_fn(move |request| {
         let (answer, caller) = (handler(request, caller.clone()), caller.clone());
@@ -89,7 +89,7 @@
     let mut builder = Builder::new();
     builder
         .timer(SmolTimer::new())
-        .header_read_timeout(options.idle)
+        .header_read_timeout(options.idle_timeout)
         .max_buf_size(options.callers.limits().read_ahead);
     let mut connection = std::pin::pin!(builder.serve_connection(FuturesIo::new(stream), service));
     let served = future::or(
@@ -107,5 +107,5 @@
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
-    options.open.set(options.open.get() - 1);
+    options.open_connections.set(options.open_connections.get() - 1);
 }
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -183,7 +183,7 @@
         mut named: Vec<NamedVersion>,
     ) -> Vec<NamedVersion> {
         let mut time = self.time.borrow_mut();
-        clock_ms.into_iter().for_each(|it| time.note_told(it));
+        clock_ms.into_iter().for_each(|it| time.record_report(it));
         time.set_ages(&mut named);
         named
     }
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -29,7 +29,7 @@
 use crate::life_change_log::log_life_change;
 use crate::listing::{list, log_faults, Listing};
 use crate::message::{weights_services, Datagram};
-use crate::metrics::{note_evacuation, serve_metrics, Standstills};
+use crate::metrics::{record_evacuation, serve_metrics, StallDetector};
 use crate::paging::Urgency;
 use crate::server::listen;
 use crate::spawner::Spawner;
@@ -165,7 +165,7 @@
                 log::info!(per_s = per_s; "rate limit of the runner");
             }
             Effect::Evacuation(change) => {
-                note_evacuation(&core.metrics, &change);
+                record_evacuation(&core.metrics, &change);
                 core.look_at_runner();
             }
             Effect::Find(version) => add(&jobs, Job::Find(version)),
@@ -319,10 +319,10 @@
 async fn tick(core: Core) {
     let mut progress = Progress::default();
     let mut was_cold = false;
-    let mut standstills = Standstills::start();
+    let mut stall_detector = StallDetector::start();
     loop {
         Timer::after(TICK).await;
-        if standstills.look(&core.metrics) {
+        if stall_detector.check(&core.metrics) {
             core.feed(Event::Woke);
         }
         core.feed(Event::Tick);
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -19,7 +19,8 @@
 use crate::datagram_socket::DatagramSocket;
 use crate::http_connection::{set_socket_options, with_deadline};
 use crate::message::{
-    frame, lost, read_frame, ChunkRequest, Datagram, PeerAnswer, PeerRequest, Reply, SidecarsPart,
+    connection_lost, frame, read_frame, ChunkRequest, Datagram, PeerAnswer, PeerRequest, Reply,
+    SidecarsPart,
 };
 use crate::spawner::Spawner;
 
@@ -114,7 +115,9 @@
             }
         };
         let frame = frame(&answer);
-        write_paced(stream, &frame, &self.pacer, SLICE_BYTES, SLICE_PATIENCE).await.map_err(lost)
+        write_paced(stream, &frame, &self.pacer, SLICE_BYTES, SLICE_PATIENCE)
+            .await
+            .map_err(connection_lost)
     }
 
     fn chunk(&self, request: ChunkRequest) -> PeerAnswer {
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -107,7 +107,7 @@
     gateways: &[SocketAddr],
     load: RunnerLoad,
 ) {
-    let clock_ms = core.time.borrow().told_clock_ms(Instant::now());
+    let clock_ms = core.time.borrow().clock_ms_to_report(Instant::now());
     let datagram = Datagram::Load {
         runner: core.settings.runner,
         clock_ms: clock_ms.filter(|_| load.named.is_some()),
--- a/components/edge/src/store_time.rs
+++ b/components/edge/src/store_time.rs
@@ -12,11 +12,11 @@
 use uptime::Instant;
 
 /// How long readings are kept: longer than any version is relevant.
-const KEPT_FOR: Duration = Duration::from_secs(30);
+const MAX_READING_AGE: Duration = Duration::from_secs(30);
 /// The longest transit time of an answer that determines the store's clock precisely.
-const CLOSE: Duration = Duration::from_millis(50);
+const MAX_PRECISE_TRANSIT: Duration = Duration::from_millis(50);
 /// The most readings that are kept. If some in between are removed, a row is considered older than it is.
-const MOST_READINGS: usize = 256;
+const MAX_READINGS: usize = 256;
 
 /// The store's revision and clock in one answer.
 #[derive(Clone, Copy, Debug)]
@@ -26,14 +26,14 @@
     /// The store's clock, in milliseconds.
     clock_ms: u64,
     /// The answer was not produced before this time.
-    made: Instant,
+    produced_at: Instant,
     /// When the answer arrived.
-    arrived: Instant,
+    arrived_at: Instant,
 }
 
 /// A time at which a row was not yet written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unwritten {
+pub struct WrittenAfter {
     /// The store's clock, in milliseconds.
     pub clock_ms: u64,
     /// The earliest corresponding time of this process's clock.
@@ -45,50 +45,52 @@
 pub struct StoreTime {
     /// Ordered by the store's clock, oldest first.
     readings: VecDeque<Reading>,
-    told: ToldClock,
+    reported: ReportedClock,
 }
 
 impl StoreTime {
     /// Records the newest revision and the clock in an answer of the store that was not produced before
     /// `made`.
-    pub fn note(&mut self, newest: StorePlace, clock_ms: u64, made: Instant) {
+    pub fn record(&mut self, newest: StorePlace, clock_ms: u64, produced_at: Instant) {
         let now = Instant::now();
-        self.readings.retain(|it| now.saturating_duration_since(it.made) < KEPT_FOR);
+        self.readings.retain(|it| now.saturating_duration_since(it.produced_at) < MAX_READING_AGE);
         let behind = self.readings.iter().rposition(|it| it.clock_ms <= clock_ms);
         let index = behind.map_or(0, |it| it + 1);
-        self.readings.insert(index, Reading { newest, clock_ms, made, arrived: now });
-        if self.readings.len() > MOST_READINGS {
+        self.readings.insert(index, Reading { newest, clock_ms, produced_at, arrived_at: now });
+        if self.readings.len() > MAX_READINGS {
             self.readings.pop_front();
         }
     }
 
     /// The last known time at which the row at a position of the history was not yet written. `None` if no
     /// earlier reading of the same era is known.
-    pub fn unwritten(&self, row: StorePlace) -> Option<Unwritten> {
+    pub fn written_after(&self, row: StorePlace) -> Option<WrittenAfter> {
         let is_before =
             |it: &&Reading| it.newest.era == row.era && it.newest.revision < row.revision;
         let reading = self.readings.iter().rev().find(is_before)?;
-        Some(Unwritten { clock_ms: reading.clock_ms, at: reading.made })
+        Some(WrittenAfter { clock_ms: reading.clock_ms, at: reading.produced_at })
     }
 
     /// Records the clock value that another process reported. Reports are delayed in transit, so the one that
     /// implies the highest clock value counts.
-    pub fn note_told(&mut self, clock_ms: u64) {
-        self.told.note(Instant::now(), clock_ms);
+    pub fn record_report(&mut self, clock_ms: u64) {
+        self.reported.record(Instant::now(), clock_ms);
     }
 
     /// An upper bound of the store's clock at a time, in milliseconds, from answers of the store, or else
     /// from reports of other processes. `None` if nothing was received lately.
     pub fn clock_ms(&self, now: Instant) -> Option<u64> {
-        let shown = |it: &Reading| it.clock_ms + millis(now, it.made) + 1;
-        self.readings.iter().map(shown).min().or_else(|| self.told.clock_ms(now))
+        let upper_bound = |it: &Reading| it.clock_ms + elapsed_ms(now, it.produced_at) + 1;
+        self.readings.iter().map(upper_bound).min().or_else(|| self.reported.clock_ms(now))
     }
 
     /// The clock value to report to other processes, in milliseconds. `None` until an answer has determined
     /// it precisely, since receivers use the highest reported value.
-    pub fn told_clock_ms(&self, now: Instant) -> Option<u64> {
-        let is_close = |it: &Reading| it.arrived.saturating_duration_since(it.made) <= CLOSE;
-        let is_known = self.readings.is_empty() || self.readings.iter().any(is_close);
+    pub fn clock_ms_to_report(&self, now: Instant) -> Option<u64> {
+        let is_precise = |it: &Reading| {
+            it.arrived_at.saturating_duration_since(it.produced_at) <= MAX_PRECISE_TRANSIT
+        };
+        let is_known = self.readings.is_empty() || self.readings.iter().any(is_precise);
         self.clock_ms(now).filter(|_| is_known)
     }
 
@@ -104,47 +106,47 @@
     }
 }
 
-fn millis(now: Instant, earlier: Instant) -> u64 {
+fn elapsed_ms(now: Instant, earlier: Instant) -> u64 {
     now.saturating_duration_since(earlier).as_millis() as u64
 }
 
 /// The store's clock as reported by other processes: of the reports within a time span, the one with the
 /// shortest delay.
 #[derive(Debug, Default)]
-struct ToldClock {
+struct ReportedClock {
     /// The best reports of the current span of `KEPT_FOR` and of the previous one.
-    best: Option<Word>,
-    before: Option<Word>,
+    best: Option<ClockReport>,
+    previous_best: Option<ClockReport>,
     /// When the current span started.
     since: Option<Instant>,
 }
 
 /// A reported value of the store's clock, in milliseconds, and when it was received.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct ClockReport {
     clock_ms: u64,
-    heard: Instant,
+    received_at: Instant,
 }
 
-impl Word {
+impl ClockReport {
     fn clock_ms(&self, now: Instant) -> u64 {
-        self.clock_ms + millis(now, self.heard)
+        self.clock_ms + elapsed_ms(now, self.received_at)
     }
 }
 
-impl ToldClock {
-    fn note(&mut self, now: Instant, clock_ms: u64) {
-        if self.since.is_none_or(|it| now.saturating_duration_since(it) >= KEPT_FOR) {
-            self.before = self.best.take();
+impl ReportedClock {
+    fn record(&mut self, now: Instant, clock_ms: u64) {
+        if self.since.is_none_or(|it| now.saturating_duration_since(it) >= MAX_READING_AGE) {
+            self.previous_best = self.best.take();
             self.since = Some(now);
         }
         if self.best.is_none_or(|it| it.clock_ms(now) < clock_ms) {
-            self.best = Some(Word { clock_ms, heard: now });
+            self.best = Some(ClockReport { clock_ms, received_at: now });
         }
     }
 
     fn clock_ms(&self, now: Instant) -> Option<u64> {
-        self.best.iter().chain(&self.before).map(|it| it.clock_ms(now)).max()
+        self.best.iter().chain(&self.previous_best).map(|it| it.clock_ms(now)).max()
     }
 }
 
--- a/components/edge/src/store_time/tests.rs
+++ b/components/edge/src/store_time/tests.rs
@@ -2,67 +2,67 @@
 
 use super::*;
 
-fn place(revision: u64) -> StorePlace {
+fn position(revision: u64) -> StorePlace {
     StorePlace { era: None, revision }
 }
 
 /// Records answers given as (milliseconds before now, newest revision). The store's clock shows 50,000 now.
-fn read(answers: &[(u64, u64)]) -> (StoreTime, Instant) {
+fn record_answers(answers: &[(u64, u64)]) -> (StoreTime, Instant) {
     // The process's clock starts at zero, so a time in the future leaves room for earlier ones.
     let now = Instant::now() + Duration::from_secs(10);
     let mut time = StoreTime::default();
-    for (ago, newest) in answers {
-        time.note(place(*newest), 50_000 - ago, now - Duration::from_millis(*ago));
+    for (age_ms, newest) in answers {
+        time.record(position(*newest), 50_000 - age_ms, now - Duration::from_millis(*age_ms));
     }
     (time, now)
 }
 
 #[test]
 fn a_row_was_written_after_the_last_answer_under_an_older_revision() {
-    let (time, now) = read(&[(900, 7), (500, 9), (100, 12)]);
+    let (time, now) = record_answers(&[(900, 7), (500, 9), (100, 12)]);
     let at = now - Duration::from_millis(500);
-    assert_eq!(time.unwritten(place(11)), Some(Unwritten { clock_ms: 49_500, at }));
-    assert_eq!(time.unwritten(place(7)), None);
+    assert_eq!(time.written_after(position(11)), Some(WrittenAfter { clock_ms: 49_500, at }));
+    assert_eq!(time.written_after(position(7)), None);
 }
 
 #[test]
 fn answers_may_be_taken_in_out_of_order() {
-    let (time, _) = read(&[(500, 9), (100, 12), (900, 7)]);
-    assert_eq!(time.unwritten(place(9)).map(|it| it.clock_ms), Some(49_100));
-    assert_eq!(time.unwritten(place(13)).map(|it| it.clock_ms), Some(49_900));
+    let (time, _) = record_answers(&[(500, 9), (100, 12), (900, 7)]);
+    assert_eq!(time.written_after(position(9)).map(|it| it.clock_ms), Some(49_100));
+    assert_eq!(time.written_after(position(13)).map(|it| it.clock_ms), Some(49_900));
 }
 
 #[test]
 fn revisions_of_another_era_tell_nothing() {
-    let (time, _) = read(&[(500, 9)]);
-    assert_eq!(time.unwritten(StorePlace { era: Some(2), revision: 11 }), None);
+    let (time, _) = record_answers(&[(500, 9)]);
+    assert_eq!(time.written_after(StorePlace { era: Some(2), revision: 11 }), None);
 }
 
 /// An answer that was requested long before it was produced would put the store's clock too far ahead.
 #[test]
 fn the_clock_is_read_from_the_answer_that_tells_most_exactly() {
-    let (mut time, now) = read(&[(900, 7)]);
-    time.note(place(9), 49_800, now - Duration::from_millis(1000));
+    let (mut time, now) = record_answers(&[(900, 7)]);
+    time.record(position(9), 49_800, now - Duration::from_millis(1000));
     assert_eq!(time.clock_ms(now), Some(50_001));
 }
 
 #[test]
 fn readings_are_bounded() {
-    let (mut time, now) = read(&[]);
-    (0..2000).for_each(|it| time.note(place(it), 40_000 + it, now));
-    assert!(time.readings.len() <= MOST_READINGS);
-    assert_eq!(time.unwritten(place(5000)).map(|it| it.clock_ms), Some(41_999));
+    let (mut time, now) = record_answers(&[]);
+    (0..2000).for_each(|it| time.record(position(it), 40_000 + it, now));
+    assert!(time.readings.len() <= MAX_READINGS);
+    assert_eq!(time.written_after(position(5000)).map(|it| it.clock_ms), Some(41_999));
 }
 
 #[test]
 fn the_clock_is_told_on_once_an_answer_has_shown_it_closely() {
     let mut time = StoreTime::default();
     let now = Instant::now() + Duration::from_secs(10);
-    time.note(place(7), 49_000, Instant::now() - Duration::from_secs(1));
-    time.readings[0].arrived = time.readings[0].made + Duration::from_secs(1);
-    assert_eq!(time.told_clock_ms(now), None);
-    time.note(place(7), 50_000, now);
-    assert!(time.told_clock_ms(now).is_some());
+    time.record(position(7), 49_000, Instant::now() - Duration::from_secs(1));
+    time.readings[0].arrived_at = time.readings[0].produced_at + Duration::from_secs(1);
+    assert_eq!(time.clock_ms_to_report(now), None);
+    time.record(position(7), 50_000, now);
+    assert!(time.clock_ms_to_report(now).is_some());
 }
 
 fn named(age_ms: Option<u64>, after_ms: Option<u64>) -> NamedVersion {
@@ -73,23 +73,27 @@
 #[test]
 fn ages_that_others_tell_are_by_the_clock_and_not_by_when_the_word_came() {
     let mut time = StoreTime::default();
-    time.note_told(50_000);
-    time.note_told(47_000);
-    let mut words = [named(Some(10), Some(49_400)), named(Some(10), None), named(None, None)];
-    time.set_ages(&mut words);
-    assert!((600..700).contains(&words[0].age_ms.unwrap()), "{words:?}");
-    assert_eq!((words[1].age_ms, words[2].age_ms), (Some(10), None));
+    time.record_report(50_000);
+    time.record_report(47_000);
+    let mut reported_versions =
+        [named(Some(10), Some(49_400)), named(Some(10), None), named(None, None)];
+    time.set_ages(&mut reported_versions);
+    assert!((600..700).contains(&reported_versions[0].age_ms.unwrap()), "{reported_versions:?}");
+    assert_eq!((reported_versions[1].age_ms, reported_versions[2].age_ms), (Some(10), None));
 }
 
 #[test]
 fn a_word_on_the_clock_is_forgotten_after_a_while() {
-    let mut told = ToldClock::default();
+    let mut reported = ReportedClock::default();
     let now = Instant::now();
-    told.note(now, 50_000);
-    told.note(now + KEPT_FOR, 50_100 + KEPT_FOR.as_millis() as u64);
-    assert_eq!(told.clock_ms(now + KEPT_FOR), Some(50_100 + KEPT_FOR.as_millis() as u64));
-    told.note(now + KEPT_FOR, 1_000_000);
-    told.note(now + 2 * KEPT_FOR, 0);
-    told.note(now + 3 * KEPT_FOR, 100_000);
-    assert_eq!(told.clock_ms(now + 3 * KEPT_FOR), Some(100_000));
+    reported.record(now, 50_000);
+    reported.record(now + MAX_READING_AGE, 50_100 + MAX_READING_AGE.as_millis() as u64);
+    assert_eq!(
+        reported.clock_ms(now + MAX_READING_AGE),
+        Some(50_100 + MAX_READING_AGE.as_millis() as u64)
+    );
+    reported.record(now + MAX_READING_AGE, 1_000_000);
+    reported.record(now + 2 * MAX_READING_AGE, 0);
+    reported.record(now + 3 * MAX_READING_AGE, 100_000);
+    assert_eq!(reported.clock_ms(now + 3 * MAX_READING_AGE), Some(100_000));
 }
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -27,7 +27,7 @@
 use crate::gateway::{read_age, ToldAge};
 use crate::http_client::{CallAnswer, HttpClient};
 use crate::link_yield::LinkYield;
-use crate::listing::{call_name, list, Listing, ToldFaults, PIECE_PAUSE};
+use crate::listing::{call_name, list, Listing, LoggedFaults, MAX_ANSWER_PAUSE};
 use crate::paging::Urgency;
 
 /// How much longer than the wait of a feed call the store may be silent before its changes are considered
@@ -45,7 +45,7 @@
     let mut watch = Watch {
         client: HttpClient::new(options.store),
         reader: None,
-        yielding: LinkYield::new(options.longest_rest),
+        link_yield: LinkYield::new(options.longest_rest),
         started: Instant::now(),
         options,
         wake_ups,
@@ -54,7 +54,7 @@
         delayed_returns: DelayedReturns::default(),
         runners: BTreeSet::new(),
         evacuated: EvacuatedHalls::default(),
-        faults: ToldFaults::default(),
+        faults: LoggedFaults::default(),
         connected: true,
         asked: Instant::now(),
         wait: Duration::ZERO,
@@ -100,13 +100,13 @@
                 watch.pause(spacing)
             }
             Err(ref error) if is_history_gone(error) => {
-                let pause = watch.options.patience.pause_before_listing(failures);
+                let pause = watch.options.timeouts.pause_before_listing(failures);
                 failures = 0;
                 draw(pause)
             }
             Err(_) => {
                 failures += 1;
-                draw(watch.options.patience.pause(failures))
+                draw(watch.options.timeouts.pause(failures))
             }
         };
         if watch.note(result) {
@@ -141,7 +141,7 @@
     client: HttpClient,
     /// The reader that is called instead of the store, and its client.
     reader: Option<(SocketAddr, HttpClient)>,
-    yielding: LinkYield,
+    link_yield: LinkYield,
     /// When the task started.
     started: Instant,
     /// Receives a message when the store was restored from an older copy or is to be called at once.
@@ -156,7 +156,7 @@
     /// The runners that are listed.
     runners: BTreeSet<InstanceId>,
     evacuated: EvacuatedHalls,
-    faults: ToldFaults,
+    faults: LoggedFaults,
     connected: bool,
     /// When the last call was sent.
     asked: Instant,
@@ -190,7 +190,7 @@
         let made = self.note_answer(None, clock_ms, told);
         self.note_reading(place, clock_ms, made);
         let went_back = self.note_era(place.era, deliver);
-        self.faults.tell_all(self.options.table, &self.options.metrics, &faults);
+        self.faults.log_listing(self.options.table, &self.options.metrics, &faults);
         let answered = AnswerSummary { rows: changes.len(), place };
         let listed: BTreeSet<InstanceId> = changes.iter().filter_map(listed_runner).collect();
         let gone: Vec<InstanceId> = self.runners.difference(&listed).cloned().collect();
@@ -227,7 +227,7 @@
             // Rows that the copy lacks are written again, as after an outage, however few they are.
             self.delayed_removals.record_store_restore(Instant::now());
             self.catch_up.record_gap();
-            self.yielding.forget();
+            self.link_yield.reset();
             deliver(Seen::WentBack);
         }
         went_back
@@ -248,7 +248,7 @@
         place: StorePlace,
         deliver: &mut impl FnMut(Seen),
     ) -> Result<AnswerSummary> {
-        let patience = self.options.patience;
+        let timeouts = self.options.timeouts;
         let wait = self.feed_wait();
         let wait = self.due_in().map_or(wait, |left| wait.min(left));
         let answer = match self.ask(place, wait).await {
@@ -258,7 +258,7 @@
                 return Err(self.begin_again("the store came back from an older copy"));
             }
             None => {
-                let at_once = self.ask(place, patience.feed_wait(false)).await;
+                let at_once = self.ask(place, timeouts.feed_wait(false)).await;
                 let called = || Error::new(Code::TimedOut, "the feed was given up");
                 at_once.ok_or_else(called)??
             }
@@ -278,7 +278,7 @@
         if self.reader.is_none() {
             let name = call_name(self.options.table);
             self.options.metrics.count_store_bytes(name, "feed", body.len() as u64);
-            self.yielding.take(self.started.elapsed(), page.clock_ms, body.len());
+            self.link_yield.record_answer(self.started.elapsed(), page.clock_ms, body.len());
         }
         let before = self.known;
         let waited_for = Some(self.wait).filter(|_| page.rows == 0);
@@ -287,7 +287,7 @@
         if page.is_newest {
             self.note_reading(read, page.clock_ms, made);
         }
-        self.faults.tell(self.options.table, &self.options.metrics, &page.faults);
+        self.faults.log_new(self.options.table, &self.options.metrics, &page.faults);
         let was_silent = self.was_silent();
         let late = self.catch_up.record_feed(was_silent, page.changes.is_empty());
         let now = Instant::now();
@@ -313,12 +313,12 @@
     async fn ask(&mut self, place: StorePlace, wait: Duration) -> Option<Result<CallAnswer>> {
         let call = store::feed(self.options.table, place.revision, wait.as_millis() as u64);
         let begin = match self.reader {
-            Some(_) => self.options.reading.feed_begin(wait),
-            None => self.options.patience.feed_begin(wait),
+            Some(_) => self.options.reading.feed_start_timeout(wait),
+            None => self.options.timeouts.feed_start_timeout(wait),
         };
         (self.asked, self.wait) = (Instant::now(), wait);
         let wake_ups = self.wake_ups.clone();
-        let answer = self.source_client().call_with_pause_limit(call, begin, PIECE_PAUSE);
+        let answer = self.source_client().call_with_pause_limit(call, begin, MAX_ANSWER_PAUSE);
         future::or(async { Some(answer.await) }, async {
             let _ = wake_ups.recv().await;
             None
@@ -337,7 +337,7 @@
     /// Whether the store has not answered for longer than usual. A store whose calls fail is not silent for
     /// lack of changes.
     fn was_silent(&self) -> bool {
-        let usual = self.options.patience.feed_wait(self.connected) + self.options.spacing;
+        let usual = self.options.timeouts.feed_wait(self.connected) + self.options.spacing;
         self.heard.is_none_or(|it| it.elapsed() > usual + LATE_AFTER)
     }
 
--- a/components/edge/src/watch/change_dates.rs
+++ b/components/edge/src/watch/change_dates.rs
@@ -6,13 +6,13 @@
 
 use super::{Dated, Watch};
 use crate::gateway::ToldAge;
-use crate::store_time::Unwritten;
+use crate::store_time::WrittenAfter;
 
 impl Watch {
     /// Records the newest revision and the store's clock in an answer that was not produced before `made`.
     pub(super) fn note_reading(&self, newest: StorePlace, clock_ms: Option<u64>, made: Instant) {
         if let Some(clock_ms) = clock_ms {
-            self.options.time.borrow_mut().note(newest, clock_ms, made);
+            self.options.time.borrow_mut().record(newest, clock_ms, made);
         }
     }
 
@@ -29,13 +29,13 @@
         }
         *newest = version;
         let row = StorePlace { era: self.era, revision };
-        let unwritten = self.options.time.borrow().unwritten(row);
+        let unwritten = self.options.time.borrow().written_after(row);
         let by_reader = told.and_then(|it| {
             let way = self.asked.elapsed().saturating_sub(it.held);
             it.news.map(|news| news + way)
         });
         let dated = match unwritten {
-            Some(Unwritten { clock_ms, at }) => {
+            Some(WrittenAfter { clock_ms, at }) => {
                 Dated { age: Some(at.elapsed()), after_ms: Some(clock_ms) }
             }
             None => Dated { age: by_reader, after_ms: None },
--- a/components/edge/src/watch/options.rs
+++ b/components/edge/src/watch/options.rs
@@ -23,7 +23,7 @@
     /// The table.
     pub table: Table,
     /// The timeouts and pauses of calls.
-    pub patience: StoreTimeouts,
+    pub timeouts: StoreTimeouts,
     /// The shortest time between the first two feed calls or listings. It doubles with each, so that a
     /// process that starts together with others soon knows all of them.
     pub first_spacing: Duration,
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -80,16 +80,16 @@
         if self.reader.is_some() {
             return self.options.first_spacing;
         }
-        spacing.max(self.yielding.rest())
+        spacing.max(self.link_yield.pause())
     }
 
     /// How long the next feed call waits.
     pub(super) fn feed_wait(&self) -> Duration {
-        let (patience, reading) = (self.options.patience, &self.options.reading);
+        let (timeouts, reading) = (self.options.timeouts, &self.options.reading);
         if self.reader.is_some() {
             return reading.feed_wait();
         }
-        let wait = patience.feed_wait(self.connected);
+        let wait = timeouts.feed_wait(self.connected);
         if (self.options.dates_closely)() {
             wait.min(CLOSE_WAIT)
         } else if reading.is_reader() {
--- a/components/edge/tests/store_timeouts.rs
+++ b/components/edge/tests/store_timeouts.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 
 /// The time of a new connection and the call on it, on a busy processor.
-const CALL: Duration = Duration::from_millis(150);
+const CALL_TIME: Duration = Duration::from_millis(150);
 /// The most failures in a row: more than an outage of minutes causes.
-const FAILURES: u32 = 200;
+const MAX_FAILURES: u32 = 200;
 
 fn contact() -> impl Strategy<Value = Duration> {
     (2500_u64..20_000).prop_map(Duration::from_millis)
@@ -18,24 +18,24 @@
     #[test]
     fn a_feed_that_is_lost_at_the_end_of_an_outage_is_asked_again_within_the_contact_time(
         contact in contact(),
-        failures in 1..FAILURES,
+        failures in 1..MAX_FAILURES,
     ) {
-        let patience = StoreTimeouts::new(contact);
+        let timeouts = StoreTimeouts::new(contact);
         // The first failure is that of a feed which waited for a change, the others are of short ones.
-        let wait = patience.feed_wait(failures == 1);
-        let lost_for = patience.feed_begin(wait) + patience.pause(failures).end + CALL;
+        let wait = timeouts.feed_wait(failures == 1);
+        let lost_for = timeouts.feed_start_timeout(wait) + timeouts.pause(failures).end + CALL_TIME;
         prop_assert!(lost_for <= contact, "{lost_for:?} of {contact:?} after {failures} failures");
     }
 
     #[test]
     fn a_table_is_listed_within_the_contact_time_though_a_feed_was_lost_and_its_history_is_gone(
         contact in contact(),
-        failures in 1..FAILURES,
+        failures in 1..MAX_FAILURES,
     ) {
-        let patience = StoreTimeouts::new(contact);
-        let wait = patience.feed_wait(failures == 1);
-        let lost_for = patience.feed_begin(wait) + patience.pause(failures).end + CALL;
-        let listed = lost_for + patience.pause_before_listing(failures).end + CALL;
+        let timeouts = StoreTimeouts::new(contact);
+        let wait = timeouts.feed_wait(failures == 1);
+        let lost_for = timeouts.feed_start_timeout(wait) + timeouts.pause(failures).end + CALL_TIME;
+        let listed = lost_for + timeouts.pause_before_listing(failures).end + CALL_TIME;
         prop_assert!(listed <= contact, "{listed:?} of {contact:?} after {failures} failures");
     }
 
@@ -50,28 +50,28 @@
     #[test]
     fn a_listing_that_is_lost_at_the_end_of_an_outage_is_asked_again_within_the_contact_time(
         contact in contact(),
-        failures in 1..FAILURES,
+        failures in 1..MAX_FAILURES,
     ) {
-        let patience = StoreTimeouts::new(contact);
-        let lost_for = StoreTimeouts::LIST_BEGIN + patience.pause(failures).end + CALL;
+        let timeouts = StoreTimeouts::new(contact);
+        let lost_for = StoreTimeouts::LIST_START_TIMEOUT + timeouts.pause(failures).end + CALL_TIME;
         prop_assert!(lost_for <= contact, "{lost_for:?} of {contact:?} after {failures} failures");
     }
 
     #[test]
     fn pauses_are_never_empty_and_never_shorter_than_the_one_before(
         contact in (0_u64..20_000).prop_map(Duration::from_millis),
-        failures in 1..FAILURES,
+        failures in 1..MAX_FAILURES,
     ) {
-        let patience = StoreTimeouts::new(contact);
-        let (pause, next) = (patience.pause(failures), patience.pause(failures + 1));
+        let timeouts = StoreTimeouts::new(contact);
+        let (pause, next) = (timeouts.pause(failures), timeouts.pause(failures + 1));
         prop_assert!(pause.start < pause.end);
         prop_assert!(pause.start <= next.start && pause.end <= next.end);
     }
 
     #[test]
     fn calls_are_spared_where_the_contact_time_is_long(contact in contact()) {
-        let patience = StoreTimeouts::new(contact);
-        let wait = patience.feed_wait(true);
+        let timeouts = StoreTimeouts::new(contact);
+        let wait = timeouts.feed_wait(true);
         prop_assert!(wait >= contact / 2 || wait == Duration::from_secs(5));
     }
 }
