--- a/components/edge/src/answer_log.rs
+++ b/components/edge/src/answer_log.rs
@@ -13,7 +13,7 @@
     /// The number of rows.
     pub rows: usize,
     /// The position in the store's history up to which the answer is complete.
-    pub place: StorePlace,
+    pub position: StorePlace,
 }
 
 /// Logs the outcome of a call for a table. `asked` is the time since the call was sent, to a reader if
@@ -30,14 +30,14 @@
     let reader = reader.as_deref();
     let asked_ms = elapsed.as_millis() as u64;
     match outcome {
-        Ok(AnswerSummary { rows, place }) => log::info!(
+        Ok(AnswerSummary { rows, position }) => log::info!(
             table = table.as_str(),
             call = call,
             reader = reader,
             asked_ms = asked_ms,
             rows = rows,
-            revision = place.revision,
-            era = place.era;
+            revision = position.revision,
+            era = position.era;
             "store answered"
         ),
         Err(error) => {
--- a/components/edge/src/gateway/answer.rs
+++ b/components/edge/src/gateway/answer.rs
@@ -19,7 +19,7 @@
 }
 
 /// An answer that the gateway itself produces.
-pub fn own_answer(status: StatusCode, request: Option<&str>, code: Code) -> Response<AnswerBody> {
+pub fn error_answer(status: StatusCode, request: Option<&str>, code: Code) -> Response<AnswerBody> {
     let text = format!("{{\"code\":{},\"reason\":\"{}\"}}\n", code.number(), code.name());
     let mut answer = Response::new(whole_body(text));
     *answer.status_mut() = status;
@@ -31,7 +31,7 @@
 
 /// The answer to a refused request that did not run and will not run.
 pub fn refusal(request: Option<&str>, code: Code, retry_after_ms: u64) -> Response<AnswerBody> {
-    let mut answer = own_answer(StatusCode::SERVICE_UNAVAILABLE, request, code);
+    let mut answer = error_answer(StatusCode::SERVICE_UNAVAILABLE, request, code);
     let seconds = format!("{:.3}", retry_after_ms as f64 / 1000.0);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         answer.headers_mut().insert(RETRY_AFTER, value);
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -16,8 +16,8 @@
 
 use super::answer::{whole_body, AnswerBody};
 use super::core::Core;
-use super::request::Job;
-use super::reservations::Wanted;
+use super::request::RequestContext;
+use super::reservations::SlotRequest;
 use crate::http_connection::HttpConnection;
 
 /// How long opening a connection to a runner may take.
@@ -25,23 +25,23 @@
 /// How long after it was granted a slot may be used: opening the connection takes up to `CONNECT_TIMEOUT`,
 /// and the rest allows for a machine that is short of processor time. A sidecar's margin before a version's
 /// deadline covers it.
-const PLACE_LIFE: Duration = Duration::from_millis(350);
+const SLOT_VALIDITY: Duration = Duration::from_millis(350);
 /// A repeatable request waits for the head of an answer for this multiple of its latency target.
-const PATIENCE: f64 = 2.0;
+const TIMEOUT_FACTOR: f64 = 2.0;
 /// The shortest such timeout, in milliseconds.
-const MIN_PATIENCE: u64 = 600;
+const MIN_TIMEOUT_MS: u64 = 600;
 /// A request that has not started is withdrawn from the runner this long before the version's deadline, in
 /// milliseconds, because the runner receives the withdrawal a little later.
-const TAKE_BACK_MARGIN: u64 = 100;
+const WITHDRAWAL_MARGIN_MS: u64 = 100;
 /// The largest error answer of a runner that is buffered to be forwarded, in bytes.
-const HELD_BYTES: usize = 64 * 1024;
+const MAX_ERROR_ANSWER_BYTES: usize = 64 * 1024;
 
 /// An attempt.
 pub struct Attempt<'a> {
     /// The gateway.
     pub core: &'a Core,
     /// The request.
-    pub job: &'a Job,
+    pub context: &'a RequestContext,
     /// Its key.
     pub key: RequestKey,
     /// The runner.
@@ -63,7 +63,7 @@
 /// The result of an attempt when the head of the answer has arrived or the attempt has failed.
 // It is moved once per attempt; a box would cost more than it saves.
 #[allow(clippy::large_enum_variant)]
-pub enum Outcome {
+pub enum AttemptResult {
     /// The runner answers.
     Answer(RunnerAnswer),
     /// The attempt failed.
@@ -75,7 +75,7 @@
     },
 }
 
-impl From<AttemptOutcome> for Outcome {
+impl From<AttemptOutcome> for AttemptResult {
     fn from(outcome: AttemptOutcome) -> Self {
         Self::Failure { outcome, answer: None }
     }
@@ -84,7 +84,7 @@
 impl Attempt<'_> {
     /// Sends the request and waits for the head of the answer. `last_event` is the event after which a stream
     /// resumes; `sent` is set once the runner may have received the request.
-    pub async fn run(&self, last_event: Option<&str>, sent: &mut bool) -> Outcome {
+    pub async fn run(&self, last_event: Option<&str>, sent: &mut bool) -> AttemptResult {
         if let Err(outcome) = self.reserve().await {
             return outcome.into();
         }
@@ -96,7 +96,7 @@
         let Some(request) = self.request(last_event) else {
             return AttemptOutcome::NotSent.into();
         };
-        if self.target.reserve && granted.elapsed() > PLACE_LIFE {
+        if self.target.reserve && granted.elapsed() > SLOT_VALIDITY {
             // The sidecar granted the slot for immediate use, and this machine was too slow.
             return AttemptOutcome::Expired.into();
         }
@@ -105,15 +105,15 @@
             return AttemptOutcome::Withdrawn.into();
         }
         let was_sent = std::mem::replace(sent, true);
-        let begun = Instant::now();
+        let started = Instant::now();
         let answer = async { connection.send(request).await.map_err(|_| AttemptOutcome::Lost) };
-        let answer = match future::or(answer, async { Err(self.lose_patience(now).await) }).await {
+        let answer = match future::or(answer, async { Err(self.answer_timeout(now).await) }).await {
             Ok(answer) => answer,
             Err(outcome) => return outcome.into(),
         };
-        self.core.metrics.note_span(Span::Runner, begun.elapsed().as_millis() as u64);
-        let outcome = self.judge(connection, answer).await;
-        if let Outcome::Failure { outcome, .. } = &outcome {
+        self.core.metrics.note_span(Span::Runner, started.elapsed().as_millis() as u64);
+        let outcome = self.evaluate(connection, answer).await;
+        if let AttemptResult::Failure { outcome, .. } = &outcome {
             *sent = was_sent || !outcome.is_not_run();
         }
         outcome
@@ -125,13 +125,13 @@
         if !self.target.reserve {
             return Ok(());
         }
-        let facts = &self.job.facts;
+        let facts = &self.context.facts;
         let id = facts.id.as_deref().unwrap_or("");
         let reservations = &self.core.reservations;
-        let prompt_tokens = self.job.prompt_tokens;
+        let prompt_tokens = self.context.prompt_tokens;
         let RunnerTarget { rank, left_ms, wait_ms, limit, .. } = *self.target;
-        let wanted = Wanted { prompt_tokens, rank, left_ms, wait_ms, limit };
-        match reservations.ask(self.target.address, id, wanted).await {
+        let slot_request = SlotRequest { prompt_tokens, rank, left_ms, wait_ms, limit };
+        match reservations.reserve(self.target.address, id, slot_request).await {
             None => Ok(()),
             Some(outcome) => Err(outcome),
         }
@@ -139,40 +139,40 @@
 
     /// Waits for as long as a repeatable request sent at `sent` may wait for an answer. Returns why the wait
     /// ended.
-    async fn lose_patience(&self, sent: Millis) -> AttemptOutcome {
-        if !self.job.kind.is_repeatable() {
+    async fn answer_timeout(&self, sent: Millis) -> AttemptOutcome {
+        if !self.context.kind.is_repeatable() {
             return future::pending().await;
         }
-        let patience = ((self.job.aim_ms as f64 * PATIENCE) as u64).max(MIN_PATIENCE);
-        let begin_by = self.core.read(|gateway| gateway.begin_by(sent, self.key));
-        let left = begin_by.map(|it| it.minus(TAKE_BACK_MARGIN).since(sent).0);
-        let outdated = left.filter(|it| *it < patience);
-        uptime::sleep(Duration::from_millis(outdated.unwrap_or(patience))).await;
-        match outdated {
+        let timeout_ms = ((self.context.aim_ms as f64 * TIMEOUT_FACTOR) as u64).max(MIN_TIMEOUT_MS);
+        let start_deadline = self.core.read(|gateway| gateway.begin_by(sent, self.key));
+        let left = start_deadline.map(|it| it.minus(WITHDRAWAL_MARGIN_MS).since(sent).0);
+        let withdraw_after = left.filter(|it| *it < timeout_ms);
+        uptime::sleep(Duration::from_millis(withdraw_after.unwrap_or(timeout_ms))).await;
+        match withdraw_after {
             Some(_) => AttemptOutcome::Outdated,
             None => AttemptOutcome::Lost,
         }
     }
 
     fn request(&self, last_event: Option<&str>) -> Option<Request<Full<Bytes>>> {
-        let job = self.job;
+        let context = self.context;
         let now = self.core.clock.now();
         let added = Added {
             runner: &self.target.id,
-            deadline_ms: job.deadline.map(|it| it.min(job.limit).since(now).0),
-            workspace: job.workspace.as_ref(),
+            deadline_ms: context.deadline.map(|it| it.min(context.answer_deadline).since(now).0),
+            workspace: context.workspace.as_ref(),
             last_event,
         };
-        let mut request = Request::new(Full::new(job.body.clone()));
-        *request.method_mut() = job.method.clone();
-        *request.uri_mut() = job.uri.clone();
-        *request.headers_mut() = headers::prepare_request(&job.headers, &added);
+        let mut request = Request::new(Full::new(context.body.clone()));
+        *request.method_mut() = context.method.clone();
+        *request.uri_mut() = context.uri.clone();
+        *request.headers_mut() = headers::prepare_request(&context.headers, &added);
         Some(request)
     }
 
     /// Records that the runner wants no more requests, if its answer says so. This happens before any part of
     /// the answer is forwarded, so that no request that arrives afterwards is sent to it.
-    fn take_notice(&self, notice: Notice) {
+    fn record_notice(&self, notice: Notice) {
         if notice.is_empty() {
             return;
         }
@@ -191,9 +191,9 @@
             Some(RateWord::Limited(rate)) => Some(rate.per_s()),
             _ => None,
         };
-        let told = Decision::Told { runner, leaving: is_leaving, rest_ms, limit_per_s };
-        self.job.trace.note(told);
-        self.core.feed(Event::Noticed(self.key, notice));
+        let decision = Decision::Told { runner, leaving: is_leaving, rest_ms, limit_per_s };
+        self.context.trace.add(decision);
+        self.core.dispatch(Event::Noticed(self.key, notice));
     }
 
     /// What an answer says about its runner. A misdirected answer comes from another runner.
@@ -205,14 +205,14 @@
         Notice {
             is_leaving: facts.is_leaving,
             rest_ms: facts.rest_ms.filter(|_| asks_for_rest),
-            limit: self.limit_news(facts),
+            limit: self.limit_change(facts),
         }
     }
 
     /// What an answer says about the runner's rate limit. That there is no limit matters only if one is
     /// known, and only if it is the answer to this request.
-    fn limit_news(&self, facts: &AnswerFacts) -> Option<RateWord> {
-        let is_own = facts.id.is_some() && facts.id == self.job.facts.id;
+    fn limit_change(&self, facts: &AnswerFacts) -> Option<RateWord> {
+        let is_own = facts.id.is_some() && facts.id == self.context.facts.id;
         let is_limited = || self.core.read(|gateway| gateway.is_limited(&self.target.id));
         match facts.limit {
             RateWord::Unlimited if !is_own || !is_limited() => None,
@@ -220,38 +220,42 @@
         }
     }
 
-    async fn judge(&self, mut connection: HttpConnection, answer: Response<Incoming>) -> Outcome {
+    async fn evaluate(
+        &self,
+        mut connection: HttpConnection,
+        answer: Response<Incoming>,
+    ) -> AttemptResult {
         let (head, mut body) = answer.into_parts();
         let facts = headers::read_answer(&head.headers);
-        self.take_notice(self.notice(head.status, &facts));
-        if let Some(outcome) = refused(head.status, &facts) {
+        self.record_notice(self.notice(head.status, &facts));
+        if let Some(outcome) = refusal_outcome(head.status, &facts) {
             return outcome.into();
         }
-        let other = facts.id.is_some() && facts.id != self.job.facts.id;
-        if other || !facts.signed {
+        let is_for_other_request = facts.id.is_some() && facts.id != self.context.facts.id;
+        if is_for_other_request || !facts.signed {
             return AttemptOutcome::Lost.into();
         }
         let headers = headers::without_hop_by_hop(&head.headers);
         if !head.status.is_server_error() {
-            return Outcome::Answer(RunnerAnswer {
+            return AttemptResult::Answer(RunnerAnswer {
                 status: head.status,
                 headers,
                 connection,
                 body,
             });
         }
-        let Ok(text) = connection.collect(&mut body, HELD_BYTES).await else {
+        let Ok(text) = connection.collect(&mut body, MAX_ERROR_ANSWER_BYTES).await else {
             return AttemptOutcome::Lost.into();
         };
         let mut answer = Response::new(whole_body(text));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = headers;
-        Outcome::Failure { outcome: AttemptOutcome::Failed, answer: Some(answer) }
+        AttemptResult::Failure { outcome: AttemptOutcome::Failed, answer: Some(answer) }
     }
 }
 
 /// The outcome if the runner refused the request.
-fn refused(status: StatusCode, facts: &AnswerFacts) -> Option<AttemptOutcome> {
+fn refusal_outcome(status: StatusCode, facts: &AnswerFacts) -> Option<AttemptOutcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptOutcome::Misdirected);
     }
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -14,7 +14,7 @@
 use telemetry::{note_crash, Metrics};
 
 use super::home_fault_log;
-use super::notice_log::note_notice;
+use super::notice_log::log_notice;
 use super::reservations::Reservations;
 use super::table_state::Tables;
 use crate::clock::Clock;
@@ -23,7 +23,7 @@
 
 /// Number of gateways that rewrite a row which the store may have lost. It is more than one because a gateway
 /// may itself just have failed.
-const ROW_WRITERS: usize = 2;
+const REWRITING_GATEWAYS: usize = 2;
 
 /// A gateway's state, shared by the tasks of its process.
 #[derive(Clone)]
@@ -40,14 +40,14 @@
     /// What is known of the store's tables.
     pub tables: Rc<Tables>,
     /// Receives a message when sidecars have to be updated at once.
-    pub named: Receiver<()>,
-    name_sidecars: Sender<()>,
+    pub sidecar_updates: Receiver<()>,
+    sidecar_update: Sender<()>,
     /// Receives the requests that crash runners.
     pub crashes: Receiver<CrashNews>,
-    crash_news: Sender<CrashNews>,
+    crash_changes: Sender<CrashNews>,
     /// Receives a message when the store was restored from an older copy.
-    pub went_back: Receiver<()>,
-    tell_went_back: Sender<()>,
+    pub store_restored: Receiver<()>,
+    notify_store_restored: Sender<()>,
 }
 
 struct State {
@@ -66,9 +66,9 @@
         reservations: Reservations,
         tables: Rc<Tables>,
     ) -> Self {
-        let (name_sidecars, named) = async_channel::bounded(1);
-        let (crash_news, crashes) = async_channel::unbounded();
-        let (tell_went_back, went_back) = async_channel::bounded(1);
+        let (sidecar_update, sidecar_updates) = async_channel::bounded(1);
+        let (crash_changes, crashes) = async_channel::unbounded();
+        let (notify_store_restored, store_restored) = async_channel::bounded(1);
         let state = State { gateway: Gateway::new(options), waiting: HashMap::new(), next_key: 0 };
         Self {
             state: Rc::new(RefCell::new(state)),
@@ -77,39 +77,39 @@
             name: name.into(),
             reservations,
             tables,
-            named,
-            name_sidecars,
+            sidecar_updates,
+            sidecar_update,
             crashes,
-            crash_news,
-            went_back,
-            tell_went_back,
+            crash_changes,
+            store_restored,
+            notify_store_restored,
         }
     }
 
     /// Records that the store was restored from an older copy, so that this gateway's rows are written again.
-    pub fn note_went_back(&self) {
+    pub fn record_store_restore(&self) {
         // One pending message is enough.
-        let _ = self.tell_went_back.try_send(());
+        let _ = self.notify_store_restored.try_send(());
     }
 
     /// Whether this gateway rewrites a row that the store may have lost. `ROW_WRITERS` of all gateways do,
     /// and every gateway that does not know the others.
-    pub fn writes_again(&self, now: Millis, row: &str) -> bool {
+    pub fn rewrites_row(&self, now: Millis, row: &str) -> bool {
         self.read(|gateway| {
             let members = gateway.members();
             let is_sure = members.sureness(now) == Sureness::Sure;
-            !is_sure || members.responsible(now, row, ROW_WRITERS).is_some()
+            !is_sure || members.responsible(now, row, REWRITING_GATEWAYS).is_some()
         })
     }
 
     /// Sends sidecars at once what operators wrote.
-    pub fn tell_sidecars(&self) {
+    pub fn notify_sidecars(&self) {
         // One pending message is enough.
-        let _ = self.name_sidecars.try_send(());
+        let _ = self.sidecar_update.try_send(());
     }
 
     /// Passes an event to the reducer and its decisions to the tasks that wait for them.
-    pub fn feed(&self, event: Event) {
+    pub fn dispatch(&self, event: Event) {
         let mut state = self.state.borrow_mut();
         let effects = state.gateway.reduce(self.clock.now(), rand::random(), event);
         for effect in effects {
@@ -122,25 +122,28 @@
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
                 Effect::TellOfHomes(faults) => home_fault_log::log_home_faults(&faults),
                 Effect::Life(news) => log_life_change(&self.metrics, &news),
-                Effect::Notice(news) => note_notice(&news),
+                Effect::Notice(news) => log_notice(&news),
                 Effect::Crash(news) => {
                     note_crash(&self.metrics, &news);
                     if news.is_own() {
-                        self.tell_sidecars();
+                        self.notify_sidecars();
                     }
                     // The receiver exists until the process ends.
-                    let _ = self.crash_news.try_send(news);
+                    let _ = self.crash_changes.try_send(news);
                 }
                 Effect::Evacuation(change) => {
                     record_evacuation(&self.metrics, &change);
-                    self.tell_sidecars();
+                    self.notify_sidecars();
                 }
             }
         }
     }
 
     /// Registers a request with the reducer.
-    pub fn announce(&self, make: impl FnOnce(RequestKey) -> Arrival) -> Ticket {
+    pub fn register_request(
+        &self,
+        create_arrival: impl FnOnce(RequestKey) -> Arrival,
+    ) -> RequestHandle {
         let (sender, steps) = async_channel::bounded(1);
         let key = {
             let mut state = self.state.borrow_mut();
@@ -149,8 +152,8 @@
             state.waiting.insert(key, sender);
             key
         };
-        self.feed(Event::Arrived(make(key)));
-        Ticket { core: self.clone(), key, steps }
+        self.dispatch(Event::Arrived(create_arrival(key)));
+        RequestHandle { core: self.clone(), key, steps }
     }
 
     /// The configuration in force.
@@ -159,29 +162,29 @@
     }
 
     /// Reads the state of the reducer.
-    pub fn read<T>(&self, look: impl FnOnce(&Gateway) -> T) -> T {
-        look(&self.state.borrow().gateway)
+    pub fn read<T>(&self, read_state: impl FnOnce(&Gateway) -> T) -> T {
+        read_state(&self.state.borrow().gateway)
     }
 }
 
 /// A request that is registered with the reducer. Dropping it deregisters the request.
-pub struct Ticket {
+pub struct RequestHandle {
     core: Core,
     /// The request.
     pub key: RequestKey,
     steps: Receiver<NextStep>,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// Waits for the next step of the request.
     pub async fn next_step(&self) -> Option<NextStep> {
         self.steps.recv().await.ok()
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.core.state.borrow_mut().waiting.remove(&self.key);
-        self.core.feed(Event::Gone(self.key));
+        self.core.dispatch(Event::Gone(self.key));
     }
 }
--- a/components/edge/src/gateway/event_splitter.rs
+++ b/components/edge/src/gateway/event_splitter.rs
@@ -6,22 +6,22 @@
 #[derive(Debug)]
 pub struct EventSplitter {
     /// The most bytes of one event that are buffered.
-    most: usize,
+    max_bytes: usize,
     partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
     /// Creates a splitter that buffers at most `max_bytes` bytes of one event.
-    pub fn new(most: usize) -> Self {
-        Self { most, partial: BytesMut::new(), last_id: None }
+    pub fn new(max_bytes: usize) -> Self {
+        Self { max_bytes, partial: BytesMut::new(), last_id: None }
     }
 
     /// Adds bytes and returns those that end with a complete event.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = end_of_events(&self.partial) else {
-            if self.partial.len() > self.most {
+            if self.partial.len() > self.max_bytes {
                 return self.partial.split().freeze();
             }
             return Bytes::new();
@@ -39,7 +39,7 @@
     }
 
     /// Discards an event that a runner started and did not finish.
-    pub fn forget_partial(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
--- a/components/edge/src/gateway/follow_table.rs
+++ b/components/edge/src/gateway/follow_table.rs
@@ -12,15 +12,15 @@
 use settings::{BoundSettings, DeploymentSettings};
 
 use super::core::Core;
-use super::readers::Reading;
-use super::version_record::{self, Heard, RecordNews};
+use super::readers::HallReaders;
+use super::version_record::{self, ReceivedVersion, RecordUpdate};
 use crate::spawner::Spawner;
 use crate::store_timeouts::StoreTimeouts;
-use crate::watch::{watch, Dated, Seen, WatchOptions};
+use crate::watch::{watch, ChangeDate, TableEvent, WatchOptions};
 
 /// The responsibility of gateways that poll often to date versions closely, and the number of gateways that
 /// have it. It is more than one because a gateway may just have failed.
-const DATING: &str = "dates of versions";
+const DATING_RESPONSIBILITY: &str = "dates of versions";
 const DATING_GATEWAYS: usize = 2;
 /// The shortest time between the first two feed calls of a table, while a starting fleet is added to it.
 const FIRST_SPACING: Duration = Duration::from_millis(60);
@@ -34,11 +34,11 @@
 const FEEDS_PER_DRAIN: u32 = 4;
 
 /// Follows a table and passes its changes to the reducer.
-pub fn follow(
+pub fn follow_table(
     spawner: &Spawner,
     settings: &DeploymentSettings,
     core: &Core,
-    reading: &Reading,
+    readers: &HallReaders,
     table: Table,
 ) {
     let tables = core.tables.clone();
@@ -47,63 +47,66 @@
         table,
         timeouts: store_timeouts(&settings.bounds),
         first_spacing: FIRST_SPACING,
-        spacing: spacing(&settings.bounds, table),
-        longest_rest: longest_rest(&settings.bounds, table),
+        spacing: feed_spacing(&settings.bounds, table),
+        max_yield_pause: max_yield_pause(&settings.bounds, table),
         metrics: core.metrics.clone(),
         era: tables.era.clone(),
-        reading: reading.clone(),
+        readers: readers.clone(),
         time: tables.time.clone(),
-        dates_closely: dates_closely(core, table),
+        dates_precisely: dates_precisely(core, table),
     };
-    let reading = reading.clone();
-    let (hand_over, heard) = version_record::channel();
+    let readers = readers.clone();
+    let (updates, received) = version_record::channel();
     if table == Table::Operator {
         let version_ms = settings.bounds.version_ms;
-        spawner.detach(version_record::keep(
+        spawner.detach(version_record::maintain(
             core.clone(),
             settings.store.address,
             version_ms,
-            heard,
+            received,
         ));
     }
     let core = core.clone();
     let version_ms = settings.bounds.version_ms;
-    spawner.detach(watch(options, move |seen| match seen {
-        Seen::Whole => {
-            tables.of(table).note_whole(table);
-            core.tell_sidecars();
+    spawner.detach(watch(options, move |event| match event {
+        TableEvent::Complete => {
+            tables.of(table).record_complete(table);
+            core.notify_sidecars();
         }
-        Seen::Evacuations(list) => core.feed(Event::Evacuations(list)),
-        Seen::Heard { asked, known } => {
-            tables.of(table).note_heard(known);
-            let asked = core.clock.now().minus(asked.elapsed().as_millis() as u64 + 1);
-            core.feed(Event::Confirmed(store_table(table), asked));
+        TableEvent::Evacuations(list) => core.dispatch(Event::Evacuations(list)),
+        TableEvent::Answered { sent_at, known_until } => {
+            tables.of(table).record_answer(known_until);
+            let sent_at = core.clock.now().minus(sent_at.elapsed().as_millis() as u64 + 1);
+            core.dispatch(Event::Confirmed(store_table(table), sent_at));
             if table == Table::Runners {
-                core.feed(Event::ListHeard);
+                core.dispatch(Event::ListHeard);
             }
         }
-        Seen::Reached(reached) => tables.of(table).lost.set(!reached),
-        Seen::WentBack => {
+        TableEvent::ReachabilityChanged(is_reachable) => {
+            tables.of(table).is_lost.set(!is_reachable)
+        }
+        TableEvent::StoreRestored => {
             if table == Table::Operator {
-                hand_over_or_log(&hand_over, RecordNews::StoreWentBack);
-                core.note_went_back();
-                reading.note_went_back();
+                send_or_log(&updates, RecordUpdate::StoreRestored);
+                core.record_store_restore();
+                readers.record_store_restore();
             }
         }
-        Seen::Change { change, dated } => {
-            let concerns_sidecars = concerns_sidecars(&change) || turns_cold(&core, &change);
+        TableEvent::Change { change, date } => {
+            let should_notify_sidecars =
+                should_notify_sidecars(&change) || turns_cold(&core, &change);
             // A gateway that follows another gateway leaves the record to it.
-            let records = reading.source() == Source::Store;
-            let event = event(change, dated, version_ms);
-            let version = event.as_ref().and_then(heard_version).filter(|_| records);
+            let is_recording = readers.source() == Source::Store;
+            let event = reducer_event(change, date, version_ms);
+            let version = event.as_ref().and_then(version_to_record).filter(|_| is_recording);
             if let Some(event) = event {
-                core.feed(event);
+                core.dispatch(event);
             }
             if let Some(version) = version {
-                hand_over_or_log(&hand_over, RecordNews::Heard(version));
+                send_or_log(&updates, RecordUpdate::ReceivedVersion(version));
             }
-            if concerns_sidecars {
-                core.tell_sidecars();
+            if should_notify_sidecars {
+                core.notify_sidecars();
             }
         }
     }));
@@ -111,12 +114,12 @@
 
 /// Whether this gateway dates versions closely for all gateways: older versions may serve until a deadline
 /// that runs from the date, and the date of any gateway applies to all.
-fn dates_closely(core: &Core, table: Table) -> Rc<dyn Fn() -> bool> {
+fn dates_precisely(core: &Core, table: Table) -> Rc<dyn Fn() -> bool> {
     let core = core.clone();
     Rc::new(move || {
         let is_responsible = |gateway: &Gateway| {
             let members = gateway.members();
-            members.responsible(core.clock.now(), DATING, DATING_GATEWAYS).is_some()
+            members.responsible(core.clock.now(), DATING_RESPONSIBILITY, DATING_GATEWAYS).is_some()
         };
         table == Table::Operator && core.read(is_responsible)
     })
@@ -131,19 +134,21 @@
 }
 
 /// The version that an event reports, for the version record.
-fn heard_version(event: &Event) -> Option<Heard> {
+fn version_to_record(event: &Event) -> Option<ReceivedVersion> {
     match event {
-        Event::Named(NamedVersion { model, version, after_ms, .. }) => {
-            Some(Heard { model: model.clone(), version: *version, not_before_ms: *after_ms })
-        }
+        Event::Named(NamedVersion { model, version, after_ms, .. }) => Some(ReceivedVersion {
+            model: model.clone(),
+            version: *version,
+            not_before_ms: *after_ms,
+        }),
         _ => None,
     }
 }
 
 /// Passes an update to the task that maintains the version record. An update that finds the channel full is
 /// not recorded.
-fn hand_over_or_log(hand_over: &Sender<RecordNews>, news: RecordNews) {
-    if let Err(error) = hand_over.try_send(news) {
+fn send_or_log(updates: &Sender<RecordUpdate>, update: RecordUpdate) {
+    if let Err(error) = updates.try_send(update) {
         let reason = error.to_string();
         log::warn!(reason = reason.as_str(); "version is not recorded");
     }
@@ -156,7 +161,7 @@
 
 /// The shortest time between two feed calls of a table: a part of the time in which its changes have to take
 /// effect.
-pub fn spacing(bounds: &BoundSettings, table: Table) -> Duration {
+pub fn feed_spacing(bounds: &BoundSettings, table: Table) -> Duration {
     match table {
         Table::Runners => Duration::from_millis(bounds.drain_ms) / FEEDS_PER_DRAIN,
         Table::Operator | Table::Versions => {
@@ -168,7 +173,7 @@
 /// The longest pause of a table's feed that yields the link to the store to others: half of the time within
 /// which a leaving runner must become known. A request must not be served by an outdated operator table, so
 /// that table never pauses.
-fn longest_rest(bounds: &BoundSettings, table: Table) -> Duration {
+fn max_yield_pause(bounds: &BoundSettings, table: Table) -> Duration {
     match table {
         Table::Runners => Duration::from_millis(bounds.drain_ms) / 2,
         Table::Operator | Table::Versions => Duration::ZERO,
@@ -177,7 +182,7 @@
 
 /// Whether sidecars should be updated at once: about a named version, or because one of them is new and waits
 /// to learn which version its runner should hold.
-fn concerns_sidecars(change: &Change) -> bool {
+fn should_notify_sidecars(change: &Change) -> bool {
     match change {
         Change::Version { .. } => true,
         Change::Runner(record) => record.weights.is_none(),
@@ -199,7 +204,7 @@
 }
 
 /// The reducer's event for a change. `None` for changes that it receives as complete lists.
-fn event(change: Change, dated: Dated, version_ms: u64) -> Option<Event> {
+fn reducer_event(change: Change, date: ChangeDate, version_ms: u64) -> Option<Event> {
     Some(match change {
         Change::Configuration(catalog) => {
             let (routes, keys) = (catalog.route_count(), catalog.needs_keys());
@@ -208,8 +213,8 @@
         }
         Change::Version { model, version, .. } => {
             // The deadline runs from the time of naming, not from when this process received it.
-            let age_ms = dated.age.map(|it| it.as_millis() as u64 + 1);
-            let named = NamedVersion { model, version, age_ms, after_ms: dated.after_ms };
+            let age_ms = date.age.map(|it| it.as_millis() as u64 + 1);
+            let named = NamedVersion { model, version, age_ms, after_ms: date.after_ms };
             let named = if named.outlasts_guess(version_ms) {
                 named
             } else {
--- a/components/edge/src/gateway/node.rs
+++ b/components/edge/src/gateway/node.rs
@@ -17,14 +17,14 @@
 use telemetry::Metrics;
 use uptime::Instant;
 
-use super::answer::{own_answer, whole_body, AnswerBody};
+use super::answer::{error_answer, whole_body, AnswerBody};
 use super::core::Core;
-use super::follow_table::{follow, spacing, store_timeouts};
+use super::follow_table::{feed_spacing, follow_table, store_timeouts};
 use super::quarantine_record;
-use super::readers::{tend, Reading};
+use super::readers::{maintain_readers_row, HallReaders};
 use super::request;
 use super::reservations::Reservations;
-use super::sidecar_datagrams::exchange_news;
+use super::sidecar_datagrams::exchange_datagrams;
 use super::state_log;
 use super::table_server;
 use super::table_state::Tables;
@@ -38,12 +38,12 @@
 use crate::spawner::Spawner;
 
 /// How often the reducer receives a tick.
-const TICK: Duration = Duration::from_millis(15);
+const TICK_INTERVAL: Duration = Duration::from_millis(15);
 /// How long a stopping gateway continues to accept connections: the platform needs this long to detect the
 /// stop.
-const LINGER: Duration = Duration::from_millis(2600);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2600);
 /// How often a stopping gateway checks whether its connections have ended.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A gateway stops this long before the end of its grace period.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
@@ -63,12 +63,12 @@
     pub async fn start(spawner: &Spawner, settings: &DeploymentSettings) -> Result<Self> {
         let metrics = Rc::new(Metrics::start()?);
         let port = settings.node.first_port;
-        let news =
+        let socket =
             DatagramSocket::bind(SocketAddr::new(settings.node.address, port), metrics.clone())
                 .await?;
-        let reservations = Reservations::new(news.clone(), port);
+        let reservations = Reservations::new(socket.clone(), port);
         let timeouts = store_timeouts(&settings.bounds);
-        let gap = |table| timeouts.max_answer_gap(spacing(&settings.bounds, table));
+        let gap = |table| timeouts.max_answer_gap(feed_spacing(&settings.bounds, table));
         let tables = Rc::new(Tables::new(gap, Era::new(metrics.clone())));
         let core = Core::new(
             options(settings),
@@ -90,26 +90,30 @@
             callers: callers.clone(),
             accepting: RefCell::default(),
         };
-        let was_asked: Rc<Cell<bool>> = Rc::default();
+        let has_read_quarantine: Rc<Cell<bool>> = Rc::default();
         let store = settings.store.address;
-        spawner.detach(quarantine_record::keep(
+        spawner.detach(quarantine_record::maintain(
             core.clone(),
             store,
             core.crashes.clone(),
-            was_asked.clone(),
+            has_read_quarantine.clone(),
         ));
-        let whole = move || tables.are_whole() && was_asked.get();
-        node.serve_readiness(spawner, settings, whole, stopped.clone()).await?;
+        let is_ready = move || tables.are_complete() && has_read_quarantine.get();
+        node.serve_readiness(spawner, settings, is_ready, stopped.clone()).await?;
         let era = core.tables.era.clone();
-        let reading = Reading::new(settings, core.clock, era, core.metrics.clone());
-        node.serve_tables(spawner, settings, &reading, stopped.clone()).await?;
-        spawner.detach(tend(reading.clone(), store, settings.node.place.hall.clone()));
-        follow(spawner, settings, &core, &reading, Table::Operator);
-        follow(spawner, settings, &core, &reading, Table::Runners);
-        exchange_news(spawner, &core, news, port);
-        serve_page(spawner, settings, &core, callers, stopped.clone()).await?;
+        let readers = HallReaders::new(settings, core.clock, era, core.metrics.clone());
+        node.serve_tables(spawner, settings, &readers, stopped.clone()).await?;
+        spawner.detach(maintain_readers_row(
+            readers.clone(),
+            store,
+            settings.node.place.hall.clone(),
+        ));
+        follow_table(spawner, settings, &core, &readers, Table::Operator);
+        follow_table(spawner, settings, &core, &readers, Table::Runners);
+        exchange_datagrams(spawner, &core, socket, port);
+        serve_gateway_metrics(spawner, settings, &core, callers, stopped.clone()).await?;
         spawner.detach(tick(core.clone()));
-        spawner.detach(state_log::write(core.clone()));
+        spawner.detach(state_log::log_state(core.clone()));
         node.serve_callers(spawner, settings, stopped).await?;
         Ok(node)
     }
@@ -141,7 +145,7 @@
         &self,
         spawner: &Spawner,
         settings: &DeploymentSettings,
-        is_whole: impl Fn() -> bool + Clone + 'static,
+        is_ready: impl Fn() -> bool + Clone + 'static,
         stopped: Receiver<()>,
     ) -> Result<()> {
         let Some(gateway) = settings.gateway() else {
@@ -156,7 +160,7 @@
         };
         let stopping = self.stopping.clone();
         let handler = move |request: Request<Incoming>, _| {
-            let ready = is_whole() && !stopping.get();
+            let ready = is_ready() && !stopping.get();
             std::future::ready(readiness(&request, ready))
         };
         spawner.detach(serve(spawner.clone(), listener, options, handler));
@@ -168,7 +172,7 @@
         &self,
         spawner: &Spawner,
         settings: &DeploymentSettings,
-        reading: &Reading,
+        readers: &HallReaders,
         stopped: Receiver<()>,
     ) -> Result<()> {
         let address = SocketAddr::new(settings.node.address, settings.node.first_port);
@@ -179,8 +183,8 @@
             open_connections: Rc::default(),
             callers: self.callers.clone(),
         };
-        let reading = reading.clone();
-        let handler = move |request, _| table_server::answer(reading.clone(), request);
+        let readers = readers.clone();
+        let handler = move |request, _| table_server::answer(readers.clone(), request);
         spawner.detach(serve(spawner.clone(), listener, options, handler));
         Ok(())
     }
@@ -193,7 +197,7 @@
     /// Applies changed settings.
     pub fn apply(&self, settings: &DeploymentSettings) {
         self.grace.set(Duration::from_secs(settings.bounds.grace_s));
-        self.core.feed(Event::Bounded(options(settings)));
+        self.core.dispatch(Event::Bounded(options(settings)));
     }
 
     /// Stops without interrupting requests: reports that it is not ready, continues until the platform has
@@ -201,11 +205,11 @@
     pub async fn stop(&self) {
         let end = Instant::now() + self.grace.get().saturating_sub(GRACE_MARGIN);
         self.stopping.set(true);
-        Timer::after(LINGER).await;
+        Timer::after(ACCEPT_AFTER_STOP).await;
         drop(self.accepting.borrow_mut().take());
         self.stop.close();
         while self.open_connections.get() > 0 && Instant::now() < end {
-            Timer::after(STOP_POLL).await;
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
     }
 }
@@ -227,16 +231,16 @@
 
 fn readiness(request: &Request<Incoming>, ready: bool) -> Response<AnswerBody> {
     if request.uri().path() != platform::READINESS_PATH {
-        return own_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
+        return error_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
     }
     if !ready {
-        return own_answer(StatusCode::SERVICE_UNAVAILABLE, None, Code::NotReady);
+        return error_answer(StatusCode::SERVICE_UNAVAILABLE, None, Code::NotReady);
     }
     Response::new(whole_body("ready\n"))
 }
 
 /// Serves the metrics page with the gateway's current state.
-async fn serve_page(
+async fn serve_gateway_metrics(
     spawner: &Spawner,
     settings: &DeploymentSettings,
     core: &Core,
@@ -245,17 +249,17 @@
 ) -> Result<()> {
     let address = SocketAddr::new(settings.node.address, settings.node.last_port);
     let (metrics, core) = (core.metrics.clone(), core.clone());
-    let kept = callers.clone();
+    let metric_callers = callers.clone();
     let refresh = move || {
         let (under_way, waiting) = core.read(|gateway| gateway.load());
         let runners = core.read(|gateway| gateway.pool().len());
         let configuration = core.catalog().map_or(0, |it| it.version);
-        core.metrics.set("caller_bytes_kept", kept.buffered_bytes() as u64);
+        core.metrics.set("caller_bytes_kept", metric_callers.buffered_bytes() as u64);
         core.metrics.set("requests_under_way", under_way as u64);
         core.metrics.set("requests_waiting", waiting as u64);
         core.metrics.set("runners_listed", runners as u64);
-        let untold = core.read(|gateway| gateway.pool().count_untold());
-        core.metrics.set("runners_without_birth", untold as u64);
+        let without_start_time = core.read(|gateway| gateway.pool().count_untold());
+        core.metrics.set("runners_without_birth", without_start_time as u64);
         let now = core.clock.now();
         let (cold, responsible) = core.read(|it| it.cold_runners(now));
         let evacuated = core.read(|gateway| gateway.pool().evacuations.len());
@@ -277,7 +281,7 @@
             ("operator_table_age_ms", "operator_table_first_wait_ms", &core.tables.operator),
             ("runner_table_age_ms", "runner_table_first_wait_ms", &core.tables.runners),
         ] {
-            core.metrics.set(wait, table.first_whole_wait_ms());
+            core.metrics.set(wait, table.first_complete_wait_ms());
             // Absent until the first answer of the store: zero would look current.
             if let Some(age_ms) = table.age_ms() {
                 core.metrics.set(age, age_ms);
@@ -290,11 +294,11 @@
 async fn tick(core: Core) {
     let mut stall_detector = StallDetector::start();
     loop {
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
         if stall_detector.check(&core.metrics) {
-            core.feed(Event::Woke);
+            core.dispatch(Event::Woke);
             core.tables.era.notify_all();
         }
-        core.feed(Event::Tick);
+        core.dispatch(Event::Tick);
     }
 }
--- a/components/edge/src/gateway/notice_log.rs
+++ b/components/edge/src/gateway/notice_log.rs
@@ -5,7 +5,7 @@
 
 /// Logs that a runner is leaving, asks for a pause or reports a rate limit. The reducer emits this once for
 /// each process start of a runner, each pause and each change of its limit.
-pub fn note_notice(news: &NoticeNews) {
+pub fn log_notice(news: &NoticeNews) {
     let (runner, notice) = (news.runner.0.as_str(), news.notice);
     if notice.is_leaving {
         log::info!(runner = runner; "the runner says that it leaves");
--- a/components/edge/src/gateway/quarantine_record.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -20,84 +20,84 @@
 /// How long a call may take: three times the slowest usual answer, which leaves time for a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long the task sleeps if no call is due.
-const REST: Duration = Duration::from_secs(3600);
+const IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
 /// What wakes the task.
-enum Next {
+enum WakeUp {
     /// The status of a request has changed, or the process ends.
     StatusChange(std::result::Result<CrashNews, RecvError>),
     /// The store was restored from an older copy.
-    StoreWentBack,
+    StoreRestored,
 }
 
 /// Maintains the record for as long as the task runs. `has_read` is set after the first call to the store for
 /// it.
-pub async fn keep(
+pub async fn maintain(
     core: Core,
     store: SocketAddr,
     news: Receiver<CrashNews>,
-    was_asked: Rc<Cell<bool>>,
+    has_read: Rc<Cell<bool>>,
 ) {
     let mut record = QuarantineRecord::new(core.clock.now());
     let mut client = HttpClient::new(store);
     loop {
         let next = record.next_at().map(|at| core.clock.instant(at));
-        let until = next.unwrap_or_else(|| Instant::now() + REST);
-        let next = future::or(async { Next::StatusChange(news.recv().await) }, async {
-            let _ = core.went_back.recv().await;
-            Next::StoreWentBack
+        let until = next.unwrap_or_else(|| Instant::now() + IDLE_SLEEP);
+        let next = future::or(async { WakeUp::StatusChange(news.recv().await) }, async {
+            let _ = core.store_restored.recv().await;
+            WakeUp::StoreRestored
         });
         match with_deadline(until, next).await {
-            Some(Next::StatusChange(Ok(news))) => {
+            Some(WakeUp::StatusChange(Ok(news))) => {
                 record.hear(core.clock.now(), rand::random(), &news)
             }
-            Some(Next::StatusChange(Err(_))) => return,
-            Some(Next::StoreWentBack) => {
+            Some(WakeUp::StatusChange(Err(_))) => return,
+            Some(WakeUp::StoreRestored) => {
                 let now = core.clock.now();
                 let quarantined = core.read(|it| it.quarantined());
-                let mine = quarantined.into_iter();
-                let mine = mine.filter(|it| core.writes_again(now, &it.to_string()));
-                record.note_went_back(now, rand::random(), mine);
+                let responsible = quarantined.into_iter();
+                let responsible = responsible.filter(|it| core.rewrites_row(now, &it.to_string()));
+                record.note_went_back(now, rand::random(), responsible);
             }
             None => {}
         }
         let lives = |digest, unrecorded| core.read(|it| it.lives_under(digest, unrecorded));
         if let Some(call) = record.due(core.clock.now(), lives) {
-            make(&core, &mut record, &mut client, call).await;
-            was_asked.set(true);
+            perform_call(&core, &mut record, &mut client, call).await;
+            has_read.set(true);
         }
     }
 }
 
 /// Makes a call and applies its answer.
-async fn make(
+async fn perform_call(
     core: &Core,
     record: &mut QuarantineRecord,
     client: &mut HttpClient,
     call: QuarantineCall,
 ) {
-    let answer = match ask(core, client, &call).await {
+    let answer = match send_call(core, client, &call).await {
         Ok(answer) => answer,
         Err(error) => {
             let reason = error.to_string();
-            log::warn!(call = name(&call), reason = reason.as_str(); "record of the quarantine not reached");
+            log::warn!(call = call_name(&call), reason = reason.as_str(); "record of the quarantine not reached");
             QuarantineAnswer::Failed
         }
     };
-    core.metrics.count_platform(name(&call), outcome(&answer));
-    tell(&call, &answer);
+    core.metrics.count_platform(call_name(&call), outcome_name(&answer));
+    log_outcome(&call, &answer);
     let recorded = record.take(core.clock.now(), rand::random(), &call, &answer);
     if let Some(digest) = recorded {
-        core.feed(Event::Recorded(digest));
+        core.dispatch(Event::Recorded(digest));
         // Other gateways need not write it too.
-        core.tell_sidecars();
+        core.notify_sidecars();
     }
     if let QuarantineAnswer::Rows(list) = answer {
-        core.feed(Event::Crashes(list));
+        core.dispatch(Event::Crashes(list));
     }
 }
 
-async fn ask(
+async fn send_call(
     core: &Core,
     client: &mut HttpClient,
     call: &QuarantineCall,
@@ -108,8 +108,8 @@
 }
 
 /// Logs the outcome of a call.
-fn tell(call: &QuarantineCall, answer: &QuarantineAnswer) {
-    let outcome = outcome(answer);
+fn log_outcome(call: &QuarantineCall, answer: &QuarantineAnswer) {
+    let outcome = outcome_name(answer);
     match call {
         QuarantineCall::Read => {
             let rows = match answer {
@@ -130,7 +130,7 @@
 }
 
 /// The name of a call in the metrics.
-fn name(call: &QuarantineCall) -> &'static str {
+fn call_name(call: &QuarantineCall) -> &'static str {
     match call {
         QuarantineCall::Read => "quarantine_read",
         QuarantineCall::Write(..) => "quarantine_write",
@@ -138,7 +138,7 @@
     }
 }
 
-fn outcome(answer: &QuarantineAnswer) -> &'static str {
+fn outcome_name(answer: &QuarantineAnswer) -> &'static str {
     match answer {
         QuarantineAnswer::Rows(_) | QuarantineAnswer::Done => "ok",
         QuarantineAnswer::Failed => "failed",
--- a/components/edge/src/gateway/request.rs
+++ b/components/edge/src/gateway/request.rs
@@ -16,25 +16,25 @@
 use quarantine::RequestDigest;
 use telemetry::Span;
 
-use super::answer::{own_answer, refusal, AnswerBody};
-use super::attempt::{Attempt, Outcome};
-use super::core::{Core, Ticket};
-use super::relay::Begun;
-use super::trace::{Ending, Trace};
+use super::answer::{error_answer, refusal, AnswerBody};
+use super::attempt::{Attempt, AttemptResult};
+use super::core::{Core, RequestHandle};
+use super::relay::StartedAnswer;
+use super::trace::{RequestEnd, Trace};
 use crate::caller::Caller;
 use crate::caller_buffers::NoMemory;
 
 /// `Retry-After` of a gateway that has no configuration, or does not know whether its own is current, in
 /// milliseconds: about the mean time until the next call to the store.
-const NOT_READY_RETRY_AFTER: u64 = 500;
+const NOT_READY_RETRY_AFTER_MS: u64 = 500;
 /// `Retry-After` if there is no memory for a request body, in milliseconds: slow readers are disconnected
 /// meanwhile.
-const NO_MEMORY_RETRY_AFTER: u64 = 500;
+const NO_MEMORY_RETRY_AFTER_MS: u64 = 500;
 /// How long a request without a deadline is processed, in milliseconds.
-const DEFAULT_DEADLINE: u64 = 30_000;
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
 /// What every attempt of a request needs.
-pub struct Job {
+pub struct RequestContext {
     /// The facts in its head.
     pub facts: RequestFacts,
     /// The log of the decisions on it.
@@ -58,14 +58,14 @@
     /// The caller's deadline, if it sent one.
     pub deadline: Option<Millis>,
     /// When the final answer must be sent.
-    pub limit: Millis,
+    pub answer_deadline: Millis,
     /// The latency target of the answer, in milliseconds.
     pub aim_ms: u64,
     /// The target of the longest pause between events, in milliseconds.
     pub gap_aim_ms: u64,
 }
 
-impl Drop for Job {
+impl Drop for RequestContext {
     fn drop(&mut self) {
         self.caller.release_body();
     }
@@ -82,7 +82,7 @@
 }
 
 /// The route of a request, by the configuration.
-struct Routed {
+struct ResolvedRoute {
     route: String,
     service: ServiceName,
     /// The model, if the service runs one.
@@ -116,7 +116,7 @@
     let routed = match route(&catalog, &head.headers, &head.uri, &facts) {
         Ok(routed) => routed,
         Err((status, code)) => {
-            trace.note(Decision::Unrouted {
+            trace.add(Decision::Unrouted {
                 configuration: catalog.version,
                 age_ms: core.tables.operator.age_ms(),
             });
@@ -125,33 +125,35 @@
                 return not_ready(&trace, id.as_deref());
             }
             trace.refuse(status.as_u16(), code, None, Standing::default());
-            return own_answer(status, id.as_deref(), code);
+            return error_answer(status, id.as_deref(), code);
         }
     };
-    let held = routed.timeout_ms.min(facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE));
-    let limit = arrived.plus(held);
+    let timeout_ms = routed.timeout_ms.min(facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+    let answer_deadline = arrived.plus(timeout_ms);
     caller.set_read_timeout(Duration::from_millis(routed.timeout_ms));
     let reading = read_body(&caller, body, catalog.limits.body_bytes);
-    let body = before(&core, limit, reading).await.unwrap_or(Err(BodyFault::Late));
+    let body = with_request_deadline(&core, answer_deadline, reading)
+        .await
+        .unwrap_or(Err(BodyError::Late));
     let body = match body {
         Ok(body) => body,
-        Err(fault) => {
+        Err(error) => {
             caller.release_body();
-            return fault.refuse(&trace, id.as_deref());
+            return error.refuse(&trace, id.as_deref());
         }
     };
     let path = head.uri.path_and_query().map_or("", |it| it.as_str());
     let digest = RequestDigest::of(head.method.as_str(), path, routed.workspace.as_ref(), &body);
     trace.set_kind(kind_name(routed.kind));
-    trace.note(Decision::Routed {
+    trace.add(Decision::Routed {
         route: routed.route.clone(),
         service: routed.service.0.clone(),
         configuration: catalog.version,
         kind: kind_name(routed.kind).into(),
-        held_ms: held,
+        held_ms: timeout_ms,
         digest: digest.to_string(),
     });
-    let job = Job {
+    let context = RequestContext {
         trace,
         method: head.method,
         uri: head.uri,
@@ -162,32 +164,32 @@
         prompt_tokens: routed.prompt_tokens,
         workspace: routed.workspace,
         deadline: facts.deadline_ms.map(|it| arrived.plus(it)),
-        limit,
+        answer_deadline,
         aim_ms: routed.aim_ms,
         gap_aim_ms: routed.gap_aim_ms,
         facts,
     };
-    let ticket = core.announce(|key| Arrival {
+    let handle = core.register_request(|key| Arrival {
         key,
         digest,
         route: routed.route,
-        workspace: job.workspace.clone(),
+        workspace: context.workspace.clone(),
         homes: routed.homes,
         service: routed.service,
-        kind: job.kind,
+        kind: context.kind,
         priority: routed.priority,
         model: routed.model,
-        prompt_tokens: job.prompt_tokens,
-        aim_ms: job.aim_ms,
-        deadline_ms: job.facts.deadline_ms,
-        limit: job.limit,
+        prompt_tokens: context.prompt_tokens,
+        aim_ms: context.aim_ms,
+        deadline_ms: context.facts.deadline_ms,
+        limit: context.answer_deadline,
         attempts: routed.attempts,
     });
-    carry_out(core, Rc::new(job), ticket).await
+    run_attempts(core, Rc::new(context), handle).await
 }
 
 /// Why the body of a request was not read.
-enum BodyFault {
+enum BodyError {
     /// It is larger than the configuration allows.
     TooLarge,
     /// It was truncated.
@@ -198,42 +200,46 @@
     NoMemory,
 }
 
-impl BodyFault {
+impl BodyError {
     fn refuse(&self, trace: &Trace, id: Option<&str>) -> Response<AnswerBody> {
         let (status, code) = match self {
             Self::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, Code::TooLarge),
             Self::Broken => (StatusCode::BAD_REQUEST, Code::BadRequest),
             Self::Late => (StatusCode::REQUEST_TIMEOUT, Code::TooLate),
             Self::NoMemory => {
-                let back = NO_MEMORY_RETRY_AFTER;
-                trace.refuse(503, Code::Overloaded, Some(back), Standing::default());
-                return refusal(id, Code::Overloaded, back);
+                let retry_after_ms = NO_MEMORY_RETRY_AFTER_MS;
+                trace.refuse(503, Code::Overloaded, Some(retry_after_ms), Standing::default());
+                return refusal(id, Code::Overloaded, retry_after_ms);
             }
         };
         trace.refuse(status.as_u16(), code, None, Standing::default());
-        own_answer(status, id, code)
+        error_answer(status, id, code)
     }
 }
 
 /// Reads the body of a request, as far as there is memory for it.
-async fn read_body(caller: &Caller, mut body: Incoming, most: usize) -> Result<Bytes, BodyFault> {
-    let mut whole = BytesMut::new();
+async fn read_body(
+    caller: &Caller,
+    mut body: Incoming,
+    max_bytes: usize,
+) -> Result<Bytes, BodyError> {
+    let mut body_bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let bytes = frame.map_err(|_| BodyFault::Broken)?.into_data().unwrap_or_default();
-        if whole.len() + bytes.len() > most {
-            return Err(BodyFault::TooLarge);
+        let bytes = frame.map_err(|_| BodyError::Broken)?.into_data().unwrap_or_default();
+        if body_bytes.len() + bytes.len() > max_bytes {
+            return Err(BodyError::TooLarge);
         }
-        caller.reserve_body(bytes.len()).map_err(|NoMemory| BodyFault::NoMemory)?;
-        whole.extend_from_slice(&bytes);
+        caller.reserve_body(bytes.len()).map_err(|NoMemory| BodyError::NoMemory)?;
+        body_bytes.extend_from_slice(&bytes);
     }
-    Ok(whole.freeze())
+    Ok(body_bytes.freeze())
 }
 
 /// Refuses a request because no configuration is known, or it may be outdated.
 fn not_ready(trace: &Trace, id: Option<&str>) -> Response<AnswerBody> {
-    let back = Some(NOT_READY_RETRY_AFTER);
-    trace.refuse(503, Code::NotReady, back, Standing::default());
-    refusal(id, Code::NotReady, NOT_READY_RETRY_AFTER)
+    let retry_after_ms = Some(NOT_READY_RETRY_AFTER_MS);
+    trace.refuse(503, Code::NotReady, retry_after_ms, Standing::default());
+    refusal(id, Code::NotReady, NOT_READY_RETRY_AFTER_MS)
 }
 
 /// Finds the route of a request and checks its API key.
@@ -242,7 +248,7 @@
     headers: &HeaderMap,
     uri: &Uri,
     facts: &RequestFacts,
-) -> Result<Routed, (StatusCode, Code)> {
+) -> Result<ResolvedRoute, (StatusCode, Code)> {
     let host = headers.get(http::header::HOST).and_then(|it| it.to_str().ok()).unwrap_or("");
     let route =
         catalog.route(host, uri.path()).ok_or((StatusCode::NOT_FOUND, Code::UnknownTarget))?;
@@ -255,7 +261,7 @@
     // A model named by the caller is used only if the service runs one.
     let engine = catalog.service(service).and_then(|it| it.engine.as_ref());
     let model = engine.map(|it| facts.model.clone().unwrap_or_else(|| it.model.clone()));
-    Ok(Routed {
+    Ok(ResolvedRoute {
         route: route.name.clone(),
         service: service.clone(),
         prompt_tokens: engine.map_or(0, |it| facts.prompt_tokens.unwrap_or(it.usual_prompt_tokens)),
@@ -273,39 +279,48 @@
 }
 
 /// Makes attempts as the reducer decides, until one is answered or none is left.
-async fn carry_out(core: Core, job: Rc<Job>, ticket: Ticket) -> Response<AnswerBody> {
-    let mut held = None;
+async fn run_attempts(
+    core: Core,
+    context: Rc<RequestContext>,
+    handle: RequestHandle,
+) -> Response<AnswerBody> {
+    let mut last_error_answer = None;
     let mut sent = false;
     let mut attempts = 0;
-    let id = job.facts.id.clone();
+    let id = context.facts.id.clone();
     loop {
-        let Some(step) = before(&core, job.limit, ticket.next_step()).await.flatten() else {
-            return out_of_time(&job, sent);
+        let Some(step) = with_request_deadline(&core, context.answer_deadline, handle.next_step())
+            .await
+            .flatten()
+        else {
+            return deadline_expired(&context, sent);
         };
         let target = match step {
             NextStep::Send(target) => target,
             NextStep::Refuse { code, retry_after_ms, standing } => {
-                job.trace.refuse(503, code, Some(retry_after_ms), standing);
+                context.trace.refuse(503, code, Some(retry_after_ms), standing);
                 return refusal(id.as_deref(), code, retry_after_ms);
             }
-            NextStep::GiveUp(code) => return give_up(&job, held, code),
+            NextStep::GiveUp(code) => return final_failure(&context, last_error_answer, code),
         };
         if attempts == 0 {
-            core.metrics.note_span(Span::Queue, job.trace.age_ms());
+            core.metrics.note_span(Span::Queue, context.trace.age_ms());
         }
         attempts += 1;
-        job.trace.choose(&target, attempts);
-        let begun = job.trace.age_ms();
-        let attempt = Attempt { core: &core, job: &job, key: ticket.key, target: &target };
-        match before(&core, job.limit, attempt.run(None, &mut sent)).await {
-            None => return out_of_time(&job, sent),
-            Some(Outcome::Answer(answer)) => {
-                return Begun { core, job, ticket, target, answer }.hand_on().await;
+        context.trace.add_choice(&target, attempts);
+        let started_ms = context.trace.age_ms();
+        let attempt = Attempt { core: &core, context: &context, key: handle.key, target: &target };
+        match with_request_deadline(&core, context.answer_deadline, attempt.run(None, &mut sent))
+            .await
+        {
+            None => return deadline_expired(&context, sent),
+            Some(AttemptResult::Answer(answer)) => {
+                return StartedAnswer { core, context, handle, target, answer }.forward().await;
             }
-            Some(Outcome::Failure { outcome, answer }) => {
-                held = answer;
-                job.trace.fail(&target, outcome, job.trace.age_ms() - begun);
-                core.feed(gateway::Event::Attempt(ticket.key, outcome));
+            Some(AttemptResult::Failure { outcome, answer }) => {
+                last_error_answer = answer;
+                context.trace.add_failure(&target, outcome, context.trace.age_ms() - started_ms);
+                core.dispatch(gateway::Event::Attempt(handle.key, outcome));
             }
         }
     }
@@ -313,34 +328,38 @@
 
 /// The final answer if no attempt is left: the runner's error answer, or one that says that the outcome is
 /// unknown.
-fn give_up(job: &Job, held: Option<Response<AnswerBody>>, code: Code) -> Response<AnswerBody> {
-    let Some(held) = held else {
-        job.trace.end(Ending::Unknown, 502, Some(code));
-        return own_answer(StatusCode::BAD_GATEWAY, job.facts.id.as_deref(), code);
+fn final_failure(
+    context: &RequestContext,
+    runner_answer: Option<Response<AnswerBody>>,
+    code: Code,
+) -> Response<AnswerBody> {
+    let Some(runner_answer) = runner_answer else {
+        context.trace.end(RequestEnd::Unknown, 502, Some(code));
+        return error_answer(StatusCode::BAD_GATEWAY, context.facts.id.as_deref(), code);
     };
-    job.trace.end(Ending::Failed, held.status().as_u16(), Some(code));
-    held
+    context.trace.end(RequestEnd::Failed, runner_answer.status().as_u16(), Some(code));
+    runner_answer
 }
 
 /// The final answer if the time limit of the request has expired.
-fn out_of_time(job: &Job, sent: bool) -> Response<AnswerBody> {
-    let id = job.facts.id.as_deref();
+fn deadline_expired(context: &RequestContext, sent: bool) -> Response<AnswerBody> {
+    let id = context.facts.id.as_deref();
     if sent {
-        job.trace.end(Ending::Unknown, 504, Some(Code::TimedOut));
-        own_answer(StatusCode::GATEWAY_TIMEOUT, id, Code::TimedOut)
+        context.trace.end(RequestEnd::Unknown, 504, Some(Code::TimedOut));
+        error_answer(StatusCode::GATEWAY_TIMEOUT, id, Code::TimedOut)
     } else {
-        job.trace.refuse(503, Code::TooLate, Some(0), Standing::default());
+        context.trace.refuse(503, Code::TooLate, Some(0), Standing::default());
         refusal(id, Code::TooLate, 0)
     }
 }
 
 /// Waits for a future until a time of the process's clock. `None` if the time comes first.
-pub async fn before<T>(
+pub async fn with_request_deadline<T>(
     core: &Core,
-    limit: Millis,
+    answer_deadline: Millis,
     future: impl std::future::Future<Output = T>,
 ) -> Option<T> {
-    let left = Duration::from_millis(limit.since(core.clock.now()).0);
+    let left = Duration::from_millis(answer_deadline.since(core.clock.now()).0);
     future::or(async { Some(future.await) }, async {
         uptime::sleep(left).await;
         None
--- a/components/edge/src/gateway/reservations.rs
+++ b/components/edge/src/gateway/reservations.rs
@@ -21,7 +21,7 @@
 
 /// The parameters of a reservation.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct SlotRequest {
     /// The number of tokens of the request's prompt.
     pub prompt_tokens: u32,
     /// The rank of the request; the lowest is served first.
@@ -36,60 +36,60 @@
 }
 
 /// Waits for the next reply.
-async fn next(answers: &Receiver<Reply>, timeout: Duration) -> Option<Reply> {
+async fn next_reply(answers: &Receiver<Reply>, timeout: Duration) -> Option<Reply> {
     with_deadline(Instant::now() + timeout, answers.recv()).await?.ok()
 }
 
 /// Reserves slots by asking sidecars.
 #[derive(Clone)]
 pub struct Reservations {
-    news: DatagramSocket,
+    socket: DatagramSocket,
     /// The port on which sidecars listen.
     port: u16,
-    open: Rc<RefCell<Open>>,
+    pending: Rc<RefCell<PendingReservations>>,
 }
 
 /// Reservations that wait for their replies.
 #[derive(Default)]
-struct Open {
-    next: u64,
+struct PendingReservations {
+    last_question: u64,
     /// The runner of each reservation, and the channel for its replies.
     waiting: HashMap<u64, (SocketAddr, Sender<Reply>)>,
 }
 
 impl Reservations {
     /// Creates a client that sends over a socket.
-    pub fn new(news: DatagramSocket, port: u16) -> Self {
-        Self { news, port, open: Rc::default() }
+    pub fn new(socket: DatagramSocket, port: u16) -> Self {
+        Self { socket, port, pending: Rc::default() }
     }
 
     /// Reserves a slot at a runner. Returns why the request must not be sent there, or `None` if the slot is
     /// granted.
-    pub async fn ask(
+    pub async fn reserve(
         &self,
         runner: SocketAddr,
         request: &str,
-        wanted: Wanted,
+        slot_request: SlotRequest,
     ) -> Option<AttemptOutcome> {
-        let Wanted { prompt_tokens, rank, left_ms, wait_ms, limit } = wanted;
+        let SlotRequest { prompt_tokens, rank, left_ms, wait_ms, limit } = slot_request;
         let left_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
         let (sender, answers) = async_channel::bounded(2);
         let question = {
-            let mut open = self.open.borrow_mut();
-            open.next += 1;
-            let question = open.next;
-            open.waiting.insert(question, (runner, sender));
+            let mut pending = self.pending.borrow_mut();
+            pending.last_question += 1;
+            let question = pending.last_question;
+            pending.waiting.insert(question, (runner, sender));
             question
         };
-        let _end = Question { open: &self.open, question };
+        let _guard = PendingGuard { pending: &self.pending, question };
         let sidecar = SocketAddr::new(runner.ip(), self.port);
         let request = request.to_owned();
         let reserve =
             Datagram::Reserve { question, request, prompt_tokens, rank, left_ms, wait_ms, limit };
-        self.news.send(sidecar, &reserve).await;
-        let mut reply = next(&answers, ANSWER_TIMEOUT).await;
+        self.socket.send(sidecar, &reserve).await;
+        let mut reply = next_reply(&answers, ANSWER_TIMEOUT).await;
         if reply == Some(Reply::Queued) {
-            reply = next(&answers, Duration::from_millis(wait_ms) + ANSWER_TIMEOUT).await;
+            reply = next_reply(&answers, Duration::from_millis(wait_ms) + ANSWER_TIMEOUT).await;
         }
         match reply {
             Some(Reply::Granted) => None,
@@ -102,26 +102,26 @@
     }
 
     /// Passes on a reply.
-    pub fn settle(&self, question: u64, reply: Reply) {
-        if let Some((_, waiting)) = self.open.borrow().waiting.get(&question) {
+    pub fn deliver_reply(&self, question: u64, reply: Reply) {
+        if let Some((_, waiting)) = self.pending.borrow().waiting.get(&question) {
             let _ = waiting.try_send(reply);
         }
     }
 
     /// The runner of a reservation that waits for its reply.
     pub fn runner(&self, question: u64) -> Option<SocketAddr> {
-        self.open.borrow().waiting.get(&question).map(|(runner, _)| *runner)
+        self.pending.borrow().waiting.get(&question).map(|(runner, _)| *runner)
     }
 }
 
 /// Removes a reservation when its request is dropped.
-struct Question<'a> {
-    open: &'a Rc<RefCell<Open>>,
+struct PendingGuard<'a> {
+    pending: &'a Rc<RefCell<PendingReservations>>,
     question: u64,
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.open.borrow_mut().waiting.remove(&self.question);
+        self.pending.borrow_mut().waiting.remove(&self.question);
     }
 }
--- a/components/edge/src/gateway/sidecar_datagrams.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -20,95 +20,95 @@
 
 /// Interval of subscriptions, which ask sidecars for reports and carry what operators wrote. A change of that
 /// is sent earlier.
-const SUBSCRIBE_EVERY: Duration = Duration::from_millis(1000);
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(1000);
 /// Number of sidecars per interval that are asked which gateways they know, by a gateway that is unsure of
 /// the others and by any other one, if each sidecar knows all gateways.
-const ASKED_UNSURE: usize = 3;
-const ASKED: usize = 1;
+const QUERIED_IF_UNSURE: usize = 3;
+const QUERIED: usize = 1;
 /// The same if each sidecar knows a part of the gateways: the other answers contain what one lacks.
-const ASKED_FOR_PARTS: usize = 6;
+const QUERIED_FOR_PARTS: usize = 6;
 /// The greatest age of the runner list by which a sidecar is informed that its runner is warm. With the time
 /// that writing a row takes, it is less than the time after a start from which sidecars believe it. A store
 /// that has just become unreachable is not yet known to be so.
-const WARM_WORD_AGE: Duration = Duration::from_millis(1000);
+const MAX_WARM_REPORT_AGE: Duration = Duration::from_millis(1000);
 /// The shortest time between two rounds of subscriptions.
 const SUBSCRIBE_SPACING: Duration = Duration::from_millis(100);
 
 /// Subscribes to the reports of sidecars and processes their datagrams for as long as the tasks run.
-pub fn exchange_news(spawner: &Spawner, core: &Core, news: DatagramSocket, port: u16) {
-    spawner.detach(ask(core.clone(), news.clone(), port));
-    spawner.detach(take(core.clone(), news, port));
+pub fn exchange_datagrams(spawner: &Spawner, core: &Core, socket: DatagramSocket, port: u16) {
+    spawner.detach(send_subscriptions(core.clone(), socket.clone(), port));
+    spawner.detach(receive_datagrams(core.clone(), socket, port));
 }
 
-async fn ask(core: Core, news: DatagramSocket, port: u16) {
-    let mut asked_at = None;
+async fn send_subscriptions(core: Core, socket: DatagramSocket, port: u16) {
+    let mut last_sent_at = None;
     loop {
-        let sidecars = sidecars(&core, port);
-        let due = asked_at.is_none_or(|at: Instant| at.elapsed() >= SUBSCRIBE_EVERY);
-        let asked = if due { draw_asked(&core, &sidecars) } else { Vec::new() };
+        let sidecars = sidecar_addresses(&core, port);
+        let due = last_sent_at.is_none_or(|at: Instant| at.elapsed() >= SUBSCRIBE_INTERVAL);
+        let queried = if due { sample_queried(&core, &sidecars) } else { Vec::new() };
         if due {
-            asked_at = Some(Instant::now());
+            last_sent_at = Some(Instant::now());
         }
-        let subscribe = Subscription::new(&core);
-        let is_told = !sidecars.is_empty() && !subscribe.services.is_empty();
+        let subscription = Subscription::new(&core);
+        let is_first_content = !sidecars.is_empty() && !subscription.services.is_empty();
         for sidecar in sidecars {
-            let datagram = subscribe.to(sidecar, asked.contains(&sidecar));
-            news.send(sidecar, &datagram).await;
+            let datagram = subscription.for_sidecar(sidecar, queried.contains(&sidecar));
+            socket.send(sidecar, &datagram).await;
         }
-        if is_told {
+        if is_first_content {
             // The first round is not delayed: sidecars grant no slot before it.
             Timer::after(SUBSCRIBE_SPACING).await;
         }
-        with_deadline(Instant::now() + SUBSCRIBE_EVERY, core.named.recv()).await;
+        with_deadline(Instant::now() + SUBSCRIBE_INTERVAL, core.sidecar_updates.recv()).await;
     }
 }
 
-async fn take(core: Core, news: DatagramSocket, port: u16) {
+async fn receive_datagrams(core: Core, socket: DatagramSocket, port: u16) {
     let runners = &core.tables.runners;
     loop {
-        let (sender, datagram) = news.receive().await;
+        let (sender, datagram) = socket.receive().await;
         match datagram {
-            Datagram::WantSidecars { question, service } if runners.is_whole() => {
-                let fresh = !runners.lost.get();
+            Datagram::WantSidecars { question, service } if runners.is_complete() => {
+                let fresh = !runners.is_lost.get();
                 let answer =
                     core.read(|it| sidecar_list::sidecar_list(it, &service, question, fresh));
                 for part in answer {
-                    news.send(sender, &part).await;
+                    socket.send(sender, &part).await;
                 }
-                if !sidecars(&core, port).contains(&sender) {
+                if !sidecar_addresses(&core, port).contains(&sender) {
                     // A sidecar that no gateway has contacted yet learns versions and weights from this.
-                    news.send(sender, &Subscription::new(&core).to(sender, false)).await;
+                    socket.send(sender, &Subscription::new(&core).for_sidecar(sender, false)).await;
                 }
             }
             Datagram::WantSidecars { question, .. } => {
                 let hall = core.read(|gateway| gateway.hall().clone());
                 let pending = SidecarsPart::pending(question, hall);
-                news.send(sender, &Datagram::Sidecars(pending)).await;
+                socket.send(sender, &Datagram::Sidecars(pending)).await;
             }
             Datagram::Load { runner, mut load, evacuations, crashes, clock_ms } => {
                 let mut time = core.tables.time.borrow_mut();
                 clock_ms.into_iter().for_each(|it| time.record_report(it));
                 time.set_ages(&mut load.named);
                 drop(time);
-                core.feed(Event::Evacuations(evacuations));
-                core.feed(Event::Crashes(crashes));
-                core.feed(Event::Load(runner, load));
+                core.dispatch(Event::Evacuations(evacuations));
+                core.dispatch(Event::Crashes(crashes));
+                core.dispatch(Event::Load(runner, load));
             }
             Datagram::Reserved { question, reply, load, evacuations, limit } => {
-                core.feed(Event::Evacuations(evacuations));
+                core.dispatch(Event::Evacuations(evacuations));
                 let runner = core.reservations.runner(question);
                 if let Some((runner, load)) = runner.zip(load) {
-                    core.feed(Event::Load(runner, load));
+                    core.dispatch(Event::Load(runner, load));
                 }
                 if let Some(runner) = runner {
-                    core.feed(Event::LimitTold(runner, limit));
+                    core.dispatch(Event::LimitTold(runner, limit));
                 }
-                core.reservations.settle(question, reply);
+                core.reservations.deliver_reply(question, reply);
             }
-            Datagram::Gateways(list) => core.feed(Event::Gateways(list)),
+            Datagram::Gateways(list) => core.dispatch(Event::Gateways(list)),
             Datagram::Crashes { crashes, limits } => {
-                core.feed(Event::Crashes(crashes));
-                core.feed(Event::Limits(limits));
+                core.dispatch(Event::Crashes(crashes));
+                core.dispatch(Event::Limits(limits));
             }
             Datagram::Subscribe { .. }
             | Datagram::Sidecars(_)
@@ -122,14 +122,14 @@
 }
 
 /// The sidecars that are asked which gateways they know.
-fn draw_asked(core: &Core, sidecars: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
+fn sample_queried(core: &Core, sidecars: &BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
     let now = core.clock.now();
     let unsure = core.read(|it| it.members().sureness(now)) == Sureness::Unsure;
     let partial = core.read(|it| it.members().is_partial());
     let count = match (partial, unsure) {
-        (true, _) => ASKED_FOR_PARTS,
-        (false, true) => ASKED_UNSURE,
-        (false, false) => ASKED,
+        (true, _) => QUERIED_FOR_PARTS,
+        (false, true) => QUERIED_IF_UNSURE,
+        (false, false) => QUERIED,
     };
     sidecars.iter().copied().choose_multiple(&mut rand::rng(), count)
 }
@@ -151,7 +151,7 @@
 impl Subscription {
     fn new(core: &Core) -> Self {
         let now = core.clock.now();
-        let is_fresh = core.tables.runners.was_heard_within(WARM_WORD_AGE);
+        let is_fresh = core.tables.runners.is_known_within(MAX_WARM_REPORT_AGE);
         let mut cold = core.read(|gateway| gateway.cold_machines(now));
         cold.retain(|_, left| is_fresh || *left > 0);
         Self {
@@ -167,7 +167,7 @@
     }
 
     /// The subscription for one sidecar.
-    fn to(&self, sidecar: SocketAddr, wants_gateways: bool) -> Datagram {
+    fn for_sidecar(&self, sidecar: SocketAddr, wants_gateways: bool) -> Datagram {
         let left = self.cold.get(&sidecar.ip());
         Datagram::Subscribe {
             hall: self.hall.clone(),
@@ -184,7 +184,7 @@
 }
 
 /// The addresses of the sidecars that this gateway follows, on the machines of their runners.
-fn sidecars(core: &Core, port: u16) -> BTreeSet<SocketAddr> {
+fn sidecar_addresses(core: &Core, port: u16) -> BTreeSet<SocketAddr> {
     core.read(|gateway| {
         let machines = gateway.followed().map(|it| it.record.address.ip());
         machines.map(|machine| SocketAddr::new(machine, port)).collect()
--- a/components/edge/src/gateway/sidecar_datagrams/tests.rs
+++ b/components/edge/src/gateway/sidecar_datagrams/tests.rs
@@ -10,7 +10,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::era::Era;
-use crate::gateway::request::before;
+use crate::gateway::request::with_request_deadline;
 use crate::gateway::reservations::Reservations;
 use crate::gateway::table_state::Tables;
 
@@ -48,8 +48,8 @@
     let cold = Some(ColdProfile { start_ms: 8000, requests_per_s: 26.0 });
     let service = Service { name: "s".into(), engine: Some(engine), origin: None, cold };
     let parts = CatalogParts { version: 1, services: vec![service], ..CatalogParts::default() };
-    core.feed(Event::Configured(Arc::new(Catalog::new(parts))));
-    core.feed(Event::Listed(RunnerRecord {
+    core.dispatch(Event::Configured(Arc::new(Catalog::new(parts))));
+    core.dispatch(Event::Listed(RunnerRecord {
         life: Default::default(),
         id: "r".into(),
         service: "s".into(),
@@ -63,8 +63,8 @@
     core
 }
 
-fn told_cold_ms(core: &Core) -> Option<u32> {
-    match Subscription::new(core).to(RUNNER.into(), false) {
+fn sent_cold_ms(core: &Core) -> Option<u32> {
+    match Subscription::new(core).for_sidecar(RUNNER.into(), false) {
         Datagram::Subscribe { cold_ms, .. } => cold_ms,
         other => panic!("{other:?}"),
     }
@@ -74,11 +74,11 @@
 fn a_runner_is_called_warm_only_by_a_list_that_the_store_has_just_confirmed() {
     block_on(async {
         let core = core().await;
-        assert_eq!(told_cold_ms(&core), None, "the store was never heard");
-        core.tables.runners.note_heard(Instant::now());
-        assert_eq!(told_cold_ms(&core), Some(0));
-        Timer::after(WARM_WORD_AGE + Duration::from_millis(20)).await;
-        assert_eq!(told_cold_ms(&core), None, "the runner may have started since");
+        assert_eq!(sent_cold_ms(&core), None, "the store was never heard");
+        core.tables.runners.record_answer(Instant::now());
+        assert_eq!(sent_cold_ms(&core), Some(0));
+        Timer::after(MAX_WARM_REPORT_AGE + Duration::from_millis(20)).await;
+        assert_eq!(sent_cold_ms(&core), None, "the runner may have started since");
         assert!(core.tables.runners.is_confirmed(), "no answer is overdue");
     });
 }
@@ -89,8 +89,8 @@
 fn what_was_believed_before_a_suspension_is_as_old_as_it_is() {
     block_on(async {
         let core = core().await;
-        core.tables.runners.note_heard(Instant::now());
-        core.tables.operator.note_heard(Instant::now());
+        core.tables.runners.record_answer(Instant::now());
+        core.tables.operator.record_answer(Instant::now());
         let load = RunnerLoad {
             life: Default::default(),
             running: 0,
@@ -102,18 +102,18 @@
             serves_in_ms: Some(0),
             named: None,
         };
-        core.feed(Event::Load(RUNNER.into(), load));
-        let is_heard = |core: &Core| {
+        core.dispatch(Event::Load(RUNNER.into(), load));
+        let has_load = |core: &Core| {
             let now = core.clock.now();
             core.read(|it| it.pool().runner(&"r".into()).is_some_and(|it| it.load(now).is_some()))
         };
         let before = core.clock.now();
-        assert!(is_heard(&core) && core.tables.operator.is_confirmed());
+        assert!(has_load(&core) && core.tables.operator.is_confirmed());
         uptime::pretend_suspended(SUSPENDED);
         assert!(core.clock.now().since(before).0 >= SUSPENDED.as_millis() as u64);
-        assert!(!is_heard(&core), "a report of before");
+        assert!(!has_load(&core), "a report of before");
         assert!(!core.tables.operator.is_confirmed() && !core.tables.runners.is_confirmed());
-        assert_eq!(told_cold_ms(&core), None);
+        assert_eq!(sent_cold_ms(&core), None);
     });
 }
 
@@ -124,14 +124,14 @@
         let mut suspensions = uptime::Suspensions::default();
         let limit = core.clock.now().plus(SUSPENDED.as_millis() as u64);
         let begun = std::time::Instant::now();
-        let held = before(&core, limit, std::future::pending::<()>());
-        let going_on = async {
+        let result = with_request_deadline(&core, limit, std::future::pending::<()>());
+        let resume = async {
             Timer::after(Duration::from_millis(20)).await;
             uptime::pretend_suspended(SUSPENDED);
             suspensions.look()
         };
-        let (held, span) = futures_lite::future::zip(held, going_on).await;
-        assert!(held.is_none() && span.is_some());
+        let (result, span) = futures_lite::future::zip(result, resume).await;
+        assert!(result.is_none() && span.is_some());
         assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
     });
 }
--- a/components/edge/src/gateway/state_log.rs
+++ b/components/edge/src/gateway/state_log.rs
@@ -11,12 +11,12 @@
 
 /// The time between two lines: a log that covers a few seconds contains at least one, and they are few
 /// compared with the other lines of a busy gateway.
-const EVERY: Duration = Duration::from_millis(2000);
+const LOG_INTERVAL: Duration = Duration::from_millis(2000);
 
 /// Logs the state at intervals for as long as the task runs.
-pub async fn write(core: Core) {
+pub async fn log_state(core: Core) {
     loop {
-        Timer::after(EVERY).await;
+        Timer::after(LOG_INTERVAL).await;
         let configuration = core.catalog().map_or(0, |it| it.version);
         let operator_age_ms = core.tables.operator.age_ms();
         let runners_age_ms = core.tables.runners.age_ms();
--- a/components/edge/src/gateway/table_state.rs
+++ b/components/edge/src/gateway/table_state.rs
@@ -15,13 +15,13 @@
     /// The longest time between two answers while the store works.
     max_answer_gap: Duration,
     /// Since when the table is followed.
-    since: Instant,
+    followed_since: Instant,
     /// How long it took until the table was first read completely.
-    first_whole: Cell<Option<Duration>>,
+    first_complete: Cell<Option<Duration>>,
     /// Whether the store no longer answers calls for the table.
-    pub lost: Cell<bool>,
+    pub is_lost: Cell<bool>,
     /// Up to which time the content of the table is known.
-    heard: Cell<Option<Instant>>,
+    known_until: Cell<Option<Instant>>,
 }
 
 impl TableState {
@@ -30,53 +30,54 @@
     fn new(max_answer_gap: Duration) -> Self {
         Self {
             max_answer_gap,
-            since: Instant::now(),
-            first_whole: Cell::default(),
-            lost: Cell::default(),
-            heard: Cell::default(),
+            followed_since: Instant::now(),
+            first_complete: Cell::default(),
+            is_lost: Cell::default(),
+            known_until: Cell::default(),
         }
     }
 
     /// Whether the table has been read completely at least once.
-    pub fn is_whole(&self) -> bool {
-        self.first_whole.get().is_some()
+    pub fn is_complete(&self) -> bool {
+        self.first_complete.get().is_some()
     }
 
     /// Records that the table has been read completely.
-    pub fn note_whole(&self, table: Table) {
-        if self.is_whole() {
+    pub fn record_complete(&self, table: Table) {
+        if self.is_complete() {
             return;
         }
-        let waited = self.since.elapsed();
-        self.first_whole.set(Some(waited));
+        let waited = self.followed_since.elapsed();
+        self.first_complete.set(Some(waited));
         let table = format!("{table:?}");
         log::info!(table = table.as_str(), waited_ms = waited.as_millis() as u64; "table whole for the first time");
     }
 
     /// How long the first complete reading took, or has taken so far, in milliseconds.
-    pub fn first_whole_wait_ms(&self) -> u64 {
-        self.first_whole.get().unwrap_or_else(|| self.since.elapsed()).as_millis() as u64
+    pub fn first_complete_wait_ms(&self) -> u64 {
+        self.first_complete.get().unwrap_or_else(|| self.followed_since.elapsed()).as_millis()
+            as u64
     }
 
     /// Whether the known content is current: the store answers, and no answer is overdue.
     pub fn is_confirmed(&self) -> bool {
-        !self.lost.get() && self.was_heard_within(self.max_answer_gap)
+        !self.is_lost.get() && self.is_known_within(self.max_answer_gap)
     }
 
     /// Whether the content of the table is known up to some time within the last `span`.
-    pub fn was_heard_within(&self, span: Duration) -> bool {
-        self.heard.get().is_some_and(|at| at.elapsed() <= span)
+    pub fn is_known_within(&self, span: Duration) -> bool {
+        self.known_until.get().is_some_and(|at| at.elapsed() <= span)
     }
 
     /// Records the time up to which the content of the table is known.
-    pub fn note_heard(&self, up_to: Instant) {
-        self.heard.set(Some(up_to));
+    pub fn record_answer(&self, up_to: Instant) {
+        self.known_until.set(Some(up_to));
     }
 
     /// How long ago the content of the table was completely known, in milliseconds. `None` if the store never
     /// answered.
     pub fn age_ms(&self) -> Option<u64> {
-        self.heard.get().map(|at| at.elapsed().as_millis() as u64)
+        self.known_until.get().map(|at| at.elapsed().as_millis() as u64)
     }
 }
 
@@ -113,7 +114,7 @@
     }
 
     /// Whether both tables have been read completely.
-    pub fn are_whole(&self) -> bool {
-        self.operator.is_whole() && self.runners.is_whole()
+    pub fn are_complete(&self) -> bool {
+        self.operator.is_complete() && self.runners.is_complete()
     }
 }
--- a/components/edge/src/gateway/trace.rs
+++ b/components/edge/src/gateway/trace.rs
@@ -13,13 +13,13 @@
 use super::core::Core;
 
 /// One of 64 ordinary successes is written, with every step.
-const SAMPLE: u64 = 64;
+const SAMPLE_INTERVAL: u64 = 64;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnd {
     /// The caller got the whole answer.
-    Whole,
+    Complete,
     /// The request did not run and will not run.
     Refused,
     /// An error answer of the runner was forwarded.
@@ -29,18 +29,18 @@
     /// The answer was truncated.
     Cut,
     /// The caller disconnected.
-    Left,
+    Disconnected,
 }
 
-impl Ending {
+impl RequestEnd {
     fn name(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Refused => "refused",
             Self::Failed => "failed",
             Self::Unknown => "unknown",
             Self::Cut => "cut",
-            Self::Left => "left",
+            Self::Disconnected => "left",
         }
     }
 }
@@ -55,7 +55,7 @@
 }
 
 /// Home regions as they are logged.
-fn names(homes: &HomeRegions) -> Vec<String> {
+fn region_names(homes: &HomeRegions) -> Vec<String> {
     homes.regions().map(|it| it.0.clone()).collect()
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Adds a decision.
-    pub fn note(&self, decision: Decision) {
+    pub fn add(&self, decision: Decision) {
         self.entries.borrow_mut().push(Entry { ts_ms: telemetry::unix_millis(), decision });
     }
 
@@ -98,34 +98,34 @@
     }
 
     /// Adds the choice of a runner.
-    pub fn choose(&self, target: &RunnerTarget, attempt: u32) {
-        self.note(Decision::Chosen {
+    pub fn add_choice(&self, target: &RunnerTarget, attempt: u32) {
+        self.add(Decision::Chosen {
             runner: target.id.0.clone(),
             attempt,
             occupancy: target.seen.occupancy,
             report_age_ms: target.seen.report_age_ms,
             candidates: target.seen.candidates,
-            homes: names(&target.seen.homes),
+            homes: region_names(&target.seen.homes),
             left_ms: Some(target.left_ms),
         });
     }
 
     /// Adds an attempt that failed.
-    pub fn fail(&self, target: &RunnerTarget, outcome: AttemptOutcome, took_ms: u64) {
+    pub fn add_failure(&self, target: &RunnerTarget, outcome: AttemptOutcome, took_ms: u64) {
         let runner = target.id.0.clone();
-        let place = match outcome {
+        let slot_outcome = match outcome {
             AttemptOutcome::Denied { .. } => Some("denied"),
             AttemptOutcome::Silent => Some("silent"),
             AttemptOutcome::Expired => Some("expired"),
             _ => None,
         };
-        if let Some(place) = place {
-            self.note(Decision::NoPlace { runner, outcome: place.into() });
+        if let Some(slot_outcome) = slot_outcome {
+            self.add(Decision::NoPlace { runner, outcome: slot_outcome.into() });
             return;
         }
         let code = outcome.code();
         self.core.metrics.count_failed_attempt(code);
-        self.note(Decision::Failed {
+        self.add(Decision::Failed {
             runner,
             code: code.number(),
             name: code.name().into(),
@@ -135,18 +135,18 @@
     }
 
     /// Ends the trace. Only the first call counts.
-    pub fn end(&self, ending: Ending, status: u16, code: Option<Code>) {
+    pub fn end(&self, ending: RequestEnd, status: u16, code: Option<Code>) {
         self.end_with(ending, status, code, None, Standing::default());
     }
 
     /// Ends the trace of a refused request.
     pub fn refuse(&self, status: u16, code: Code, retry_after_ms: Option<u64>, standing: Standing) {
-        self.end_with(Ending::Refused, status, Some(code), retry_after_ms, standing);
+        self.end_with(RequestEnd::Refused, status, Some(code), retry_after_ms, standing);
     }
 
     fn end_with(
         &self,
-        ending: Ending,
+        ending: RequestEnd,
         status: u16,
         code: Option<Code>,
         retry_after_ms: Option<u64>,
@@ -159,7 +159,8 @@
         if let Some(code) = code {
             self.core.metrics.count_refusal(code);
         }
-        let ordinary = ending == Ending::Whole && self.entries.borrow().iter().all(is_ordinary);
+        let ordinary =
+            ending == RequestEnd::Complete && self.entries.borrow().iter().all(is_ordinary);
         if ordinary && !self.is_sampled() {
             return;
         }
@@ -171,21 +172,21 @@
             retry_after_ms,
             runners: standing.runners,
             usable: standing.usable,
-            homes: names(&standing.homes),
+            homes: region_names(&standing.homes),
             evacuated: standing.evacuated,
         };
-        self.note(ended);
-        self.write(ending == Ending::Whole || ending == Ending::Left);
+        self.add(ended);
+        self.log(ending == RequestEnd::Complete || ending == RequestEnd::Disconnected);
     }
 
     fn is_sampled(&self) -> bool {
         let mut hasher = DefaultHasher::new();
         self.id.hash(&mut hasher);
-        hasher.finish().is_multiple_of(SAMPLE)
+        hasher.finish().is_multiple_of(SAMPLE_INTERVAL)
     }
 
-    fn write(&self, good: bool) {
-        let level = if good { log::Level::Info } else { log::Level::Warn };
+    fn log(&self, is_ordinary_end: bool) {
+        let level = if is_ordinary_end { log::Level::Info } else { log::Level::Warn };
         for Entry { ts_ms, decision } in self.entries.borrow_mut().drain(..) {
             let instance = self.core.name.to_string();
             let line = RequestLine { ts_ms, instance, request: self.id.clone(), decision };
@@ -198,6 +199,6 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        self.end(Ending::Left, 0, None);
+        self.end(RequestEnd::Disconnected, 0, None);
     }
 }
--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -17,12 +17,12 @@
 /// How long a call may take: three times the slowest usual answer, which leaves time for a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long the task sleeps if no call is due.
-const REST: Duration = Duration::from_secs(3600);
+const IDLE_SLEEP: Duration = Duration::from_secs(3600);
 /// Capacity of the channel of received versions. Operators name one or two at a time.
-const MOST_HEARD: usize = 64;
+const UPDATES_CAPACITY: usize = 64;
 
 /// A version that was received from the store.
-pub struct Heard {
+pub struct ReceivedVersion {
     /// The model.
     pub model: ModelName,
     /// The version.
@@ -32,77 +32,95 @@
 }
 
 /// An update for the task that maintains the record.
-pub enum RecordNews {
+pub enum RecordUpdate {
     /// A version was received.
-    Heard(Heard),
+    ReceivedVersion(ReceivedVersion),
     /// The store was restored from an older copy: rows may be lost, and their revisions have changed.
-    StoreWentBack,
+    StoreRestored,
 }
 
 /// The channel of updates, in order.
-pub fn channel() -> (Sender<RecordNews>, Receiver<RecordNews>) {
-    async_channel::bounded(MOST_HEARD)
+pub fn channel() -> (Sender<RecordUpdate>, Receiver<RecordUpdate>) {
+    async_channel::bounded(UPDATES_CAPACITY)
 }
 
 /// Maintains the record for as long as the task runs. `version_ms` is how long requests may start on an older
 /// version.
-pub async fn keep(core: Core, store: SocketAddr, version_ms: u64, news: Receiver<RecordNews>) {
+pub async fn maintain(
+    core: Core,
+    store: SocketAddr,
+    version_ms: u64,
+    updates: Receiver<RecordUpdate>,
+) {
     let mut record = VersionRecord::new(version_ms);
     let mut client = HttpClient::new(store);
     loop {
         let next = record.next_at().map(|at| core.clock.instant(at));
-        let until = next.unwrap_or_else(|| Instant::now() + REST);
+        let until = next.unwrap_or_else(|| Instant::now() + IDLE_SLEEP);
         let now = core.clock.now();
-        match with_deadline(until, news.recv()).await {
-            Some(Ok(RecordNews::Heard(Heard { model, version, not_before_ms }))) => {
+        match with_deadline(until, updates.recv()).await {
+            Some(Ok(RecordUpdate::ReceivedVersion(ReceivedVersion {
+                model,
+                version,
+                not_before_ms,
+            }))) => {
                 record.hear(core.clock.now(), rand::random(), model, version, not_before_ms);
             }
-            Some(Ok(RecordNews::StoreWentBack)) => {
-                let is_mine = |model: &ModelName| core.writes_again(now, &model.0);
-                record.note_went_back(core.clock.now(), rand::random(), is_mine);
+            Some(Ok(RecordUpdate::StoreRestored)) => {
+                let is_responsible = |model: &ModelName| core.rewrites_row(now, &model.0);
+                record.note_went_back(core.clock.now(), rand::random(), is_responsible);
             }
             Some(Err(_)) => return,
             None => {}
         }
         record.note_known(&core.read(|it| it.named_versions(core.clock.now())));
         if let Some(call) = record.due(core.clock.now()) {
-            make(&core, &mut record, &mut client, call).await;
+            perform_call(&core, &mut record, &mut client, call).await;
         }
     }
 }
 
 /// Makes a call and applies its answer.
-async fn make(core: &Core, record: &mut VersionRecord, client: &mut HttpClient, call: RecordCall) {
-    let answer = match ask(core, client, &call).await {
+async fn perform_call(
+    core: &Core,
+    record: &mut VersionRecord,
+    client: &mut HttpClient,
+    call: RecordCall,
+) {
+    let answer = match send_call(core, client, &call).await {
         Ok(answer) => answer,
         Err(error) => {
             let reason = error.to_string();
-            log::warn!(call = name(&call), reason = reason.as_str(); "record of versions not reached");
+            log::warn!(call = call_name(&call), reason = reason.as_str(); "record of versions not reached");
             RecordAnswer::Failed
         }
     };
-    core.metrics.count_platform(name(&call), outcome(&answer));
-    tell(&call, &answer);
-    let ages = record.take(core.clock.now(), rand::random(), &call, answer);
-    for named in &ages {
+    core.metrics.count_platform(call_name(&call), outcome_name(&answer));
+    log_outcome(&call, &answer);
+    let named_versions = record.take(core.clock.now(), rand::random(), &call, answer);
+    for named in &named_versions {
         let model = named.model.0.as_str();
         log::info!(model = model, version = named.version, age_ms = named.age_ms; "version's age read");
-        core.feed(Event::Named(named.clone()));
+        core.dispatch(Event::Named(named.clone()));
     }
-    if !ages.is_empty() {
-        core.tell_sidecars();
+    if !named_versions.is_empty() {
+        core.notify_sidecars();
     }
 }
 
-async fn ask(core: &Core, client: &mut HttpClient, call: &RecordCall) -> Result<RecordAnswer> {
+async fn send_call(
+    core: &Core,
+    client: &mut HttpClient,
+    call: &RecordCall,
+) -> Result<RecordAnswer> {
     let answer = client.call(record::call(call)?, CALL_TIMEOUT).await?;
     core.tables.era.record(&answer.headers)?;
     record::read(call, answer.status, &answer.body)
 }
 
 /// Logs the outcome of a call.
-fn tell(call: &RecordCall, answer: &RecordAnswer) {
-    let outcome = outcome(answer);
+fn log_outcome(call: &RecordCall, answer: &RecordAnswer) {
+    let outcome = outcome_name(answer);
     match call {
         RecordCall::Read => log::info!(outcome = outcome; "record of versions read"),
         RecordCall::Write(heard, revision) => log::info!(
@@ -117,14 +135,14 @@
 }
 
 /// The name of a call in the metrics.
-fn name(call: &RecordCall) -> &'static str {
+fn call_name(call: &RecordCall) -> &'static str {
     match call {
         RecordCall::Read => "version_record_read",
         RecordCall::Write(..) => "version_record_write",
     }
 }
 
-fn outcome(answer: &RecordAnswer) -> &'static str {
+fn outcome_name(answer: &RecordAnswer) -> &'static str {
     match answer {
         RecordAnswer::Rows(..) | RecordAnswer::Written(_) => "ok",
         RecordAnswer::Differs(_) => "differs",
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -12,7 +12,7 @@
 use uptime::Instant;
 
 use crate::era::Era;
-use crate::gateway::{read_age, ToldAge};
+use crate::gateway::{read_age, ReportedAge};
 use crate::http_client::HttpClient;
 use crate::paging::{Paging, Urgency};
 use crate::store_timeouts::StoreTimeouts;
@@ -34,7 +34,7 @@
 /// A listed table.
 pub struct Listing {
     /// The position after which a feed continues.
-    pub place: StorePlace,
+    pub position: StorePlace,
     /// The store's clock, in milliseconds, if it was sent.
     pub clock_ms: Option<u64>,
     /// The content of its rows.
@@ -44,7 +44,7 @@
     /// The undecoded pages.
     pub pages: Vec<Vec<u8>>,
     /// The age of the last page as its sender reports it. `None` for the store.
-    pub age: Option<ToldAge>,
+    pub age: Option<ReportedAge>,
 }
 
 /// Lists a complete table. The listing fails if its pages are of different eras.
@@ -113,9 +113,9 @@
         pages.push(body);
         faults.extend(page.faults);
         // Changes after the first page's revision may be missing on that page, so the feed starts there.
-        let place = StorePlace { era, revision: page.revision };
-        let (place, clock_ms) = *first.get_or_insert((place, page.clock_ms));
-        if place.era != era {
+        let position = StorePlace { era, revision: page.revision };
+        let (position, clock_ms) = *first.get_or_insert((position, page.clock_ms));
+        if position.era != era {
             return Err(Error::new(Code::NotFound, "the store came back from an older copy"));
         }
         changes.extend(page.changes);
@@ -126,7 +126,7 @@
             }
             None => {
                 let age = age?;
-                return Ok(Listing { place, clock_ms, changes, faults, pages, age });
+                return Ok(Listing { position, clock_ms, changes, faults, pages, age });
             }
         }
     }
--- a/components/edge/src/metrics.rs
+++ b/components/edge/src/metrics.rs
@@ -14,7 +14,7 @@
 use uptime::{Instant, Suspensions};
 
 use crate::caller::Callers;
-use crate::gateway::{own_answer, whole_body, AnswerBody};
+use crate::gateway::{error_answer, whole_body, AnswerBody};
 use crate::server::{listen, serve, ServerOptions};
 use crate::spawner::Spawner;
 
@@ -103,7 +103,7 @@
 
 fn page(request: &Request<Incoming>, metrics: &Metrics) -> Response<AnswerBody> {
     if request.uri().path() != METRICS_PATH {
-        return own_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
+        return error_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
     }
     let mut answer = Response::new(whole_body(metrics.render()));
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_FORMAT));
--- a/components/edge/src/sidecar/chunk_store.rs
+++ b/components/edge/src/sidecar/chunk_store.rs
@@ -7,33 +7,33 @@
 use fleet::{Bitmap, Manifest};
 
 /// Versions that are kept: the wanted one and the one before, for sidecars that are late.
-const KEPT_VERSIONS: usize = 2;
+const MAX_VERSIONS: usize = 2;
 
 /// The chunks of one version.
-struct Version {
+struct VersionChunks {
     manifest: Arc<Manifest>,
     chunks: Vec<Option<Bytes>>,
 }
 
 /// Chunks by version.
 #[derive(Default)]
-pub struct Chunks {
-    versions: BTreeMap<u64, Version>,
+pub struct ChunkStore {
+    versions: BTreeMap<u64, VersionChunks>,
 }
 
-impl Chunks {
+impl ChunkStore {
     /// Starts a version and removes versions that are too old. A manifest that is read again replaces the
     /// previous one; chunks that are already verified stay.
-    pub fn begin(&mut self, version: u64, manifest: Arc<Manifest>) {
+    pub fn begin_version(&mut self, version: u64, manifest: Arc<Manifest>) {
         let chunks = vec![None; manifest.chunks() as usize];
         let known = self
             .versions
             .entry(version)
-            .or_insert_with(|| Version { manifest: manifest.clone(), chunks });
+            .or_insert_with(|| VersionChunks { manifest: manifest.clone(), chunks });
         if known.manifest.chunks() == manifest.chunks() {
             known.manifest = manifest;
         }
-        while self.versions.len() > KEPT_VERSIONS {
+        while self.versions.len() > MAX_VERSIONS {
             self.versions.pop_first();
         }
     }
@@ -45,27 +45,27 @@
 
     /// Stores a chunk if its digest is correct. Returns whether it is.
     pub fn insert(&mut self, version: u64, index: u32, bytes: Bytes) -> bool {
-        let Some(kept) = self.versions.get_mut(&version) else {
+        let Some(version_chunks) = self.versions.get_mut(&version) else {
             return false;
         };
-        if !platform::weights::verify(&kept.manifest, index, &bytes) {
+        if !platform::weights::verify(&version_chunks.manifest, index, &bytes) {
             return false;
         }
-        if let Some(place) = kept.chunks.get_mut(index as usize) {
-            *place = Some(bytes);
+        if let Some(entry) = version_chunks.chunks.get_mut(index as usize) {
+            *entry = Some(bytes);
         }
         true
     }
 
     /// The chunks of a version that are stored.
-    pub fn held(&self, version: u64) -> Bitmap {
-        let Some(kept) = self.versions.get(&version) else {
+    pub fn stored(&self, version: u64) -> Bitmap {
+        let Some(version_chunks) = self.versions.get(&version) else {
             return Bitmap::default();
         };
-        let mut held = Bitmap::new(kept.manifest.chunks());
-        let indexes = (0..).zip(&kept.chunks).filter(|(_, chunk)| chunk.is_some());
-        indexes.for_each(|(index, _)| held.insert(index));
-        held
+        let mut stored = Bitmap::new(version_chunks.manifest.chunks());
+        let indexes = (0..).zip(&version_chunks.chunks).filter(|(_, chunk)| chunk.is_some());
+        indexes.for_each(|(index, _)| stored.insert(index));
+        stored
     }
 
     /// A chunk.
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -18,7 +18,7 @@
 use settings::SidecarSettings;
 use telemetry::{note_crash_change, Metrics};
 
-use super::chunk_store::Chunks;
+use super::chunk_store::ChunkStore;
 use super::peer_connections::IdleConnections;
 use crate::clock::Clock;
 use crate::era::Era;
@@ -27,20 +27,20 @@
 use crate::store_time::StoreTime;
 
 /// How long a connection to the origin may be idle between two chunks.
-const ORIGIN_REST: Duration = Duration::from_millis(150);
+const ORIGIN_MAX_IDLE_TIME: Duration = Duration::from_millis(150);
 
 /// Versions that are remembered for each model. Few of them are still relevant.
-const MOST_NAMES: usize = 8;
+const MAX_VERSIONS: usize = 8;
 /// The smallest change of a version's age that is logged, in milliseconds.
-const LOGGED_CHANGE: u64 = 20;
+const MIN_LOGGED_CHANGE_MS: u64 = 20;
 
 /// A gateway that subscribed to reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscription {
     /// Whether the gateway is in this data hall.
-    pub near: bool,
+    pub is_same_hall: bool,
     /// When the subscription expires.
-    pub until: Millis,
+    pub expires_at: Millis,
 }
 
 /// A sidecar's state, shared by the tasks of its process.
@@ -49,9 +49,9 @@
     /// The reducer.
     pub rollout: Rc<RefCell<Rollout>>,
     /// The chunks.
-    pub chunks: Rc<RefCell<Chunks>>,
+    pub chunks: Rc<RefCell<ChunkStore>>,
     /// The versions that were named for each model.
-    pub names: Rc<RefCell<BTreeMap<ModelName, VersionNames>>>,
+    pub named_versions: Rc<RefCell<BTreeMap<ModelName, VersionNames>>>,
     /// The gateways that subscribed to reports.
     pub subscribers: Rc<RefCell<BTreeMap<SocketAddr, Subscription>>>,
     /// The gateways that were received from lately.
@@ -65,11 +65,11 @@
     /// The address of the origin of weights.
     pub origin: Rc<RefCell<Option<SocketAddr>>>,
     /// The number of chunk fetches since the last progress line of the log, by outcome.
-    pub draws: Rc<RefCell<BTreeMap<&'static str, u32>>>,
+    pub fetch_counts: Rc<RefCell<BTreeMap<&'static str, u32>>>,
     /// Idle connections to the origin.
-    pub origin_links: Rc<RefCell<Vec<HttpClient>>>,
+    pub origin_clients: Rc<RefCell<Vec<HttpClient>>>,
     /// Idle connections to other sidecars.
-    pub peer_streams: Rc<RefCell<IdleConnections>>,
+    pub idle_connections: Rc<RefCell<IdleConnections>>,
     /// The number of layers of the model.
     pub layers: Rc<RefCell<u32>>,
     /// The port on which sidecars listen for each other.
@@ -93,14 +93,14 @@
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// The sidecar that sent the last known order.
-    pub last_giver: Rc<Cell<Option<SocketAddr>>>,
+    pub last_orderer: Rc<Cell<Option<SocketAddr>>>,
     /// Receives a message when a request starts to wait for a slot.
-    pub look: Receiver<()>,
-    wake: Sender<()>,
+    pub report_requested: Receiver<()>,
+    request_report: Sender<()>,
     /// Receives a message when a version is named: the sidecars that are present determine which one fetches
     /// which chunk.
-    pub list_wanted: Receiver<()>,
-    want_list: Sender<()>,
+    pub list_requested: Receiver<()>,
+    request_list: Sender<()>,
     effects: Sender<Effect>,
 }
 
@@ -115,28 +115,28 @@
         effects: Sender<Effect>,
         repeat_window_ms: u64,
     ) -> Self {
-        let (wake, look) = async_channel::bounded(1);
-        let (want_list, list_wanted) = async_channel::bounded(1);
+        let (request_report, report_requested) = async_channel::bounded(1);
+        let (request_list, list_requested) = async_channel::bounded(1);
         Self {
-            look,
-            wake,
-            list_wanted,
-            want_list,
-            last_giver: Rc::default(),
+            report_requested,
+            request_report,
+            list_requested,
+            request_list,
+            last_orderer: Rc::default(),
             me: options.me.clone(),
             place: options.place.clone(),
             rollout: Rc::new(RefCell::new(Rollout::new(options))),
             chunks: Rc::default(),
-            names: Rc::default(),
+            named_versions: Rc::default(),
             subscribers: Rc::default(),
             gateways: Rc::new(RefCell::new(GatewaysHeard::new(repeat_window_ms))),
             crashes: Rc::default(),
             limits: Rc::default(),
             load: Rc::default(),
             origin: Rc::default(),
-            draws: Rc::default(),
-            origin_links: Rc::default(),
-            peer_streams: Rc::default(),
+            fetch_counts: Rc::default(),
+            origin_clients: Rc::default(),
+            idle_connections: Rc::default(),
             layers: Rc::default(),
             is_alone: Rc::default(),
             era: Rc::new(Era::new(metrics.clone())),
@@ -151,33 +151,33 @@
     }
 
     /// The stored chunks of a version.
-    pub fn have(&self, version: u64) -> Bitmap {
+    pub fn stored_chunks(&self, version: u64) -> Bitmap {
         self.rollout.borrow().have(version).cloned().unwrap_or_default()
     }
 
     /// The versions whose chunks are being fetched, oldest first, with their stored chunks.
-    pub fn drawn(&self) -> Vec<(u64, Bitmap)> {
+    pub fn fetching(&self) -> Vec<(u64, Bitmap)> {
         let rollout = self.rollout.borrow();
-        rollout.drawn().map(|(version, have)| (version, have.clone())).collect()
+        rollout.drawn().map(|(version, chunks)| (version, chunks.clone())).collect()
     }
 
     /// Applies what a configuration says about the weights of this runner's service.
-    pub fn take_services(&self, services: &[WeightsService]) {
-        let mine = services.iter().find(|it| it.service == self.settings.service);
-        let Some(WeightsService { origin, layers, plan, .. }) = mine else {
+    pub fn apply_services(&self, services: &[WeightsService]) {
+        let own = services.iter().find(|it| it.service == self.settings.service);
+        let Some(WeightsService { origin, layers, plan, .. }) = own else {
             return;
         };
         *self.origin.borrow_mut() = Some(*origin);
         *self.layers.borrow_mut() = *layers;
         if self.rollout.borrow().plan() != Some(plan) {
-            self.feed(Event::Planned(plan.clone()));
-            self.take_names(&[]);
+            self.dispatch(Event::Planned(plan.clone()));
+            self.record_versions(&[]);
         }
     }
 
     /// Sets the ages of versions in a gateway's report by the store's clock. `clock_ms` is the clock's value
     /// in the same report.
-    pub fn date_names(
+    pub fn set_version_ages(
         &self,
         clock_ms: Option<u64>,
         mut named: Vec<NamedVersion>,
@@ -190,41 +190,42 @@
 
     /// Records named versions of any model. They are kept until the configuration says which model the runner
     /// has.
-    pub fn take_names(&self, named: &[NamedVersion]) {
+    pub fn record_versions(&self, named: &[NamedVersion]) {
         let now = self.clock.now();
         for it in named {
-            let mut names = self.names.borrow_mut();
+            let mut names = self.named_versions.borrow_mut();
             let names = names.entry(it.model.clone()).or_default();
-            let before = names.get(it.version);
+            let previous = names.get(it.version);
             names.take(VersionName::heard(now, it));
-            log_name(&it.model, now, before, names.get(it.version));
-            names.keep_newest(MOST_NAMES);
+            log_version(&it.model, now, previous, names.get(it.version));
+            names.keep_newest(MAX_VERSIONS);
         }
         let model = self.rollout.borrow().plan().map(|it| it.model.clone());
-        let mine = model.and_then(|it| self.names.borrow().get(&it).cloned()).unwrap_or_default();
-        let newest = mine.newest().map_or(0, |it| it.version);
+        let own =
+            model.and_then(|it| self.named_versions.borrow().get(&it).cloned()).unwrap_or_default();
+        let newest = own.newest().map_or(0, |it| it.version);
         if self.rollout.borrow().newest_named() < newest {
             // One pending message is enough.
-            let _ = self.want_list.try_send(());
+            let _ = self.request_list.try_send(());
         }
-        let is_told = |it: &VersionName| {
-            named.is_empty() || named.iter().any(|told| told.version == it.version)
+        let is_in_report = |it: &VersionName| {
+            named.is_empty() || named.iter().any(|reported| reported.version == it.version)
         };
-        for VersionName { version, at, known, after_ms } in mine.all().filter(is_told) {
-            self.feed(Event::Named { version, named_at: known.then_some(at), after_ms });
+        for VersionName { version, at, known, after_ms } in own.all().filter(is_in_report) {
+            self.dispatch(Event::Named { version, named_at: known.then_some(at), after_ms });
         }
     }
 
     /// The named version that a load report carries. It has room for one, so a random relevant version is
     /// chosen: a receiver of several reports receives all of them.
-    fn told_name(&self) -> Option<NamedVersion> {
+    fn version_to_report(&self) -> Option<NamedVersion> {
         let named = self.rollout.borrow().named_versions(self.clock.now());
         named.into_iter().choose(&mut rand::rng())
     }
 
     /// The current load of the runner for gateways: it includes the slots granted since the runner's last
     /// report, and it is busy if the runner takes nothing new.
-    pub fn load_now(&self) -> Option<RunnerLoad> {
+    pub fn current_load(&self) -> Option<RunnerLoad> {
         let mut load = self.load.borrow().clone()?;
         let rollout = self.rollout.borrow();
         load.running = rollout.places().taken();
@@ -237,7 +238,7 @@
         load.busy |= rollout.is_evacuated(self.clock.now());
         load.busy |= rollout.runner_leaves();
         load.serves_in_ms = rollout.serves_in_ms(self.clock.now());
-        load.named = self.told_name();
+        load.named = self.version_to_report();
         Some(load)
     }
 
@@ -247,7 +248,7 @@
     }
 
     /// Applies a gateway's report of requests that crashed runners.
-    pub fn take_crashes(&self, list: &CrashList) {
+    pub fn apply_crashes(&self, list: &CrashList) {
         for change in self.crashes.borrow_mut().take(self.clock.now(), list) {
             note_crash_change(&self.metrics, &change, false);
         }
@@ -264,39 +265,39 @@
     }
 
     /// The gateways in this data hall with a current subscription.
-    pub fn near_subscribers(&self) -> Vec<SocketAddr> {
-        self.subscribers_where(|it| it.near)
+    pub fn same_hall_subscribers(&self) -> Vec<SocketAddr> {
+        self.subscribers_where(|it| it.is_same_hall)
     }
 
     fn subscribers_where(&self, wanted: impl Fn(&Subscription) -> bool) -> Vec<SocketAddr> {
         let now = self.clock.now();
         let mut subscribers = self.subscribers.borrow_mut();
-        subscribers.retain(|_, it| it.until > now);
+        subscribers.retain(|_, it| it.expires_at > now);
         let chosen = subscribers.iter().filter(|(_, it)| wanted(it));
         chosen.map(|(address, _)| *address).collect()
     }
 
     /// Requests a new report of the runner because a request waits for a slot.
-    pub fn look_at_runner(&self) {
+    pub fn request_runner_report(&self) {
         // One pending message is enough.
-        let _ = self.wake.try_send(());
+        let _ = self.request_report.try_send(());
     }
 
     /// Counts the outcome of a chunk fetch.
-    pub fn count_draw(&self, outcome: &'static str) {
+    pub fn count_fetch(&self, outcome: &'static str) {
         self.metrics.count_chunk(outcome);
-        *self.draws.borrow_mut().entry(outcome).or_default() += 1;
+        *self.fetch_counts.borrow_mut().entry(outcome).or_default() += 1;
     }
 
     /// Closes idle connections to the origin, which accepts few connections from all sidecars together.
-    pub fn close_rested_links(&self) {
-        let mut links = self.origin_links.borrow_mut();
-        links.iter_mut().for_each(|it| it.close_if_idle(ORIGIN_REST));
-        links.retain(HttpClient::is_connected);
+    pub fn close_idle_clients(&self) {
+        let mut clients = self.origin_clients.borrow_mut();
+        clients.iter_mut().for_each(|it| it.close_if_idle(ORIGIN_MAX_IDLE_TIME));
+        clients.retain(HttpClient::is_connected);
     }
 
     /// Passes an event to the reducer and its effects to the task that executes them.
-    pub fn feed(&self, event: Event) {
+    pub fn dispatch(&self, event: Event) {
         let effects = self.rollout.borrow_mut().reduce(self.clock.now(), event);
         for effect in effects {
             let _ = self.effects.try_send(effect);
@@ -305,19 +306,21 @@
 }
 
 /// Logs the naming time of a version if it has changed by more than the jitter of reports.
-fn log_name(
+fn log_version(
     model: &ModelName,
     now: Millis,
-    before: Option<VersionName>,
-    heard: Option<VersionName>,
+    previous: Option<VersionName>,
+    current: Option<VersionName>,
 ) {
-    let Some(VersionName { version, at, known, after_ms }) = heard else {
+    let Some(VersionName { version, at, known, after_ms }) = current else {
         return;
     };
     let is_same = |it: VersionName| {
-        it.known == known && it.after_ms == after_ms && it.at.0.abs_diff(at.0) < LOGGED_CHANGE
+        it.known == known
+            && it.after_ms == after_ms
+            && it.at.0.abs_diff(at.0) < MIN_LOGGED_CHANGE_MS
     };
-    if before.is_some_and(is_same) {
+    if previous.is_some_and(is_same) {
         return;
     }
     let age_ms = now.since(at).0;
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -28,58 +28,58 @@
 use crate::paging::Urgency;
 
 /// How long a gateway may take to answer. It is at most a few milliseconds away and answers at once.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(250);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// The store calls of sidecars that have waited equally long for a gateway are spread over this time.
-const SPREAD: Duration = Duration::from_millis(2000);
+const MAX_SPREAD: Duration = Duration::from_millis(2000);
 /// How often a sidecar that reads the store's list checks whether a gateway has subscribed.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const GATEWAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How many gateways are asked, one after the other.
-const TRIES: usize = 3;
+const MAX_GATEWAYS_ASKED: usize = 3;
 /// How often the gateways that the store names are asked before its list is read, how many rounds in a row
 /// may remain without any answer, and the pause between rounds.
-const NAMED_ROUNDS: u32 = 8;
-const MOST_SILENT_ROUNDS: u32 = 2;
-const NAMED_PAUSE: Duration = Duration::from_millis(1000);
+const MAX_NAMED_ROUNDS: u32 = 8;
+const MAX_SILENT_ROUNDS: u32 = 2;
+const NAMED_ROUND_PAUSE: Duration = Duration::from_millis(1000);
 /// How long reading the row that names these gateways may take.
 const ROW_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Updates the reducer's list of sidecars for as long as the task runs.
 pub async fn follow(
     core: Core,
-    news: DatagramSocket,
+    socket: DatagramSocket,
     parts: Receiver<SidecarsPart>,
     settings: DirectorySettings,
 ) {
-    let mut times = Directory::new(core.clock.now());
-    let mut asker = Asker {
+    let mut directory = Directory::new(core.clock.now());
+    let mut directory_client = DirectoryClient {
         client: HttpClient::new(settings.store),
         settings,
         core: core.clone(),
-        news,
+        socket,
         parts,
         questions: 0,
-        known: false,
+        has_list: false,
     };
     loop {
-        let answer = asker.ask_gateways().await;
-        let step = times.take_answer(core.clock.now(), answer);
+        let answer = directory_client.ask_gateways().await;
+        let step = directory.take_answer(core.clock.now(), answer);
         if step.read_store {
-            asker.read_store().await;
+            directory_client.read_store().await;
         }
         let pause = Duration::from_millis(step.pause_ms);
-        with_deadline(Instant::now() + pause, core.list_wanted.recv()).await;
+        with_deadline(Instant::now() + pause, core.list_requested.recv()).await;
     }
 }
 
 /// A random delay, over which sidecars spread calls that all of them make to the store at the same time.
-pub fn spread() -> Duration {
-    rand::rng().random_range(Duration::ZERO..SPREAD)
+pub fn random_delay() -> Duration {
+    rand::rng().random_range(Duration::ZERO..MAX_SPREAD)
 }
 
 /// Waits until a gateway subscribes to reports.
 async fn wait_for_gateway(core: Core) {
     while core.subscribers().is_empty() {
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(GATEWAY_CHECK_INTERVAL).await;
     }
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// The answer of a gateway.
-enum Collected {
+enum CollectedAnswer {
     /// The sidecars.
     List(Vec<Peer>),
     /// The gateway is not connected to the store, and this sidecar already has a list.
@@ -125,22 +125,22 @@
     Pending,
 }
 
-struct Asker {
+struct DirectoryClient {
     settings: DirectorySettings,
     core: Core,
-    news: DatagramSocket,
+    socket: DatagramSocket,
     parts: Receiver<SidecarsPart>,
     client: HttpClient,
     /// The number of questions so far.
     questions: u64,
     /// Whether a list was applied.
-    known: bool,
+    has_list: bool,
 }
 
-impl Asker {
-    fn tell(&mut self, peers: Vec<Peer>) {
-        self.known = true;
-        self.core.feed(Event::Peers(peers));
+impl DirectoryClient {
+    fn apply_list(&mut self, peers: Vec<Peer>) {
+        self.has_list = true;
+        self.core.dispatch(Event::Peers(peers));
     }
 
     /// Asks a few gateways until one answers with a usable list.
@@ -150,49 +150,49 @@
             return DirectoryAnswer::NoGateway;
         }
         self.core.is_alone.set(false);
-        self.ask(gateways).await
+        self.ask_any(gateways).await
     }
 
-    async fn ask(&mut self, gateways: Vec<SocketAddr>) -> DirectoryAnswer {
-        let asked = gateways.into_iter().choose_multiple(&mut rand::rng(), TRIES);
+    async fn ask_any(&mut self, gateways: Vec<SocketAddr>) -> DirectoryAnswer {
+        let asked = gateways.into_iter().choose_multiple(&mut rand::rng(), MAX_GATEWAYS_ASKED);
         let mut best = DirectoryAnswer::Silent;
         for gateway in asked {
             self.questions += 1;
             let question = self.questions;
             let service = self.core.settings.service.clone();
-            self.news.send(gateway, &Datagram::WantSidecars { question, service }).await;
-            let until = Instant::now() + ANSWER_PATIENCE;
+            self.socket.send(gateway, &Datagram::WantSidecars { question, service }).await;
+            let until = Instant::now() + ANSWER_TIMEOUT;
             match with_deadline(until, self.collect(question)).await {
-                Some(Collected::List(peers)) => {
-                    self.tell(peers);
+                Some(CollectedAnswer::List(peers)) => {
+                    self.apply_list(peers);
                     return DirectoryAnswer::List;
                 }
-                Some(Collected::Stale) => best = DirectoryAnswer::Stale,
-                Some(Collected::Pending) if best == DirectoryAnswer::Silent => {
+                Some(CollectedAnswer::Stale) => best = DirectoryAnswer::Stale,
+                Some(CollectedAnswer::Pending) if best == DirectoryAnswer::Silent => {
                     best = DirectoryAnswer::Pending;
                 }
-                Some(Collected::Pending) | None => {}
+                Some(CollectedAnswer::Pending) | None => {}
             }
         }
         best
     }
 
     /// Waits for all parts of an answer.
-    async fn collect(&self, question: u64) -> Collected {
+    async fn collect(&self, question: u64) -> CollectedAnswer {
         let mut seen = BTreeSet::new();
         let mut peers = Vec::new();
         loop {
             let Ok(part) = self.parts.recv().await else {
-                return Collected::Pending;
+                return CollectedAnswer::Pending;
             };
             if part.question != question {
                 continue;
             }
             if part.is_pending() {
-                return Collected::Pending;
+                return CollectedAnswer::Pending;
             }
-            if self.known && !part.fresh {
-                return Collected::Stale;
+            if self.has_list && !part.fresh {
+                return CollectedAnswer::Stale;
             }
             if seen.insert(part.part) {
                 let of_part = part.sidecars.iter();
@@ -201,7 +201,7 @@
                 );
             }
             if seen.len() as u32 >= part.parts {
-                return Collected::List(peers);
+                return CollectedAnswer::List(peers);
             }
         }
     }
@@ -215,7 +215,7 @@
             return self.read_list().await;
         }
         future::or(wait_for_gateway(core.clone()), async {
-            Timer::after(spread()).await;
+            Timer::after(random_delay()).await;
             if self.ask_named_gateways().await {
                 return;
             }
@@ -237,16 +237,16 @@
             }
         };
         let mut silent = 0;
-        for _ in 0..NAMED_ROUNDS {
-            match self.ask(named.clone()).await {
+        for _ in 0..MAX_NAMED_ROUNDS {
+            match self.ask_any(named.clone()).await {
                 DirectoryAnswer::List => return true,
                 DirectoryAnswer::Stale | DirectoryAnswer::Pending => silent = 0,
                 DirectoryAnswer::Silent | DirectoryAnswer::NoGateway => silent += 1,
             }
-            if named.is_empty() || silent == MOST_SILENT_ROUNDS {
+            if named.is_empty() || silent == MAX_SILENT_ROUNDS {
                 return false;
             }
-            Timer::after(NAMED_PAUSE).await;
+            Timer::after(NAMED_ROUND_PAUSE).await;
         }
         false
     }
@@ -265,7 +265,7 @@
 
     async fn read_list(&mut self) {
         match self.listed_peers().await {
-            Ok(peers) => self.tell(peers),
+            Ok(peers) => self.apply_list(peers),
             Err(error) => {
                 let reason = error.to_string();
                 log::warn!(reason = reason.as_str(); "list of runners cannot be read");
--- a/components/edge/src/sidecar/fetches.rs
+++ b/components/edge/src/sidecar/fetches.rs
@@ -13,7 +13,7 @@
 use uptime::Instant;
 
 use super::core::Core;
-use super::peers::readable;
+use super::peers::skip_unreadable;
 use crate::http_client::HttpClient;
 use crate::http_connection::{connect, with_deadline};
 use crate::message::{read_frame, write_frame, ChunkRequest, PeerAnswer, PeerRequest};
@@ -22,28 +22,28 @@
 const MANIFEST_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The longest pause of the origin during a fetch: longer than a chunk takes while the origin serves all the
 /// connections that it accepts.
-const ORIGIN_PAUSE: Duration = Duration::from_millis(1400);
+const ORIGIN_MAX_PAUSE: Duration = Duration::from_millis(1400);
 /// How long another sidecar may take to send a manifest.
 const PEER_MANIFEST_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long opening a connection to another sidecar may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Fetches a manifest.
-pub async fn describe(core: Core, version: u64, source: ManifestSource) {
+pub async fn fetch_manifest(core: Core, version: u64, source: ManifestSource) {
     let manifest = match source {
         ManifestSource::Origin => manifest_from_origin(&core, version).await,
         ManifestSource::Peer(address) => manifest_from_peer(&core, address, version).await,
     };
     match manifest {
         Ok(manifest) => {
-            core.chunks.borrow_mut().begin(version, manifest.clone());
-            core.feed(Event::Described(version, manifest));
+            core.chunks.borrow_mut().begin_version(version, manifest.clone());
+            core.dispatch(Event::Described(version, manifest));
         }
         Err(error) => {
             let reason = error.to_string();
             let source = format!("{source:?}");
             log::warn!(version = version, source = source.as_str(), reason = reason.as_str(); "no manifest");
-            core.feed(Event::Undescribed(version));
+            core.dispatch(Event::Undescribed(version));
         }
     }
 }
@@ -61,7 +61,7 @@
     version: u64,
 ) -> Result<Arc<Manifest>> {
     let until = Instant::now() + PEER_MANIFEST_TIMEOUT;
-    match ask_peer(core, address, until, &PeerRequest::Manifest { version }).await? {
+    match call_peer(core, address, until, &PeerRequest::Manifest { version }).await? {
         PeerAnswer::Manifest(manifest) => Ok(Arc::new(manifest)),
         PeerAnswer::Busy => Err(Error::new(Code::PeerBusy, "too many uploads")),
         _ => Err(Error::new(Code::NotFound, "not there")),
@@ -76,46 +76,46 @@
 }
 
 /// Fetches a chunk.
-pub async fn draw(core: Core, version: u64, draw: Draw) {
+pub async fn fetch_chunk(core: Core, version: u64, draw: Draw) {
     let until = core.clock.instant(draw.deadline);
     let fetched = match &draw.source {
-        DrawSource::Origin => from_origin(&core, version, draw.index, until).await,
+        DrawSource::Origin => chunk_from_origin(&core, version, draw.index, until).await,
         DrawSource::Peer(id, address) => {
-            from_peer(&core, id, *address, version, draw.index, until).await
+            chunk_from_peer(&core, id, *address, version, draw.index, until).await
         }
     };
     let Draw { index, source, .. } = draw;
     match fetched {
         Ok(bytes) => {
             let verified = core.chunks.borrow_mut().insert(version, index, bytes);
-            let from_origin = source == DrawSource::Origin;
-            core.count_draw(match (verified, from_origin) {
+            let is_from_origin = source == DrawSource::Origin;
+            core.count_fetch(match (verified, is_from_origin) {
                 (false, _) => Code::ChunkCorrupt.name(),
                 (true, true) => "origin",
                 (true, false) => "peer",
             });
-            core.feed(Event::Arrived { version, index, source, verified });
+            core.dispatch(Event::Arrived { version, index, source, verified });
         }
         Err(error) => {
-            core.count_draw(error.code.name());
-            core.feed(Event::Missed { version, index, source, code: error.code });
+            core.count_fetch(error.code.name());
+            core.dispatch(Event::Missed { version, index, source, code: error.code });
         }
     }
 }
 
-async fn from_origin(core: &Core, version: u64, index: u32, until: Instant) -> Result<Bytes> {
+async fn chunk_from_origin(core: &Core, version: u64, index: u32, until: Instant) -> Result<Bytes> {
     let (origin, model) = origin(core)?;
     let timeout = until.saturating_duration_since(Instant::now());
     let call = weights::chunk(&model, version, index);
-    let kept = core.origin_links.borrow_mut().pop().filter(|it| it.address() == origin);
+    let kept = core.origin_clients.borrow_mut().pop().filter(|it| it.address() == origin);
     let mut client = kept.unwrap_or_else(|| HttpClient::new(origin));
-    let begin = timeout.min(ORIGIN_PAUSE);
+    let begin = timeout.min(ORIGIN_MAX_PAUSE);
     let answer = client.call_with_pause_limit(call, begin, begin).await?;
-    core.origin_links.borrow_mut().push(client);
+    core.origin_clients.borrow_mut().push(client);
     answer.success().map(Bytes::from)
 }
 
-async fn from_peer(
+async fn chunk_from_peer(
     core: &Core,
     id: &InstanceId,
     address: SocketAddr,
@@ -128,11 +128,11 @@
         index,
         from: core.me.clone(),
         place: core.place.clone(),
-        have: core.have(version),
+        have: core.stored_chunks(version),
     };
-    match ask_peer(core, address, until, &PeerRequest::Chunk(request)).await? {
+    match call_peer(core, address, until, &PeerRequest::Chunk(request)).await? {
         PeerAnswer::Chunk { bytes, have } => {
-            core.feed(Event::Holdings { of: id.clone(), version, have });
+            core.dispatch(Event::Holdings { of: id.clone(), version, have });
             Ok(Bytes::from(bytes))
         }
         PeerAnswer::Busy => Err(Error::new(Code::PeerBusy, "too many uploads")),
@@ -141,24 +141,24 @@
 }
 
 /// Sends a request to another sidecar, over an idle connection if there is one.
-async fn ask_peer(
+async fn call_peer(
     core: &Core,
     address: SocketAddr,
     until: Instant,
     request: &PeerRequest,
 ) -> Result<PeerAnswer> {
-    let kept = core.peer_streams.borrow_mut().take(address);
-    let connection = async {
+    let kept = core.idle_connections.borrow_mut().take(address);
+    let exchange = async {
         let mut stream = match kept {
             Some(stream) => stream,
             None => connect(address, CONNECT_TIMEOUT).await?,
         };
         write_frame(&mut stream, request).await?;
-        let answer = readable(core, "answer", read_frame::<PeerAnswer>(&mut stream).await)?;
+        let answer = skip_unreadable(core, "answer", read_frame::<PeerAnswer>(&mut stream).await)?;
         Ok::<_, Error>((stream, answer.unwrap_or(PeerAnswer::Missing)))
     };
     let late = || Error::new(Code::PeerStalled, "no answer in time");
-    let (stream, answer) = with_deadline(until, connection).await.ok_or_else(late)??;
-    core.peer_streams.borrow_mut().keep(address, stream);
+    let (stream, answer) = with_deadline(until, exchange).await.ok_or_else(late)??;
+    core.idle_connections.borrow_mut().put(address, stream);
     Ok(answer)
 }
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -18,7 +18,7 @@
 use uptime::Instant;
 
 use super::core::Core;
-use super::directory::{self, spread, DirectorySettings};
+use super::directory::{self, random_delay, DirectorySettings};
 use super::runner::{self, Job};
 use super::{fetches, peers};
 use crate::caller::Callers;
@@ -35,17 +35,17 @@
 use crate::spawner::Spawner;
 
 /// The interval of listing the named versions in a sidecar without a gateway.
-const VERSIONS_SPACING: Duration = Duration::from_millis(30_000);
+const VERSIONS_INTERVAL: Duration = Duration::from_millis(30_000);
 /// How often a sidecar checks whether it still has no gateway.
-const ALONE_LOOK_EVERY: Duration = Duration::from_millis(100);
+const ALONE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The most sidecars that are notified of an order, or asked for the last one.
-const MOST_TOLD_OF_ORDERS: usize = 64;
+const MAX_ORDER_PEERS: usize = 64;
 /// How often the reducer receives a tick.
-const TICK: Duration = Duration::from_millis(40);
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 /// The interval of progress lines of a version's chunks.
-const PROGRESS_EVERY: Millis = Millis(500);
+const PROGRESS_INTERVAL: Millis = Millis(500);
 /// Capacity of the channel for parts of the sidecar list: several times as many as a large fleet has.
-const MOST_PARTS: usize = 64;
+const PARTS_CAPACITY: usize = 64;
 /// Limit of control messages while chunks are fetched, in bytes per second. Every sidecar that fetches chunks
 /// should learn of a new one within a fraction of the time that a version takes.
 const CONTROL_BYTES_PER_S: u64 = 40_000;
@@ -65,8 +65,8 @@
         sidecar: &SidecarSettings,
     ) -> Result<Self> {
         let listen_at = SocketAddr::new(settings.node.address, settings.node.first_port);
-        let (effects, to_do) = async_channel::unbounded();
-        let (jobs, work) = async_channel::unbounded();
+        let (effects, pending_effects) = async_channel::unbounded();
+        let (jobs, pending_jobs) = async_channel::unbounded();
         let metrics = Rc::new(Metrics::start()?);
         let core = Core::new(
             options(settings),
@@ -77,7 +77,7 @@
             effects,
             settings.bounds.repeat_window_s * 1000,
         );
-        let news = DatagramSocket::bind(listen_at, metrics).await?;
+        let socket = DatagramSocket::bind(listen_at, metrics).await?;
         let listener = listen(listen_at).await?;
         spawner.detach(peers::serve(
             spawner.clone(),
@@ -85,18 +85,24 @@
             listener,
             settings.node.link_bytes_per_s,
         ));
-        let (sidecars, parts) = async_channel::bounded(MOST_PARTS);
-        spawner.detach(peers::listen(core.clone(), news.clone(), sidecars));
-        spawner.detach(runner::work(core.clone(), work));
-        spawner.detach(runner::report(core.clone(), news.clone()));
-        spawner.detach(perform(spawner.clone(), core.clone(), to_do, jobs, news.clone()));
+        let (sidecars, parts) = async_channel::bounded(PARTS_CAPACITY);
+        spawner.detach(peers::receive_datagrams(core.clone(), socket.clone(), sidecars));
+        spawner.detach(runner::run_jobs(core.clone(), pending_jobs));
+        spawner.detach(runner::poll_reports(core.clone(), socket.clone()));
+        spawner.detach(execute_effects(
+            spawner.clone(),
+            core.clone(),
+            pending_effects,
+            jobs,
+            socket.clone(),
+        ));
         spawner.detach(follow_versions(core.clone(), settings.store.address));
         spawner.detach(find_plan(core.clone(), settings.store.address));
         let directory = DirectorySettings::new(settings);
-        spawner.detach(directory::follow(core.clone(), news.clone(), parts, directory));
-        spawner.detach(ask_who_ordered(core.clone(), news.clone()));
+        spawner.detach(directory::follow(core.clone(), socket.clone(), parts, directory));
+        spawner.detach(ask_who_ordered(core.clone(), socket.clone()));
         let (open, stopping) = async_channel::bounded(1);
-        serve_page(spawner, settings, &core, stopping).await?;
+        serve_sidecar_metrics(spawner, settings, &core, stopping).await?;
         spawner.detach(tick(core.clone()));
         Ok(Self { core, _open: open })
     }
@@ -110,9 +116,11 @@
     pub fn apply(&self, settings: &DeploymentSettings) {
         let bounds = &settings.bounds;
         self.core.gateways.borrow_mut().set_window(bounds.repeat_window_s * 1000);
-        self.core
-            .feed(Event::Bounded { version_ms: bounds.version_ms, evacuate_ms: bounds.leave_ms() });
-        self.core.feed(Event::ColdBounded(cold_limit(bounds)));
+        self.core.dispatch(Event::Bounded {
+            version_ms: bounds.version_ms,
+            evacuate_ms: bounds.leave_ms(),
+        });
+        self.core.dispatch(Event::ColdBounded(cold_limit(bounds)));
     }
 }
 
@@ -134,27 +142,27 @@
 }
 
 /// Executes effects for as long as the task runs.
-async fn perform(
+async fn execute_effects(
     spawner: Spawner,
     core: Core,
     effects: Receiver<Effect>,
     jobs: Sender<Job>,
-    news: DatagramSocket,
+    socket: DatagramSocket,
 ) {
     while let Ok(effect) = effects.recv().await {
         match effect {
             Effect::Describe(version, source) => {
-                spawner.detach(fetches::describe(core.clone(), version, source));
+                spawner.detach(fetches::fetch_manifest(core.clone(), version, source));
             }
             Effect::Draw(version, draw) => {
-                spawner.detach(fetches::draw(core.clone(), version, draw));
+                spawner.detach(fetches::fetch_chunk(core.clone(), version, draw));
             }
             Effect::Summarize { to, version, have } => {
                 let (from, place) = (core.me.clone(), core.place.clone());
-                news.send(to, &Datagram::Summary { from, place, version, have }).await;
+                socket.send(to, &Datagram::Summary { from, place, version, have }).await;
             }
             Effect::Answer(question, verdict) => {
-                peers::reply(&core, &news, question, verdict).await;
+                peers::send_reply(&core, &socket, question, verdict).await;
             }
             Effect::Life(change, told) => {
                 let news = LifeNews { runner: core.me.clone(), change, told, known_born: None };
@@ -166,17 +174,17 @@
             }
             Effect::Evacuation(change) => {
                 record_evacuation(&core.metrics, &change);
-                core.look_at_runner();
+                core.request_runner_report();
             }
-            Effect::Find(version) => add(&jobs, Job::Find(version)),
-            Effect::Stage(version) => add(&jobs, Job::Stage(version)),
+            Effect::Find(version) => queue_job(&jobs, Job::Find(version)),
+            Effect::Stage(version) => queue_job(&jobs, Job::Stage(version)),
             Effect::Retire { version, sequence } => {
                 spawner.detach(runner::retire(core.clone(), version, sequence));
-                tell_of_order(&core, &news).await;
+                notify_of_order(&core, &socket).await;
             }
             Effect::Order { version, sequence, cut } => {
-                tell_of_order(&core, &news).await;
-                add(&jobs, Job::Order { version, sequence, cut });
+                notify_of_order(&core, &socket).await;
+                queue_job(&jobs, Job::Order { version, sequence, cut });
             }
         }
     }
@@ -185,37 +193,37 @@
 /// The other sidecars, or a random sample of them if there are many: if all of them were notified of all
 /// orders, the links would be congested during a rollout. Since each sample is random, every sidecar still
 /// learns of many orders.
-fn some_peers(core: &Core) -> Vec<SocketAddr> {
+fn sample_peers(core: &Core) -> Vec<SocketAddr> {
     let peers = core.rollout.borrow().peer_addresses();
-    peers.into_iter().choose_multiple(&mut rand::rng(), MOST_TOLD_OF_ORDERS)
+    peers.into_iter().choose_multiple(&mut rand::rng(), MAX_ORDER_PEERS)
 }
 
 /// Notifies other sidecars that this one sends its runner an order.
-async fn tell_of_order(core: &Core, news: &DatagramSocket) {
-    for peer in some_peers(core) {
-        news.send(peer, &Datagram::Ordered).await;
+async fn notify_of_order(core: &Core, socket: &DatagramSocket) {
+    for peer in sample_peers(core) {
+        socket.send(peer, &Datagram::Ordered).await;
     }
 }
 
 /// Asks other sidecars, as soon as they are known, whether this one sent the last order of all, which a
 /// restarted process does not know.
-async fn ask_who_ordered(core: Core, news: DatagramSocket) {
+async fn ask_who_ordered(core: Core, socket: DatagramSocket) {
     while core.rollout.borrow().peer_addresses().is_empty() {
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
-    for peer in some_peers(&core) {
-        news.send(peer, &Datagram::WhoOrdered).await;
+    for peer in sample_peers(&core) {
+        socket.send(peer, &Datagram::WhoOrdered).await;
     }
 }
 
-fn add(jobs: &Sender<Job>, job: Job) {
+fn queue_job(jobs: &Sender<Job>, job: Job) {
     let _ = jobs.try_send(job);
 }
 
 /// Waits until no gateway is subscribed and the directory has given up asking for one.
 async fn wait_until_alone(core: &Core) {
     while !core.subscribers().is_empty() || !core.is_alone.get() {
-        Timer::after(ALONE_LOOK_EVERY).await;
+        Timer::after(ALONE_CHECK_INTERVAL).await;
     }
 }
 
@@ -229,8 +237,8 @@
         {
             Ok(listing) => {
                 log_faults(Table::Versions, &listing.faults);
-                take_versions(&core, listing.changes);
-                Timer::after(VERSIONS_SPACING).await;
+                record_listed_versions(&core, listing.changes);
+                Timer::after(VERSIONS_INTERVAL).await;
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -241,14 +249,14 @@
     }
 }
 
-fn take_versions(core: &Core, changes: Vec<Change>) {
+fn record_listed_versions(core: &Core, changes: Vec<Change>) {
     for change in changes {
         if let Change::Version { model, version, .. } = change {
             // A row does not contain the time at which it was written.
-            core.take_names(&[NamedVersion { model, version, age_ms: None, after_ms: None }]);
+            core.record_versions(&[NamedVersion { model, version, age_ms: None, after_ms: None }]);
         }
     }
-    core.feed(Event::VersionsKnown);
+    core.dispatch(Event::VersionsKnown);
 }
 
 /// Reads the configuration's weights settings and the evacuated halls from the store if no gateway reports
@@ -256,7 +264,7 @@
 async fn find_plan(core: Core, store: SocketAddr) {
     let mut client = HttpClient::new(store);
     loop {
-        Timer::after(Duration::from_millis(GATEWAY_PATIENCE) + spread()).await;
+        Timer::after(Duration::from_millis(GATEWAY_PATIENCE) + random_delay()).await;
         if core.rollout.borrow().plan().is_some() {
             return;
         }
@@ -266,7 +274,7 @@
         match list(&mut client, Table::Operator, &core.era, &core.metrics, Urgency::Background)
             .await
         {
-            Ok(listing) => take_operator_table(&core, listing),
+            Ok(listing) => apply_operator_table(&core, listing),
             Err(error) => {
                 let reason = error.to_string();
                 log::warn!(reason = reason.as_str(); "configuration cannot be read");
@@ -275,22 +283,22 @@
     }
 }
 
-fn take_operator_table(core: &Core, listing: Listing) {
-    let Listing { place, changes, faults, .. } = listing;
+fn apply_operator_table(core: &Core, listing: Listing) {
+    let Listing { position, changes, faults, .. } = listing;
     log_faults(Table::Operator, &faults);
     // Evacuations are applied before the runner's service is known: no slot is granted until then, and none
     // in an evacuated hall afterwards.
-    let evacuated = EvacuatedHalls::default().apply_listing(Instant::now(), place, &changes);
-    core.feed(Event::Evacuations(evacuated));
+    let evacuated = EvacuatedHalls::default().apply_listing(Instant::now(), position, &changes);
+    core.dispatch(Event::Evacuations(evacuated));
     for change in changes {
         if let Change::Configuration(catalog) = change {
-            core.take_services(&weights_services(&catalog));
+            core.apply_services(&weights_services(&catalog));
         }
     }
 }
 
 /// Serves the metrics page with the sidecar's current state.
-async fn serve_page(
+async fn serve_sidecar_metrics(
     spawner: &Spawner,
     settings: &DeploymentSettings,
     core: &Core,
@@ -321,12 +329,12 @@
     let mut was_cold = false;
     let mut stall_detector = StallDetector::start();
     loop {
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
         if stall_detector.check(&core.metrics) {
-            core.feed(Event::Woke);
+            core.dispatch(Event::Woke);
         }
-        core.feed(Event::Tick);
-        core.close_rested_links();
+        core.dispatch(Event::Tick);
+        core.close_idle_clients();
         core.crashes.borrow_mut().forget_old(core.clock.now());
         progress.log(&core);
         log_warmth(&core, &mut was_cold);
@@ -350,12 +358,12 @@
 /// The last progress line of each version that is being fetched.
 #[derive(Default)]
 struct Progress {
-    told: BTreeMap<u64, Told>,
+    logged: BTreeMap<u64, LoggedProgress>,
 }
 
 /// The last progress line of one version.
 #[derive(Clone, Copy, Default)]
-struct Told {
+struct LoggedProgress {
     chunks: u32,
     at: Millis,
 }
@@ -364,16 +372,16 @@
     /// Logs the number of stored chunks at intervals and when the last one has arrived.
     fn log(&mut self, core: &Core) {
         let now = core.clock.now();
-        let drawn = core.drawn();
-        self.told.retain(|version, _| drawn.iter().any(|(it, _)| it == version));
-        for (version, have) in drawn {
-            let told = self.told.get(&version).copied();
-            let changed = told.is_none_or(|it| it.chunks != have.count());
-            let due = told.is_none_or(|it| now.since(it.at) >= PROGRESS_EVERY);
-            if !changed || !(due || have.is_full()) {
+        let fetching = core.fetching();
+        self.logged.retain(|version, _| fetching.iter().any(|(it, _)| it == version));
+        for (version, have) in fetching {
+            let logged = self.logged.get(&version).copied();
+            let is_changed = logged.is_none_or(|it| it.chunks != have.count());
+            let is_due = logged.is_none_or(|it| now.since(it.at) >= PROGRESS_INTERVAL);
+            if !is_changed || !(is_due || have.is_full()) {
                 continue;
             }
-            self.told.insert(version, Told { chunks: have.count(), at: now });
+            self.logged.insert(version, LoggedProgress { chunks: have.count(), at: now });
             log_progress(core, version, &have);
         }
     }
@@ -381,8 +389,9 @@
 
 /// Logs the number of stored chunks of a version, and the outcomes of fetches since the last such line.
 fn log_progress(core: &Core, version: u64, have: &Bitmap) {
-    let draws = core.draws.take();
-    let draws: Vec<String> = draws.iter().map(|(name, count)| format!("{name}={count}")).collect();
-    let draws = draws.join(" ");
-    log::info!(version = version, chunks = have.count(), of = have.capacity(), draws = draws.as_str(); "chunks");
+    let fetches = core.fetch_counts.take();
+    let fetches: Vec<String> =
+        fetches.iter().map(|(name, count)| format!("{name}={count}")).collect();
+    let fetches = fetches.join(" ");
+    log::info!(version = version, chunks = have.count(), of = have.capacity(), draws = fetches.as_str(); "chunks");
 }
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -30,16 +30,16 @@
 /// are delayed by whatever is queued on it.
 const LINK_SHARE: f64 = 0.85;
 /// The size of a write, in bytes. It is small so that the runner's answers can be sent in between.
-const SLICE_BYTES: usize = 4096;
+const WRITE_BYTES: usize = 4096;
 /// How long the receiver may take for one write: several times as long as it takes over a narrow link. A
 /// sidecar that fetches a chunk waits at least as long.
-const SLICE_PATIENCE: Duration = Duration::from_millis(1000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// How long the upload of a chunk may take.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a connection may be idle between two requests.
-const REST: Duration = Duration::from_millis(1500);
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1500);
 /// How long a subscription of a gateway lasts, in milliseconds.
-const SUBSCRIPTION: u64 = 3500;
+const SUBSCRIPTION_MS: u64 = 3500;
 /// How long to wait after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
@@ -62,7 +62,7 @@
 
 /// A message over TCP, or `None` if it is of a build with more message types. Such a message is counted, and
 /// the connection continues.
-pub fn readable<T>(
+pub fn skip_unreadable<T>(
     core: &Core,
     kind: &'static str,
     message: errors::Result<T>,
@@ -90,9 +90,10 @@
         set_socket_options(&stream);
         let late = || Error::new(Code::PeerStalled, "no request in time");
         loop {
-            let rest = Instant::now() + REST;
-            let request = with_deadline(rest, read_frame(&mut stream)).await.ok_or_else(late)?;
-            let request = readable(&self.core, "request", request)?;
+            let idle_until = Instant::now() + MAX_IDLE_TIME;
+            let request =
+                with_deadline(idle_until, read_frame(&mut stream)).await.ok_or_else(late)?;
+            let request = skip_unreadable(&self.core, "request", request)?;
             self.uploads.set(self.uploads.get() + 1);
             let until = Instant::now() + UPLOAD_TIMEOUT;
             let sent = with_deadline(until, self.answer(&mut stream, request)).await;
@@ -108,28 +109,28 @@
     ) -> errors::Result<()> {
         let answer = match request {
             None => PeerAnswer::Missing,
-            Some(PeerRequest::Chunk(request)) => self.chunk(request),
+            Some(PeerRequest::Chunk(request)) => self.chunk_answer(request),
             Some(PeerRequest::Manifest { version }) => {
                 let manifest = self.core.chunks.borrow().manifest(version);
                 manifest.map_or(PeerAnswer::Missing, |it| PeerAnswer::Manifest((*it).clone()))
             }
         };
         let frame = frame(&answer);
-        write_paced(stream, &frame, &self.pacer, SLICE_BYTES, SLICE_PATIENCE)
+        write_paced(stream, &frame, &self.pacer, WRITE_BYTES, WRITE_TIMEOUT)
             .await
             .map_err(connection_lost)
     }
 
-    fn chunk(&self, request: ChunkRequest) -> PeerAnswer {
+    fn chunk_answer(&self, request: ChunkRequest) -> PeerAnswer {
         let ChunkRequest { version, index, from, place, have } = request;
         let address = SocketAddr::new(self.peer.ip(), self.core.port);
-        self.core.feed(Event::Summary { from, address, place, version, have });
+        self.core.dispatch(Event::Summary { from, address, place, version, have });
         let chunk = self.core.chunks.borrow().get(version, index);
         match chunk {
             _ if self.uploads.get() > MAX_UPLOADS => PeerAnswer::Busy,
             Some(bytes) => {
                 self.core.metrics.count_chunk("sent");
-                PeerAnswer::Chunk { bytes: bytes.to_vec(), have: self.core.have(version) }
+                PeerAnswer::Chunk { bytes: bytes.to_vec(), have: self.core.stored_chunks(version) }
             }
             None => PeerAnswer::Missing,
         }
@@ -137,9 +138,9 @@
 }
 
 /// Processes datagrams for as long as the task runs.
-pub async fn listen(core: Core, news: DatagramSocket, sidecars: Sender<SidecarsPart>) {
+pub async fn receive_datagrams(core: Core, socket: DatagramSocket, sidecars: Sender<SidecarsPart>) {
     loop {
-        let (sender, datagram) = news.receive().await;
+        let (sender, datagram) = socket.receive().await;
         match datagram {
             Datagram::Subscribe {
                 hall,
@@ -152,35 +153,37 @@
                 limits,
                 clock_ms,
             } => {
-                core.feed(Event::Evacuations(evacuations));
-                core.take_crashes(&crashes);
+                core.dispatch(Event::Evacuations(evacuations));
+                core.apply_crashes(&crashes);
                 core.limits.borrow_mut().take(core.clock.now(), &limits);
-                let until = core.clock.now().plus(SUBSCRIPTION);
-                let near = hall == core.place.hall;
-                core.subscribers.borrow_mut().insert(sender, Subscription { near, until });
+                let expires_at = core.clock.now().plus(SUBSCRIPTION_MS);
+                let is_same_hall = hall == core.place.hall;
+                core.subscribers
+                    .borrow_mut()
+                    .insert(sender, Subscription { is_same_hall, expires_at });
                 let now = core.clock.now();
                 core.gateways.borrow_mut().note(now, sender);
                 if wants_gateways {
                     let list = core.gateways.borrow().list(now, sender);
-                    news.send(sender, &Datagram::Gateways(list)).await;
+                    socket.send(sender, &Datagram::Gateways(list)).await;
                     let crashes = core.crash_list(Told::Suspects);
                     let limits = core.limits.borrow().list(now, &mut rand::rng());
                     if !crashes.0.is_empty() || !limits.is_empty() {
-                        news.send(sender, &Datagram::Crashes { crashes, limits }).await;
+                        socket.send(sender, &Datagram::Crashes { crashes, limits }).await;
                     }
                 }
-                core.take_services(&services);
+                core.apply_services(&services);
                 if let Some(left_ms) = cold_ms {
-                    core.feed(Event::ColdFor(u64::from(left_ms)));
+                    core.dispatch(Event::ColdFor(u64::from(left_ms)));
                 }
-                core.take_names(&core.date_names(clock_ms, named));
+                core.record_versions(&core.set_version_ages(clock_ms, named));
                 if !services.is_empty() {
                     // This gateway has read the operator table, including the named versions.
-                    core.feed(Event::VersionsKnown);
+                    core.dispatch(Event::VersionsKnown);
                 }
             }
             Datagram::Summary { from, place, version, have } => {
-                core.feed(Event::Summary { from, address: sender, place, version, have });
+                core.dispatch(Event::Summary { from, address: sender, place, version, have });
             }
             Datagram::Reserve {
                 question: number,
@@ -191,23 +194,23 @@
                 wait_ms,
                 limit,
             } => {
-                if let Some(told) = limit {
-                    core.feed(Event::LimitTold(told));
+                if let Some(rate_limit) = limit {
+                    core.dispatch(Event::LimitTold(rate_limit));
                 }
                 let (asker, left_ms) = (sender, u64::from(left_ms));
                 let question =
                     Question { asker, number, request, prompt_tokens, rank, left_ms, wait_ms };
-                core.feed(Event::Asked(question));
+                core.dispatch(Event::Asked(question));
             }
             Datagram::Ordered => {
-                core.last_giver.set(Some(sender));
-                core.feed(Event::PeerOrdered);
+                core.last_orderer.set(Some(sender));
+                core.dispatch(Event::PeerOrdered);
             }
-            Datagram::WhoOrdered if core.last_giver.get() == Some(sender) => {
-                news.send(sender, &Datagram::YouOrderedLast).await;
+            Datagram::WhoOrdered if core.last_orderer.get() == Some(sender) => {
+                socket.send(sender, &Datagram::YouOrderedLast).await;
             }
             Datagram::WhoOrdered => {}
-            Datagram::YouOrderedLast => core.feed(Event::GaveLastOrder),
+            Datagram::YouOrderedLast => core.dispatch(Event::GaveLastOrder),
             Datagram::Sidecars(part) => {
                 // A full channel means that the task that asked has stopped waiting.
                 let _ = sidecars.try_send(part);
@@ -222,7 +225,12 @@
 }
 
 /// Answers a gateway's reservation.
-pub async fn reply(core: &Core, news: &DatagramSocket, question: Question, verdict: Verdict) {
+pub async fn send_reply(
+    core: &Core,
+    socket: &DatagramSocket,
+    question: Question,
+    verdict: Verdict,
+) {
     let reply = match verdict {
         Verdict::Granted => Reply::Granted,
         Verdict::Queued => Reply::Queued,
@@ -231,15 +239,15 @@
             Reply::Denied { again_ms, short_ms: Some(short_ms).filter(|it| *it > 0) }
         }
     };
-    let load = core.load_now();
+    let load = core.current_load();
     let evacuations = core.evacuations();
     let limit = core.rollout.borrow().told_limit(core.clock.now());
     let reserved =
         Datagram::Reserved { question: question.number, reply, load, evacuations, limit };
-    news.send(question.asker, &reserved).await;
+    socket.send(question.asker, &reserved).await;
     match verdict {
         Verdict::Granted => {}
-        Verdict::Queued => core.look_at_runner(),
+        Verdict::Queued => core.request_runner_report(),
         Verdict::Denied { denial, .. } => log_denial(core, question.request, denial),
     }
 }
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -22,14 +22,14 @@
 use crate::message::Datagram;
 
 /// How often the runner is asked for its report while requests wait for a slot.
-const REPORT_SPACING: Duration = Duration::from_millis(25);
+const FAST_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 /// How often it is asked otherwise.
-const REPORT_EVERY: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a call to the runner may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long staging the chunks of a version may take. After a longer time the first ones may be corrupt
 /// again.
-const MAX_STAGING: Duration = Duration::from_millis(2500);
+const MAX_STAGING_TIME: Duration = Duration::from_millis(2500);
 
 /// A job at the runner. Jobs are executed one after the other.
 pub enum Job {
@@ -49,61 +49,66 @@
 }
 
 /// Polls the runner's report and sends its load to the gateways.
-pub async fn report(core: Core, news: DatagramSocket) {
+pub async fn poll_reports(core: Core, socket: DatagramSocket) {
     let mut client = HttpClient::new(core.settings.runner);
-    let mut heard = false;
+    let mut is_answering = false;
     let mut reports = Reports::default();
-    let mut told = None;
-    let mut leaves = false;
+    let mut last_sent = None;
+    let mut is_leaving = false;
     loop {
-        let asked_at = core.clock.now();
+        let sent_at = core.clock.now();
         let report = read_report(&core, &mut client).await;
-        if report.is_ok() != heard {
-            heard = report.is_ok();
-            log::info!(heard = heard; "runner");
+        if report.is_ok() != is_answering {
+            is_answering = report.is_ok();
+            log::info!(heard = is_answering; "runner");
         }
         match report {
             Ok((report, facts)) => {
-                core.feed(Event::Status(report.status));
-                note_leaving(&core, &mut leaves, facts.is_leaving);
-                core.feed(Event::LimitReported(asked_at, facts.limit));
+                core.dispatch(Event::Status(report.status));
+                record_leaving(&core, &mut is_leaving, facts.is_leaving);
+                core.dispatch(Event::LimitReported(sent_at, facts.limit));
                 *core.load.borrow_mut() = Some(report.load);
-                if let Some(load) = core.load_now() {
-                    tell_due(&core, &news, &mut reports, &mut told, load).await;
+                if let Some(load) = core.current_load() {
+                    send_due_report(&core, &socket, &mut reports, &mut last_sent, load).await;
                 }
             }
-            Err(_) => core.feed(Event::Silent),
+            Err(_) => core.dispatch(Event::Silent),
         }
-        Timer::after(REPORT_SPACING).await;
+        Timer::after(FAST_REPORT_INTERVAL).await;
         if core.rollout.borrow().waiting() == 0 {
-            with_deadline(Instant::now() + REPORT_EVERY - REPORT_SPACING, core.look.recv()).await;
+            with_deadline(
+                Instant::now() + REPORT_INTERVAL - FAST_REPORT_INTERVAL,
+                core.report_requested.recv(),
+            )
+            .await;
         }
     }
 }
 
 /// Sends the load to the gateways that are due for a report. `last_sent` is the load that was last sent.
-async fn tell_due(
+async fn send_due_report(
     core: &Core,
-    news: &DatagramSocket,
+    socket: &DatagramSocket,
     reports: &mut Reports,
-    told: &mut Option<RunnerLoad>,
+    last_sent: &mut Option<RunnerLoad>,
     load: RunnerLoad,
 ) {
-    let same = told.as_ref().is_some_and(|it| (it.busy, &it.weights) == (load.busy, &load.weights));
-    let near = core.near_subscribers().len();
+    let is_unchanged =
+        last_sent.as_ref().is_some_and(|it| (it.busy, &it.weights) == (load.busy, &load.weights));
+    let near = core.same_hall_subscribers().len();
     let followers = Followers { near, far: core.subscribers().len() - near };
-    let gateways = match reports.audience(core.clock.now(), !same, followers) {
+    let gateways = match reports.audience(core.clock.now(), !is_unchanged, followers) {
         Audience::Nobody => return,
-        Audience::Hall => core.near_subscribers(),
+        Audience::Hall => core.same_hall_subscribers(),
         Audience::Everyone => core.subscribers(),
     };
-    *told = Some(load.clone());
-    tell_gateways(core, news, &gateways, load).await;
+    *last_sent = Some(load.clone());
+    send_load(core, socket, &gateways, load).await;
 }
 
-async fn tell_gateways(
+async fn send_load(
     core: &Core,
-    news: &DatagramSocket,
+    socket: &DatagramSocket,
     gateways: &[SocketAddr],
     load: RunnerLoad,
 ) {
@@ -116,7 +121,7 @@
         crashes: core.crash_list(Told::FreshSuspects),
     };
     for gateway in gateways {
-        news.send(*gateway, &datagram).await;
+        socket.send(*gateway, &datagram).await;
     }
 }
 
@@ -132,15 +137,15 @@
 }
 
 /// Records whether the runner is leaving. `known` is its previous statement.
-fn note_leaving(core: &Core, known: &mut bool, is_leaving: bool) {
+fn record_leaving(core: &Core, known: &mut bool, is_leaving: bool) {
     if std::mem::replace(known, is_leaving) != is_leaving {
         log::info!(leaves = is_leaving; "the runner says whether it leaves");
-        core.feed(Event::RunnerLeaves(is_leaving));
+        core.dispatch(Event::RunnerLeaves(is_leaving));
     }
 }
 
 /// Executes jobs at the runner for as long as the task runs.
-pub async fn work(core: Core, jobs: Receiver<Job>) {
+pub async fn run_jobs(core: Core, jobs: Receiver<Job>) {
     let mut client = HttpClient::new(core.settings.runner);
     while let Ok(job) = jobs.recv().await {
         let Some(model) = core.rollout.borrow().plan().map(|it| it.model.clone()) else {
@@ -148,7 +153,7 @@
         };
         let mut worker = Worker { core: &core, client: &mut client, model };
         match job {
-            Job::Find(version) => worker.find(version).await,
+            Job::Find(version) => worker.find_staged(version).await,
             Job::Stage(version) => worker.stage(version).await,
             Job::Order { version, sequence, cut } => worker.order(version, sequence, cut).await,
         }
@@ -164,13 +169,13 @@
     };
     let layers = *core.layers.borrow();
     let mut client = HttpClient::new(core.settings.runner);
-    let outcome = give(&mut client, runner::retire(&model, version, sequence, layers)).await;
-    let word = format!("{outcome:?}");
-    log::warn!(version = version, sequence = sequence, outcome = word.as_str(); "version given up at its bound");
+    let outcome = send_order(&mut client, runner::retire(&model, version, sequence, layers)).await;
+    let outcome_text = format!("{outcome:?}");
+    log::warn!(version = version, sequence = sequence, outcome = outcome_text.as_str(); "version given up at its bound");
 }
 
 /// Sends an order to the runner.
-async fn give(client: &mut HttpClient, order: Result<Call>) -> OrderOutcome {
+async fn send_order(client: &mut HttpClient, order: Result<Call>) -> OrderOutcome {
     let Ok(call) = order else {
         return OrderOutcome::Refused;
     };
@@ -187,35 +192,35 @@
 }
 
 impl Worker<'_> {
-    async fn find(&mut self, version: u64) {
-        let mut found = self.core.chunks.borrow().held(version);
-        let listed = self.listed(found.capacity()).await;
+    async fn find_staged(&mut self, version: u64) {
+        let mut found = self.core.chunks.borrow().stored(version);
+        let listed = self.list_staged(found.capacity()).await;
         let wanted: Vec<u32> = found.missing().filter(|index| listed.contains(*index)).collect();
         for index in wanted {
-            let Ok(bytes) = self.staged(index).await else {
+            let Ok(bytes) = self.read_staged(index).await else {
                 break;
             };
-            let sound = self.core.chunks.borrow_mut().insert(version, index, bytes);
-            if !sound && found.count() == 0 {
+            let is_valid = self.core.chunks.borrow_mut().insert(version, index, bytes);
+            if !is_valid && found.count() == 0 {
                 // These are chunks of another version, so the rest need not be read.
                 break;
             }
-            if sound {
+            if is_valid {
                 found.insert(index);
             }
         }
         log::info!(version = version, chunks = found.count(); "chunks found at the runner");
-        self.core.feed(Event::Found(version, found));
+        self.core.dispatch(Event::Found(version, found));
     }
 
-    async fn listed(&mut self, chunks: u32) -> Bitmap {
+    async fn list_staged(&mut self, chunks: u32) -> Bitmap {
         let answer = self.client.call(weights::staged(&self.model), CALL_TIMEOUT).await;
         let body = answer.and_then(|it| it.success());
         body.and_then(|body| weights::read_staged(&body, chunks))
             .unwrap_or_else(|_| Bitmap::new(chunks))
     }
 
-    async fn staged(&mut self, index: u32) -> Result<Bytes> {
+    async fn read_staged(&mut self, index: u32) -> Result<Bytes> {
         let call = weights::staged_chunk(&self.model, index);
         let answer = self.client.call(call, CALL_TIMEOUT).await?;
         if answer.status == 404 {
@@ -227,17 +232,17 @@
     /// Stages all chunks again right before an order, since staged chunks may become corrupt.
     async fn stage(&mut self, version: u64) {
         let chunks = self.core.chunks.borrow().manifest(version).map_or(0, |it| it.chunks());
-        let begun = Instant::now();
-        let mut sound = chunks > 0;
+        let started = Instant::now();
+        let mut is_valid = chunks > 0;
         for index in 0..chunks {
-            sound &= self.put(version, index).await.is_ok();
+            is_valid &= self.stage_chunk(version, index).await.is_ok();
         }
-        let took = begun.elapsed();
-        log::info!(version = version, sound = sound, ms = took.as_millis() as u64; "staged");
-        self.core.feed(Event::Staged(version, sound && took <= MAX_STAGING));
+        let took = started.elapsed();
+        log::info!(version = version, sound = is_valid, ms = took.as_millis() as u64; "staged");
+        self.core.dispatch(Event::Staged(version, is_valid && took <= MAX_STAGING_TIME));
     }
 
-    async fn put(&mut self, version: u64, index: u32) -> Result<()> {
+    async fn stage_chunk(&mut self, version: u64, index: u32) -> Result<()> {
         let chunk = self.core.chunks.borrow().get(version, index);
         let bytes = chunk.ok_or_else(|| Error::new(Code::ChunkMissing, "not here"))?;
         let call = weights::stage(&self.model, index, bytes.to_vec());
@@ -249,9 +254,10 @@
     }
 
     async fn order(&mut self, version: u64, sequence: u64, cut: bool) {
-        let outcome = give(self.client, runner::start(&self.model, version, sequence, cut)).await;
-        let word = format!("{outcome:?}");
-        log::info!(version = version, sequence = sequence, cut = cut, outcome = word.as_str(); "ordered");
-        self.core.feed(Event::Ordered(version, outcome));
+        let outcome =
+            send_order(self.client, runner::start(&self.model, version, sequence, cut)).await;
+        let outcome_text = format!("{outcome:?}");
+        log::info!(version = version, sequence = sequence, cut = cut, outcome = outcome_text.as_str(); "ordered");
+        self.core.dispatch(Event::Ordered(version, outcome));
     }
 }
--- a/components/edge/src/watch/change_dates.rs
+++ b/components/edge/src/watch/change_dates.rs
@@ -4,45 +4,54 @@
 use platform::store::Change;
 use uptime::Instant;
 
-use super::{Dated, Watch};
-use crate::gateway::ToldAge;
+use super::{ChangeDate, TableWatch};
+use crate::gateway::ReportedAge;
 use crate::store_time::WrittenAfter;
 
-impl Watch {
+impl TableWatch {
     /// Records the newest revision and the store's clock in an answer that was not produced before `made`.
-    pub(super) fn note_reading(&self, newest: StorePlace, clock_ms: Option<u64>, made: Instant) {
+    pub(super) fn record_store_reading(
+        &self,
+        newest: StorePlace,
+        clock_ms: Option<u64>,
+        produced_at: Instant,
+    ) {
         if let Some(clock_ms) = clock_ms {
-            self.options.time.borrow_mut().record(newest, clock_ms, made);
+            self.options.time.borrow_mut().record(newest, clock_ms, produced_at);
         }
     }
 
     /// When a version was named, as far as the store's history shows. Its first row counts, since the row of
     /// a known version may be written again. A reader of the hall may know the age if this process has read
     /// nothing from before.
-    pub(super) fn date(&mut self, change: &Change, told: Option<ToldAge>) -> Dated {
+    pub(super) fn date_change(
+        &mut self,
+        change: &Change,
+        reader_age: Option<ReportedAge>,
+    ) -> ChangeDate {
         let Change::Version { ref model, version, revision } = *change else {
-            return Dated::default();
+            return ChangeDate::default();
         };
-        let newest = self.named.entry(model.clone()).or_default();
+        let newest = self.newest_versions.entry(model.clone()).or_default();
         if version <= *newest {
-            return Dated::default();
+            return ChangeDate::default();
         }
         *newest = version;
         let row = StorePlace { era: self.era, revision };
-        let unwritten = self.options.time.borrow().written_after(row);
-        let by_reader = told.and_then(|it| {
-            let way = self.asked.elapsed().saturating_sub(it.held);
-            it.news.map(|news| news + way)
+        let written_after = self.options.time.borrow().written_after(row);
+        let age_from_reader = reader_age.and_then(|it| {
+            let transit = self.sent_at.elapsed().saturating_sub(it.held);
+            it.changes.map(|age| age + transit)
         });
-        let dated = match unwritten {
+        let date = match written_after {
             Some(WrittenAfter { clock_ms, at }) => {
-                Dated { age: Some(at.elapsed()), after_ms: Some(clock_ms) }
+                ChangeDate { age: Some(at.elapsed()), after_ms: Some(clock_ms) }
             }
-            None => Dated { age: by_reader, after_ms: None },
+            None => ChangeDate { age: age_from_reader, after_ms: None },
         };
-        let age_ms = dated.age.map(|it| it.as_millis() as u64);
-        let asked_ms = self.asked.elapsed().as_millis() as u64;
-        log::info!(version = version, revision = revision, age_ms = age_ms, after_ms = dated.after_ms, asked_ms = asked_ms; "version told");
-        dated
+        let age_ms = date.age.map(|it| it.as_millis() as u64);
+        let asked_ms = self.sent_at.elapsed().as_millis() as u64;
+        log::info!(version = version, revision = revision, age_ms = age_ms, after_ms = date.after_ms, asked_ms = asked_ms; "version told");
+        date
     }
 }
--- a/components/edge/src/watch/options.rs
+++ b/components/edge/src/watch/options.rs
@@ -11,7 +11,7 @@
 use uptime::Instant;
 
 use crate::era::Era;
-use crate::gateway::Reading;
+use crate::gateway::HallReaders;
 use crate::store_time::StoreTime;
 use crate::store_timeouts::StoreTimeouts;
 
@@ -31,22 +31,22 @@
     pub spacing: Duration,
     /// The longest pause after a large answer that was queued behind others. Zero if the table does not yield
     /// the link.
-    pub longest_rest: Duration,
+    pub max_yield_pause: Duration,
     /// The metrics that count the calls.
     pub metrics: Rc<Metrics>,
     /// The store's era.
     pub era: Rc<Era>,
     /// The readers of the store in this hall.
-    pub reading: Reading,
+    pub readers: HallReaders,
     /// Readings of the store's clock and revisions, shared by all tables of this process.
     pub time: Rc<RefCell<StoreTime>>,
     /// Whether this process polls often, so that changes can be dated closely.
-    pub dates_closely: Rc<dyn Fn() -> bool>,
+    pub dates_precisely: Rc<dyn Fn() -> bool>,
 }
 
 /// When a change happened, as far as it is known.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Dated {
+pub struct ChangeDate {
     /// The greatest possible age. `None` if it is unknown because there was no earlier answer of the store.
     pub age: Option<Duration>,
     /// The store's clock when the change had not happened yet, in milliseconds, if the age was derived from
@@ -56,28 +56,28 @@
 
 /// An event of a followed table.
 #[derive(Debug)]
-pub enum Seen {
+pub enum TableEvent {
     /// A change of the table.
     Change {
         /// The change.
         change: Change,
         /// When it happened, if it is a version of weights.
-        dated: Dated,
+        date: ChangeDate,
     },
     /// The evacuated data halls.
     Evacuations(EvacuationList),
     /// The table has been read completely at least once.
-    Whole,
+    Complete,
     /// The store answered, and all changes in its answer have been delivered.
-    Heard {
+    Answered {
         /// When the call was sent.
-        asked: Instant,
+        sent_at: Instant,
         /// Up to which time the content of the table is known.
-        known: Instant,
+        known_until: Instant,
     },
     /// Whether the store answers, after a change of that.
-    Reached(bool),
+    ReachabilityChanged(bool),
     /// The store was restored from an older copy, and what was written since is lost. The following changes
     /// are from that copy.
-    WentBack,
+    StoreRestored,
 }
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -5,28 +5,28 @@
 use errors::{Code, Error, Result};
 use gateway::readers::Source;
 
-use super::{is_history_gone, Watch};
-use crate::gateway::ToldAge;
+use super::{is_history_gone, TableWatch};
+use crate::gateway::ReportedAge;
 use crate::http_client::HttpClient;
 use crate::listing::call_name;
 
 /// How long a feed call waits if changes are to be dated closely.
-const CLOSE_WAIT: Duration = Duration::from_millis(200);
+const PRECISE_DATING_WAIT: Duration = Duration::from_millis(200);
 
-impl Watch {
+impl TableWatch {
     /// Selects where to send the next call. Returns whether there is somewhere to send it. A gateway that has
     /// to serve a table to others that it has not read itself lists it.
-    pub(super) fn choose_source(&mut self) -> bool {
-        let reading = &self.options.reading;
-        match reading.source() {
+    pub(super) fn select_source(&mut self) -> bool {
+        let readers = &self.options.readers;
+        match readers.source() {
             Source::Store => {
                 self.reader = None;
-                if reading.is_reader() && !reading.keeps(self.options.table) {
-                    self.place = None;
+                if readers.is_reader() && !readers.caches(self.options.table) {
+                    self.position = None;
                 }
             }
             Source::Reader(reader) => {
-                reading.forget(self.options.table);
+                readers.drop_table(self.options.table);
                 if self.reader.as_ref().is_none_or(|(known, _)| *known != reader) {
                     self.reader = Some((reader, HttpClient::new(reader)));
                 }
@@ -51,26 +51,26 @@
     }
 
     /// Records the outcome of a call to a reader. Returns whether the reader gave no answer.
-    pub(super) fn is_reader_lost(&mut self, result: &Result<()>) -> bool {
+    pub(super) fn reader_failed(&mut self, result: &Result<()>) -> bool {
         let Some((reader, _)) = self.reader else {
             return false;
         };
         match result {
             Err(error) if !is_history_gone(error) => {
-                self.options.reading.note_silent(reader, error, self.asked.elapsed());
+                self.options.readers.record_failure(reader, error, self.sent_at.elapsed());
                 true
             }
             _ => {
-                self.options.reading.note_heard(reader);
+                self.options.readers.record_success(reader);
                 false
             }
         }
     }
 
     /// Records up to which time the cached table is complete.
-    pub(super) fn note_kept(&self) {
-        if let (None, Some(place)) = (&self.reader, self.place) {
-            self.options.reading.note_known(self.options.table, self.known, place);
+    pub(super) fn record_cached(&self) {
+        if let (None, Some(position)) = (&self.reader, self.position) {
+            self.options.readers.record_known(self.options.table, self.known_until, position);
         }
     }
 
@@ -85,22 +85,22 @@
 
     /// How long the next feed call waits.
     pub(super) fn feed_wait(&self) -> Duration {
-        let (timeouts, reading) = (self.options.timeouts, &self.options.reading);
+        let (timeouts, readers) = (self.options.timeouts, &self.options.readers);
         if self.reader.is_some() {
-            return reading.feed_wait();
+            return readers.feed_wait();
         }
         let wait = timeouts.feed_wait(self.connected);
-        if (self.options.dates_closely)() {
-            wait.min(CLOSE_WAIT)
-        } else if reading.is_reader() {
-            wait.min(reading.feed_wait())
+        if (self.options.dates_precisely)() {
+            wait.min(PRECISE_DATING_WAIT)
+        } else if readers.is_reader() {
+            wait.min(readers.feed_wait())
         } else {
             wait
         }
     }
 
     /// The age that a reader reports for its answer. The store reports none.
-    pub(super) fn told(&self, age: Option<ToldAge>) -> Result<Option<ToldAge>> {
+    pub(super) fn reader_age(&self, age: Option<ReportedAge>) -> Result<Option<ReportedAge>> {
         match self.reader {
             None => Ok(None),
             Some(_) if age.is_none() => Err(Error::new(Code::BadFrame, "a reader tells no age")),
