--- a/components/edge/src/answer_log.rs
+++ b/components/edge/src/answer_log.rs
@@ -16,7 +16,7 @@
     pub position: StorePlace,
 }
 
-/// Logs the outcome of a call for a table. `asked` is the time since the call was sent, to a reader if
+/// Logs the outcome of a call for a table. `elapsed` is the time since the call was sent, to a reader if
 /// `reader` is set, otherwise to the store.
 pub fn log_answer(
     table: Table,
--- a/components/edge/src/caller/tests.rs
+++ b/components/edge/src/caller/tests.rs
@@ -24,7 +24,7 @@
 use super::{Caller, Callers};
 use crate::caller_buffers::BufferLimits;
 use crate::clock::Clock;
-use crate::gateway::{whole_body, AnswerBody};
+use crate::gateway::{full_body, AnswerBody};
 use crate::server::{serve_connection, ServerOptions};
 
 /// Memory of the process, in MB.
@@ -128,7 +128,7 @@
 
 async fn large_answer(caller: Rc<Caller>) -> Response<AnswerBody> {
     caller.set_read_timeout(READ_TIMEOUT);
-    Response::new(whole_body(vec![7; LARGE_ANSWER_BYTES]))
+    Response::new(full_body(vec![7; LARGE_ANSWER_BYTES]))
 }
 
 /// Reads a whole answer and returns the number of bytes received.
@@ -158,7 +158,7 @@
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// The processor time that serving `CALLERS` fast readers takes. Nothing else runs meanwhile.
+/// The processor time that serving `CALLERS_OF_EACH_KIND` fast readers takes. Nothing else runs meanwhile.
 async fn quick_callers_time(server: &TestServer) -> Duration {
     let started = processor_time();
     let reading: Vec<_> = (0..CALLERS_OF_EACH_KIND)
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn slow_readers_take_bounded_memory_and_no_time_of_quick_ones() {
+fn slow_readers_use_bounded_memory_and_do_not_delay_fast_ones() {
     let without_slow = TestServer::new();
     let with_slow = TestServer::new();
     let max_buffered: Rc<Cell<usize>> = Rc::default();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_caller_that_reads_nothing_is_let_go_after_the_time_of_its_route() {
+fn a_caller_that_reads_nothing_is_disconnected_after_the_timeout_of_its_route() {
     let server = TestServer::new();
     let mut end = server.connect(large_answer);
     let started = Instant::now();
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_stream_that_is_read_a_byte_a_second_holds_its_runner_no_longer_than_its_time() {
+fn a_stream_that_is_read_a_byte_a_second_releases_its_runner_at_its_deadline() {
     let server = TestServer::new();
     let released: Rc<RefCell<Option<Instant>>> = Rc::default();
     let until = Duration::from_millis(1500);
--- a/components/edge/src/caller_buffers/tests.rs
+++ b/components/edge/src/caller_buffers/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn bounds_follow_from_the_memory() {
+fn limits_are_proportional_to_the_memory() {
     let (small, large) = (BufferLimits::from_memory_mb(112), BufferLimits::from_memory_mb(224));
     assert_eq!(small.process, 28 << 20);
     assert_eq!(large.process, 2 * small.process);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn those_who_read_least_give_way_first() {
+fn the_slowest_reader_is_closed_first() {
     let mut buffers = buffers();
     let [idle, slow, quick] = [buffers.open(), buffers.open(), buffers.open()];
     for id in [idle, slow, quick] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_whose_body_finds_no_memory_drops_nobody() {
+fn a_request_body_without_memory_closes_no_connection() {
     let mut buffers = buffers();
     let [first, second] = [buffers.open(), buffers.open()];
     assert_eq!(buffers.reserve_body(first, 900), Ok(()));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn who_has_read_all_is_not_slow_at_the_next_answer() {
+fn a_caller_that_has_read_everything_is_not_slow_at_the_next_answer() {
     let mut buffers = buffers();
     let [old, other] = [buffers.open(), buffers.open()];
     buffers.reserve_answer(Millis(0), old, 500);
@@ -65,7 +65,7 @@
     /// After any sequence of operations, no more than the limit is buffered and the total is the sum over all
     /// connections.
     #[test]
-    fn never_keeps_more_than_the_bound(steps in prop::collection::vec((0..5u8, 0..8usize, 1..400usize), 1..200)) {
+    fn never_buffers_more_than_the_limit(steps in prop::collection::vec((0..5u8, 0..8usize, 1..400usize), 1..200)) {
         let mut buffers = buffers();
         let mut ids: Vec<ConnectionId> = (0..8).map(|_| buffers.open()).collect();
         for (at, (step, index, bytes)) in steps.into_iter().enumerate() {
--- a/components/edge/src/catch_up/tests.rs
+++ b/components/edge/src/catch_up/tests.rs
@@ -6,14 +6,14 @@
 fn caught_up() -> CatchUp {
     let mut catch_up = CatchUp::default();
     catch_up.record_listing(true);
-    assert!(catch_up.record_feed(false, true), "what lay there at the start is old");
+    assert!(catch_up.record_feed(false, true), "changes from before the start are old");
     catch_up
 }
 
 /// Guards against dating a version too late. Two versions that are named during an outage of the store arrive
 /// in two answers; the second one, taken for a current change, was dated six seconds late.
 #[test]
-fn every_answer_behind_a_silence_is_old_until_nothing_is_left() {
+fn every_answer_after_a_silence_is_old_until_an_empty_one() {
     let mut catch_up = caught_up();
     assert!(catch_up.record_feed(true, false));
     assert!(catch_up.record_feed(false, false));
@@ -22,21 +22,21 @@
 }
 
 #[test]
-fn a_series_of_changes_in_a_calm_is_new() {
+fn consecutive_changes_without_a_silence_are_current() {
     let mut catch_up = caught_up();
     assert!(!catch_up.record_feed(false, false));
     assert!(!catch_up.record_feed(false, false));
 }
 
 #[test]
-fn a_listing_in_a_calm_leaves_what_comes_next_new() {
+fn a_listing_without_a_silence_is_followed_by_current_changes() {
     let mut catch_up = caught_up();
     catch_up.record_listing(false);
     assert!(!catch_up.record_feed(false, false));
 }
 
 #[test]
-fn a_listing_behind_a_silence_leaves_what_comes_next_old() {
+fn a_listing_after_a_silence_is_followed_by_old_changes() {
     let mut catch_up = caught_up();
     catch_up.record_listing(true);
     assert!(catch_up.record_feed(false, false));
--- a/components/edge/src/delayed_returns/tests.rs
+++ b/components/edge/src/delayed_returns/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_entry_that_had_gone_is_held_until_it_has_stood_for_a_while() {
+fn a_row_that_was_deleted_before_is_delayed_until_it_has_existed_for_a_while() {
     let (mut delayed_returns, now) = (DelayedReturns::default(), Instant::now());
     delayed_returns.record_removed(now, &"r".into());
     assert!(delayed_returns.delay(now, &row("r")));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn one_that_is_written_again_or_goes_again_is_held_no_more() {
+fn a_row_that_is_rewritten_or_deleted_again_is_no_longer_delayed() {
     for is_rewritten in [true, false] {
         let (mut delayed_returns, now) = (DelayedReturns::default(), Instant::now());
         delayed_returns.record_removed(now, &"r".into());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_went_longer_ago_than_any_copy_is_believed_at_once() {
+fn a_row_deleted_before_the_oldest_copy_is_not_delayed() {
     let (mut delayed_returns, now) = (DelayedReturns::default(), Instant::now());
     delayed_returns.record_removed(now, &"r".into());
     assert!(!delayed_returns.delay(now + MAX_COPY_AGE * 2, &row("r")));
--- a/components/edge/src/era/tests.rs
+++ b/components/edge/src/era/tests.rs
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_store_without_eras_is_believed_as_it_is() {
+fn answers_without_an_era_are_accepted_from_a_store_without_eras() {
     let era = era();
     assert_eq!(era.record(&answer(None)).unwrap(), None);
     assert_eq!(era.current(), None);
 }
 
 #[test]
-fn the_first_era_is_no_rise_and_each_higher_one_is() {
+fn only_an_increase_after_the_first_era_notifies() {
     let era = era();
     let notifications = era.subscribe();
     era.record(&answer(Some("7"))).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn answers_from_before_and_without_an_era_are_errors_once_one_was_told() {
+fn answers_with_a_lower_or_missing_era_are_errors_after_one_with_an_era() {
     let era = era();
     era.record(&answer(Some("8"))).unwrap();
     assert!(era.record(&answer(Some("7"))).is_err());
--- a/components/edge/src/evacuated/tests.rs
+++ b/components/edge/src/evacuated/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_row_that_went_while_the_store_was_away_is_missing_from_the_listing() {
+fn a_row_deleted_during_an_outage_is_missing_from_the_listing() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
     halls.apply_feed(now, 10.into(), &[evacuated("a"), evacuated("b")], false);
     let later = now + Duration::from_millis(700);
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn nobody_knows_for_how_long_what_a_listing_shows_first_has_been_evacuated() {
+fn a_hall_that_is_new_in_a_listing_has_no_age() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
     let list = halls.apply_listing(now, 20.into(), &[evacuated("a")]);
     assert_eq!(ages(&list), [("a", None)]);
 }
 
 #[test]
-fn late_news_has_no_age_and_fresh_news_has() {
+fn only_current_changes_have_an_age() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
     let list = halls.apply_feed(now, 10.into(), &[evacuated("a")], true).unwrap();
     assert_eq!(ages(&list), [("a", None)]);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_hall_that_was_taken_back_and_is_evacuated_again_starts_anew() {
+fn a_hall_that_is_evacuated_again_starts_with_age_zero() {
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
     halls.apply_feed(now, 10.into(), &[evacuated("a")], false);
     let later = now + Duration::from_millis(900);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_page_that_tells_of_no_hall_gives_no_list() {
+fn a_page_without_halls_returns_no_list() {
     let mut halls = EvacuatedHalls::default();
     assert_eq!(halls.apply_feed(Instant::now(), 10.into(), &[], false), None);
 }
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_gateway_that_the_store_refuses_hears_of_a_hall_and_of_its_end_from_a_sidecar() {
+fn a_gateway_without_the_store_learns_start_and_end_of_an_evacuation_from_a_sidecar() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
     let (mut connected, mut disconnected, mut sidecar) = (gateway(), gateway(), sidecar());
     apply(&mut disconnected, now, EvacuatedHalls::default().apply_listing(started, 5.into(), &[]));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_listing_of_a_store_that_is_behind_does_not_take_a_hall_back() {
+fn an_outdated_listing_does_not_end_an_evacuation() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
     let mut gateway = gateway();
     apply(
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_age_that_was_taken_for_too_young_is_set_right_by_who_knew_it_before() {
+fn an_age_that_is_too_low_is_corrected_by_an_earlier_report() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
     let (mut slow, mut sidecar) = (gateway(), sidecar());
     let known = EvacuationList {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_age_grows_by_no_less_than_the_time_however_often_it_is_relayed() {
+fn an_age_grows_with_time_however_often_it_is_relayed() {
     let (mut halls, started, now) = (EvacuatedHalls::default(), Instant::now(), Millis(1_000_000));
     let (mut gateways, mut sidecar) = ([gateway(), gateway()], sidecar());
     apply(
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_fleet_of_new_gateways_goes_by_its_own_listing_not_by_what_sidecars_still_tell() {
+fn a_new_gateway_prefers_its_own_listing_to_outdated_reports_of_sidecars() {
     let (started, now) = (Instant::now(), Millis(1_000_000));
     let (mut fresh, mut sidecar) = (gateway(), sidecar());
     let old = EvacuatedHalls::default().apply_listing(started, 10.into(), &[evacuated("a")]);
--- a/components/edge/src/extensions.rs
+++ b/components/edge/src/extensions.rs
@@ -32,7 +32,7 @@
 
 impl Extension {
     fn new(number: u16, value: &impl Serialize) -> Self {
-        let bytes = postcard::to_stdvec(value).expect("it holds numbers alone");
+        let bytes = postcard::to_stdvec(value).expect("extension values can be encoded");
         Self { number, bytes }
     }
 }
@@ -60,7 +60,7 @@
         if bytes.is_empty() {
             return Ok(Self::default());
         }
-        let unreadable = |_| Error::new(Code::BadFrame, "unreadable additions");
+        let unreadable = |_| Error::new(Code::BadFrame, "unreadable extensions");
         let encoded: Vec<Extension> = postcard::from_bytes(bytes).map_err(unreadable)?;
         let mut extensions = Self::default();
         for Extension { number, bytes } in encoded {
@@ -122,7 +122,7 @@
 /// Decodes a datagram with its extensions. Unreadable extensions are ignored, since the datagram is valid
 /// without them.
 pub fn decode_datagram(bytes: &[u8]) -> Result<(Datagram, Extensions)> {
-    let unreadable = |_| Error::new(Code::BadFrame, "an unreadable message");
+    let unreadable = |_| Error::new(Code::BadFrame, "unreadable message");
     let (mut datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).map_err(unreadable)?;
     let extensions =
         Extensions::read(rest).unwrap_or(Extensions { unknown: 1, ..Extensions::default() });
--- a/components/edge/src/extensions/tests.rs
+++ b/components/edge/src/extensions/tests.rs
@@ -37,21 +37,21 @@
 }
 
 #[test]
-fn a_datagram_without_an_era_is_one_of_the_first_format() {
+fn a_datagram_without_an_era_equals_the_first_format() {
     assert_eq!(encode_datagram(&reserved(None)), encode(&reserved(None)));
     let (datagram, extensions) = decode_datagram(&encode(&reserved(None))).unwrap();
     assert_eq!((datagram, extensions), (reserved(None), Extensions::default()));
 }
 
 #[test]
-fn the_era_arrives_and_takes_five_bytes() {
+fn the_era_is_decoded_and_takes_four_bytes() {
     let bytes = encode_datagram(&reserved(Some(9)));
     assert_eq!(bytes.len(), encode(&reserved(None)).len() + 4);
     assert_eq!(decode_datagram(&bytes).unwrap().0, reserved(Some(9)));
 }
 
 #[test]
-fn how_long_places_are_short_arrives_behind_a_denial() {
+fn the_slot_shortage_of_a_denial_is_sent_as_an_extension() {
     let denied = |short_ms| Datagram::Reserved {
         question: 7,
         reply: crate::message::Reply::Denied { again_ms: 60, short_ms },
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_rate_limit_arrives_behind_a_question_for_a_place_and_its_answer() {
+fn a_rate_limit_is_sent_as_an_extension_of_a_reservation_and_its_answer() {
     let limit_of = |rate| ToldLimit { born: Some(1_764_720_000_000), rate, age_ms: 1200 };
     for rate in [fleet::Rate::from_per_s(1.6), None] {
         for mut datagram in [reserved(Some(9)), reserve()] {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn dates_of_versions_arrive_behind_a_load_and_the_first_format_reads_it_without() {
+fn version_dates_of_a_load_are_sent_as_an_extension_that_the_first_format_ignores() {
     let named =
         |after_ms| NamedVersion { model: "m".into(), version: 2, age_ms: Some(700), after_ms };
     let load = |clock_ms, after_ms| Datagram::Load {
@@ -114,7 +114,7 @@
 
 proptest! {
     #[test]
-    fn a_datagram_with_unknown_additions_is_read_as_the_one_without(
+    fn unknown_extensions_of_a_datagram_are_ignored(
         numbers in proptest::collection::vec((FIRST_UNKNOWN..u16::MAX, proptest::collection::vec(any::<u8>(), 0..40)), 0..5),
         era in proptest::option::of(any::<u64>()),
     ) {
@@ -132,7 +132,7 @@
     }
 
     #[test]
-    fn whatever_follows_a_datagram_spoils_nothing_of_it(rest in proptest::collection::vec(any::<u8>(), 0..60)) {
+    fn arbitrary_bytes_after_a_datagram_do_not_change_it(rest in proptest::collection::vec(any::<u8>(), 0..60)) {
         let mut bytes = encode(&reserved(None));
         bytes.extend(rest);
         let (datagram, _) = decode_datagram(&bytes).unwrap();
--- a/components/edge/src/gateway/answer.rs
+++ b/components/edge/src/gateway/answer.rs
@@ -14,14 +14,14 @@
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = Error>>>;
 
 /// A body that is complete in memory.
-pub fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Box::pin(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
 /// An answer that the gateway itself produces.
 pub fn error_answer(status: StatusCode, request: Option<&str>, code: Code) -> Response<AnswerBody> {
     let text = format!("{{\"code\":{},\"reason\":\"{}\"}}\n", code.number(), code.name());
-    let mut answer = Response::new(whole_body(text));
+    let mut answer = Response::new(full_body(text));
     *answer.status_mut() = status;
     if let Some(id) = request {
         headers::name_request(answer.headers_mut(), id);
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -14,7 +14,7 @@
 use telemetry::Span;
 use uptime::Instant;
 
-use super::answer::{whole_body, AnswerBody};
+use super::answer::{full_body, AnswerBody};
 use super::core::Core;
 use super::request::RequestContext;
 use super::reservations::SlotRequest;
@@ -247,7 +247,7 @@
         let Ok(text) = connection.collect(&mut body, MAX_ERROR_ANSWER_BYTES).await else {
             return AttemptOutcome::Lost.into();
         };
-        let mut answer = Response::new(whole_body(text));
+        let mut answer = Response::new(full_body(text));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = headers;
         AttemptResult::Failure { outcome: AttemptOutcome::Failed, answer: Some(answer) }
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -92,7 +92,7 @@
         let _ = self.notify_store_restored.try_send(());
     }
 
-    /// Whether this gateway rewrites a row that the store may have lost. `ROW_WRITERS` of all gateways do,
+    /// Whether this gateway rewrites a row that the store may have lost. `REWRITING_GATEWAYS` of all gateways do,
     /// and every gateway that does not know the others.
     pub fn rewrites_row(&self, now: Millis, row: &str) -> bool {
         self.read(|gateway| {
--- a/components/edge/src/gateway/event_splitter.rs
+++ b/components/edge/src/gateway/event_splitter.rs
@@ -26,11 +26,11 @@
             }
             return Bytes::new();
         };
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
     /// Whether an event has started and not ended.
--- a/components/edge/src/gateway/home_fault_log.rs
+++ b/components/edge/src/gateway/home_fault_log.rs
@@ -13,7 +13,7 @@
     }
     let rest = faults.len().saturating_sub(MAX_LINES);
     if rest > 0 {
-        log::warn!(more = rest; "homes where nothing can be served");
+        log::warn!(more = rest; "more home regions where no request can be served");
     }
 }
 
--- a/components/edge/src/gateway/mod.rs
+++ b/components/edge/src/gateway/mod.rs
@@ -21,6 +21,6 @@
 mod trace;
 mod version_record;
 
-pub use self::answer::{error_answer, whole_body, AnswerBody};
+pub use self::answer::{error_answer, full_body, AnswerBody};
 pub use self::node::GatewayNode;
 pub use self::readers::{read_age, HallReaders, ReportedAge};
--- a/components/edge/src/gateway/node.rs
+++ b/components/edge/src/gateway/node.rs
@@ -17,7 +17,7 @@
 use telemetry::Metrics;
 use uptime::Instant;
 
-use super::answer::{error_answer, whole_body, AnswerBody};
+use super::answer::{error_answer, full_body, AnswerBody};
 use super::core::Core;
 use super::follow_table::{feed_spacing, follow_table, store_timeouts};
 use super::quarantine_record;
@@ -236,7 +236,7 @@
     if !ready {
         return error_answer(StatusCode::SERVICE_UNAVAILABLE, None, Code::NotReady);
     }
-    Response::new(whole_body("ready\n"))
+    Response::new(full_body("ready\n"))
 }
 
 /// Serves the metrics page with the gateway's current state.
--- a/components/edge/src/gateway/notice_log.rs
+++ b/components/edge/src/gateway/notice_log.rs
@@ -11,7 +11,7 @@
         log::info!(runner = runner; "the runner says that it leaves");
     }
     if let Some(rest_ms) = notice.rest_ms {
-        log::warn!(runner = runner, rest_ms = rest_ms; "the runner turns requests away and wants to be left alone");
+        log::warn!(runner = runner, rest_ms = rest_ms; "the runner refuses requests and asks for a pause");
     }
     match notice.limit {
         Some(RateWord::Limited(rate)) => {
--- a/components/edge/src/gateway/quarantine_record.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -35,7 +35,7 @@
 pub async fn maintain(
     core: Core,
     store: SocketAddr,
-    news: Receiver<CrashNews>,
+    changes: Receiver<CrashNews>,
     has_read: Rc<Cell<bool>>,
 ) {
     let mut record = QuarantineRecord::new(core.clock.now());
@@ -43,13 +43,13 @@
     loop {
         let next = record.next_at().map(|at| core.clock.instant(at));
         let until = next.unwrap_or_else(|| Instant::now() + IDLE_SLEEP);
-        let next = future::or(async { WakeUp::StatusChange(news.recv().await) }, async {
+        let next = future::or(async { WakeUp::StatusChange(changes.recv().await) }, async {
             let _ = core.store_restored.recv().await;
             WakeUp::StoreRestored
         });
         match with_deadline(until, next).await {
-            Some(WakeUp::StatusChange(Ok(news))) => {
-                record.hear(core.clock.now(), rand::random(), &news)
+            Some(WakeUp::StatusChange(Ok(change))) => {
+                record.hear(core.clock.now(), rand::random(), &change)
             }
             Some(WakeUp::StatusChange(Err(_))) => return,
             Some(WakeUp::StoreRestored) => {
@@ -80,7 +80,7 @@
         Ok(answer) => answer,
         Err(error) => {
             let reason = error.to_string();
-            log::warn!(call = call_name(&call), reason = reason.as_str(); "record of the quarantine not reached");
+            log::warn!(call = call_name(&call), reason = reason.as_str(); "quarantine record cannot be reached");
             QuarantineAnswer::Failed
         }
     };
@@ -124,7 +124,7 @@
         }
         QuarantineCall::Remove(digest) => {
             let digest = digest.to_string();
-            log::info!(digest = digest.as_str(), outcome = outcome; "quarantine taken off the record");
+            log::info!(digest = digest.as_str(), outcome = outcome; "quarantine removed from the record");
         }
     }
 }
--- a/components/edge/src/gateway/readers.rs
+++ b/components/edge/src/gateway/readers.rs
@@ -267,7 +267,7 @@
     fn set_copy(&self, table: Table, copy: Result<Option<TableCopy>>) {
         let copy = copy.unwrap_or_else(|error| {
             let reason = error.to_string();
-            log::error!(table = table.own_name(), reason = reason.as_str(); "table cannot be told on");
+            log::error!(table = table.own_name(), reason = reason.as_str(); "table cannot be served to other gateways");
             None
         });
         self.of(table).copy.replace(copy);
@@ -308,7 +308,7 @@
         };
         let answer = send_call(&readers, &mut client, &hall, &call).await.unwrap_or_else(|error| {
             let reason = error.to_string();
-            log::warn!(reason = reason.as_str(); "row of the readers not reached");
+            log::warn!(reason = reason.as_str(); "row of the readers cannot be reached");
             ReadersAnswer::Failed
         });
         log_outcome(&readers, &call, &answer);
@@ -364,7 +364,8 @@
         return Ok(None);
     };
     let millis = value.to_str().ok().and_then(|it| it.parse().ok());
-    let fault = || Error::new(Code::BadFrame, format!("`{name}` is {value:?}"));
+    let fault =
+        || Error::new(Code::BadFrame, format!("header `{name}` is not a number: {value:?}"));
     millis.map(|it| Some(Duration::from_millis(it))).ok_or_else(fault)
 }
 
--- a/components/edge/src/gateway/readers/tests.rs
+++ b/components/edge/src/gateway/readers/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// A table whose answers reached up to revisions 20, 30 and 40, after 10. If `unknown` is set, the age of the
+/// A table whose answers reached up to revisions 20, 30 and 40, after 10. If `is_second_unknown` is set, the age of the
 /// second answer's changes is unknown.
 fn table(is_second_unknown: bool) -> (CachedTable, [Instant; 3]) {
     let now = Instant::now();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn news_is_as_old_as_the_oldest_answer_behind_a_revision() {
+fn changes_are_as_old_as_the_oldest_answer_after_a_revision() {
     let (cached, times) = table(false);
     assert_eq!(cached.earliest_change_after(10), Some(times[0]));
     assert_eq!(cached.earliest_change_after(15), Some(times[0]));
@@ -28,20 +28,24 @@
 }
 
 #[test]
-fn nothing_is_told_of_the_age_of_news_where_nobody_knows_it() {
+fn no_age_is_reported_if_one_of_the_answers_has_none() {
     let (cached, times) = table(true);
     assert_eq!(cached.earliest_change_after(10), None);
     assert_eq!(cached.earliest_change_after(20), None);
     assert_eq!(cached.earliest_change_after(30), Some(times[2]));
-    assert_eq!(cached.earliest_change_after(5), None, "it goes back no further");
+    assert_eq!(
+        cached.earliest_change_after(5),
+        None,
+        "the recorded changes do not go back that far"
+    );
 }
 
 #[test]
-fn an_answer_that_leaves_out_an_age_is_an_error_and_the_store_tells_none() {
+fn an_answer_with_an_incomplete_age_is_an_error_and_one_of_the_store_has_none() {
     let mut headers = HeaderMap::new();
     assert_eq!(read_age(&headers).unwrap(), None);
     headers.insert(KNOWN_AGE_HEADER, HeaderValue::from_static("120"));
-    assert!(read_age(&headers).is_err(), "how long it was held is missing");
+    assert!(read_age(&headers).is_err(), "the held time is missing");
     headers.insert(HELD_TIME_HEADER, HeaderValue::from_static("900"));
     let age = read_age(&headers).unwrap().unwrap();
     assert_eq!((age.known.as_millis(), age.held.as_millis(), age.changes), (120, 900, None));
--- a/components/edge/src/gateway/relay.rs
+++ b/components/edge/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use http_body_util::StreamBody;
 use telemetry::Span;
 
-use super::answer::{error_answer, whole_body, AnswerBody};
+use super::answer::{error_answer, full_body, AnswerBody};
 use super::attempt::{Attempt, AttemptResult, RunnerAnswer};
 use super::core::{Core, RequestHandle};
 use super::event_splitter::EventSplitter;
@@ -75,7 +75,7 @@
         match collected {
             Some(Ok(text)) => {
                 self.finish();
-                answer_with(whole_body(text), self.answer.status, self.answer.headers)
+                answer_with(full_body(text), self.answer.status, self.answer.headers)
             }
             Some(Err(error)) => {
                 self.context.trace.end(RequestEnd::Unknown, 502, Some(error.code));
@@ -203,7 +203,7 @@
             self.current.answer.status.as_u16(),
             Some(code),
         );
-        Error::new(code, "the stream cannot go on")
+        Error::new(code, "the stream cannot continue")
     }
 
     /// Resumes at another runner, after the last complete event.
--- a/components/edge/src/gateway/sidecar_datagrams/tests.rs
+++ b/components/edge/src/gateway/sidecar_datagrams/tests.rs
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn a_runner_is_called_warm_only_by_a_list_that_the_store_has_just_confirmed() {
+fn a_runner_is_reported_warm_only_by_a_list_that_the_store_has_just_confirmed() {
     block_on(async {
         let core = core().await;
-        assert_eq!(sent_cold_ms(&core), None, "the store was never heard");
+        assert_eq!(sent_cold_ms(&core), None, "the store never answered");
         core.tables.runners.record_answer(Instant::now());
         assert_eq!(sent_cold_ms(&core), Some(0));
         Timer::after(MAX_WARM_REPORT_AGE + Duration::from_millis(20)).await;
@@ -86,7 +86,7 @@
 /// The monotonic clock stops while a machine is suspended. If ages were computed from it, a gateway would
 /// take state from before a suspension for current state and hold requests for seconds beyond their deadline.
 #[test]
-fn what_was_believed_before_a_suspension_is_as_old_as_it_is() {
+fn state_from_before_a_suspension_ages_by_the_suspended_time() {
     block_on(async {
         let core = core().await;
         core.tables.runners.record_answer(Instant::now());
@@ -111,19 +111,19 @@
         assert!(has_load(&core) && core.tables.operator.is_confirmed());
         uptime::pretend_suspended(SUSPENDED);
         assert!(core.clock.now().since(before).0 >= SUSPENDED.as_millis() as u64);
-        assert!(!has_load(&core), "a report of before");
+        assert!(!has_load(&core), "the report is from before the suspension");
         assert!(!core.tables.operator.is_confirmed() && !core.tables.runners.is_confirmed());
         assert_eq!(sent_cold_ms(&core), None);
     });
 }
 
 #[test]
-fn a_request_whose_time_is_over_ends_as_the_machine_goes_on() {
+fn a_request_that_expires_during_a_suspension_ends_on_resume() {
     block_on(async {
         let core = core().await;
         let mut suspensions = uptime::Suspensions::default();
         let limit = core.clock.now().plus(SUSPENDED.as_millis() as u64);
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let result = with_request_deadline(&core, limit, std::future::pending::<()>());
         let resume = async {
             Timer::after(Duration::from_millis(20)).await;
@@ -132,6 +132,6 @@
         };
         let (result, span) = futures_lite::future::zip(result, resume).await;
         assert!(result.is_none() && span.is_some());
-        assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
     });
 }
--- a/components/edge/src/gateway/table_server.rs
+++ b/components/edge/src/gateway/table_server.rs
@@ -10,7 +10,7 @@
 use platform::table_copy::{self, Changes, Question, Wanted};
 use uptime::Instant;
 
-use super::answer::{error_answer, whole_body, AnswerBody};
+use super::answer::{error_answer, full_body, AnswerBody};
 use super::readers::{HallReaders, CHANGE_AGE_HEADER, HELD_TIME_HEADER, KNOWN_AGE_HEADER};
 
 /// How long a reader that is starting may take to list a table for a gateway that asks for it.
@@ -27,7 +27,7 @@
         Ok(Some(body)) => answer_with_age(&readers, question, received_at, body),
         Ok(None) => error_answer(StatusCode::GONE, None, Code::NotFound),
         Err(error) => {
-            log::debug!(reason = error.to_string().as_str(); "table not told on");
+            log::debug!(reason = error.to_string().as_str(); "table not served to another gateway");
             error_answer(StatusCode::SERVICE_UNAVAILABLE, None, error.code)
         }
     }
@@ -47,7 +47,7 @@
         Wanted::Listing => None,
         Wanted::Changes { after, .. } => cached.earliest_change_after(after).map(|it| it.elapsed()),
     };
-    let mut answer = Response::new(whole_body(body));
+    let mut answer = Response::new(full_body(body));
     // Ages are rounded up, and the time that the call was held is rounded down.
     let rounded_up = |age: Duration| HeaderValue::from(age.as_millis() as u64 + 1);
     let headers = answer.headers_mut();
@@ -90,7 +90,8 @@
     question: Question,
     is_over: bool,
 ) -> Result<Option<Option<Vec<u8>>>> {
-    let not_ready = || Error::new(Code::NotReady, "no reader of this table, or its news is old");
+    let not_ready =
+        || Error::new(Code::NotReady, "not a reader of this table, or its content is outdated");
     let copy = readers.of(question.table).copy.borrow();
     let copy = copy.as_ref().filter(|_| readers.age(question.table).is_some());
     let Some(copy) = copy else {
--- a/components/edge/src/gateway/table_state.rs
+++ b/components/edge/src/gateway/table_state.rs
@@ -25,7 +25,7 @@
 }
 
 impl TableState {
-    /// Creates the state before the first answer. Answers arrive at least every `longest_gap` while the store
+    /// Creates the state before the first answer. Answers arrive at least every `max_answer_gap` while the store
     /// works.
     fn new(max_answer_gap: Duration) -> Self {
         Self {
@@ -50,7 +50,7 @@
         let waited = self.followed_since.elapsed();
         self.first_complete.set(Some(waited));
         let table = format!("{table:?}");
-        log::info!(table = table.as_str(), waited_ms = waited.as_millis() as u64; "table whole for the first time");
+        log::info!(table = table.as_str(), waited_ms = waited.as_millis() as u64; "table read completely for the first time");
     }
 
     /// How long the first complete reading took, or has taken so far, in milliseconds.
@@ -94,7 +94,7 @@
 }
 
 impl Tables {
-    /// Creates the state before the first answer. `longest_gap` returns the longest time between two answers
+    /// Creates the state before the first answer. `max_answer_gap` returns the longest time between two answers
     /// for a table while the store works.
     pub fn new(max_answer_gap: impl Fn(Table) -> Duration, era: Era) -> Self {
         Self {
--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -91,7 +91,7 @@
         Ok(answer) => answer,
         Err(error) => {
             let reason = error.to_string();
-            log::warn!(call = call_name(&call), reason = reason.as_str(); "record of versions not reached");
+            log::warn!(call = call_name(&call), reason = reason.as_str(); "version record cannot be reached");
             RecordAnswer::Failed
         }
     };
@@ -122,7 +122,7 @@
 fn log_outcome(call: &RecordCall, answer: &RecordAnswer) {
     let outcome = outcome_name(answer);
     match call {
-        RecordCall::Read => log::info!(outcome = outcome; "record of versions read"),
+        RecordCall::Read => log::info!(outcome = outcome; "version record read"),
         RecordCall::Write(heard, revision) => log::info!(
             model = heard.model.0.as_str(),
             version = heard.version,
--- a/components/edge/src/http_client.rs
+++ b/components/edge/src/http_client.rs
@@ -74,29 +74,31 @@
     /// Makes a call within a timeout.
     pub async fn call(&mut self, call: Call, timeout: Duration) -> Result<CallAnswer> {
         let until = Instant::now() + timeout;
-        let late = || Error::new(Code::TimedOut, "no answer in time");
+        let timed_out = || Error::new(Code::TimedOut, "no answer in time");
         with_deadline(until, self.call_with_pause_limit(call, timeout, timeout))
             .await
-            .ok_or_else(late)?
+            .ok_or_else(timed_out)?
     }
 
-    /// Makes a call whose answer must start within `begin` and may take as long as it likes after that, with
-    /// no pause longer than `pause`. A large answer on a narrow link would never arrive if it were cut off
+    /// Makes a call whose answer must start within `start_timeout` and may take as long as it likes after that, with
+    /// no pause longer than `max_pause`. A large answer on a narrow link would never arrive if it were cut off
     /// and requested again.
     pub async fn call_with_pause_limit(
         &mut self,
         call: Call,
-        begin: Duration,
-        pause: Duration,
+        start_timeout: Duration,
+        max_pause: Duration,
     ) -> Result<CallAnswer> {
         // Taken out, so that a cancelled call does not leave its connection behind.
-        let kept = self.connection.take().filter(is_reusable).map(|(connection, _)| connection);
-        let late = || Error::new(Code::TimedOut, "no answer in time");
-        let started = start_call(self.address, kept, call, begin);
-        let (mut connection, answer) =
-            with_deadline(Instant::now() + begin, started).await.ok_or_else(late)??;
+        let idle_connection =
+            self.connection.take().filter(is_reusable).map(|(connection, _)| connection);
+        let timed_out = || Error::new(Code::TimedOut, "no answer in time");
+        let started = start_call(self.address, idle_connection, call, start_timeout);
+        let (mut connection, answer) = with_deadline(Instant::now() + start_timeout, started)
+            .await
+            .ok_or_else(timed_out)??;
         let (head, mut body) = answer.into_parts();
-        let body = collect(&mut connection, &mut body, pause).await?;
+        let body = collect(&mut connection, &mut body, max_pause).await?;
         self.connection = Some((connection, Instant::now()));
         Ok(CallAnswer { status: head.status.as_u16(), headers: head.headers, body })
     }
@@ -111,11 +113,11 @@
 /// Sends a call and waits for the head of its answer.
 async fn start_call(
     address: SocketAddr,
-    kept: Option<HttpConnection>,
+    idle_connection: Option<HttpConnection>,
     call: Call,
     timeout: Duration,
 ) -> Result<(HttpConnection, Response<Incoming>)> {
-    let mut connection = match kept {
+    let mut connection = match idle_connection {
         Some(connection) => connection,
         None => HttpConnection::open(address, timeout.min(CONNECT_TIMEOUT)).await?,
     };
@@ -123,16 +125,16 @@
     Ok((connection, answer))
 }
 
-/// Reads a body of at most `MAX_ANSWER_BYTES` bytes, with no pause between them longer than `pause`.
+/// Reads a body of at most `MAX_ANSWER_BYTES` bytes, with no pause between them longer than `max_pause`.
 async fn collect(
     connection: &mut HttpConnection,
     body: &mut Incoming,
-    pause: Duration,
+    max_pause: Duration,
 ) -> Result<Vec<u8>> {
     let mut body_bytes = Vec::new();
     loop {
-        let next = with_deadline(Instant::now() + pause, connection.next_bytes(body)).await;
-        let next = next.ok_or_else(|| Error::new(Code::TimedOut, "the answer stands still"))?;
+        let next = with_deadline(Instant::now() + max_pause, connection.next_bytes(body)).await;
+        let next = next.ok_or_else(|| Error::new(Code::TimedOut, "the answer stalled"))?;
         let Some(bytes) = next else {
             return Ok(body_bytes);
         };
--- a/components/edge/src/http_connection.rs
+++ b/components/edge/src/http_connection.rs
@@ -88,14 +88,14 @@
 
     /// Reads a whole body of at most `limit` bytes.
     pub async fn collect(&mut self, body: &mut Incoming, limit: usize) -> Result<Vec<u8>> {
-        let mut whole = Vec::new();
+        let mut body_bytes = Vec::new();
         while let Some(bytes) = self.next_bytes(body).await {
-            whole.extend_from_slice(&bytes?);
-            if whole.len() > limit {
+            body_bytes.extend_from_slice(&bytes?);
+            if body_bytes.len() > limit {
                 return Err(Error::new(Code::TooLarge, "the answer is too large"));
             }
         }
-        Ok(whole)
+        Ok(body_bytes)
     }
 }
 
--- a/components/edge/src/link_yield/tests.rs
+++ b/components/edge/src/link_yield/tests.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn rests_a_multiple_of_the_wait_in_the_queue() {
+fn the_pause_is_a_multiple_of_the_queueing_delay() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     assert_eq!(record(&mut link_yield, 0, 10, 40), Duration::ZERO);
     assert_eq!(record(&mut link_yield, 100, 110, LARGE_ANSWER_BYTES), millis(100) * PAUSE_FACTOR);
 }
 
 #[test]
-fn a_rest_becomes_shorter_by_and_by() {
+fn pauses_become_shorter_gradually() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     record(&mut link_yield, 0, 10, 40);
     record(&mut link_yield, 100, 110, LARGE_ANSWER_BYTES);
@@ -35,35 +35,35 @@
 }
 
 #[test]
-fn small_answers_are_asked_for_without_a_rest() {
+fn small_answers_cause_no_pause() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     record(&mut link_yield, 0, 10, 40);
     assert_eq!(record(&mut link_yield, 100, 900, LARGE_ANSWER_BYTES - 1), Duration::ZERO);
 }
 
 #[test]
-fn a_rest_ends_in_time_however_long_an_answer_took() {
+fn a_pause_is_bounded_however_long_an_answer_took() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     record(&mut link_yield, 0, 10, 40);
     assert_eq!(record(&mut link_yield, 100, 60_000, LARGE_ANSWER_BYTES), MAX_PAUSE);
 }
 
 #[test]
-fn a_table_that_yields_to_nothing_does_not_rest() {
+fn a_table_that_does_not_yield_does_not_pause() {
     let mut link_yield = LinkYield::new(Duration::ZERO);
     record(&mut link_yield, 0, 10, 40);
     assert_eq!(record(&mut link_yield, 100, 500, LARGE_ANSWER_BYTES), Duration::ZERO);
 }
 
 #[test]
-fn without_the_stores_clock_nothing_is_rested() {
+fn without_a_store_clock_there_is_no_pause() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     link_yield.record_answer(millis(10), None, LARGE_ANSWER_BYTES);
     assert_eq!(link_yield.pause(), Duration::ZERO);
 }
 
 #[test]
-fn a_way_that_became_longer_for_good_is_the_usual_one_after_a_while() {
+fn a_permanently_longer_transit_becomes_the_baseline() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     record(&mut link_yield, 0, 10, 40);
     let mut pause = Duration::ZERO;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_clock_of_a_store_that_came_back_from_a_copy_may_be_another() {
+fn a_restored_store_may_have_another_clock() {
     let mut link_yield = LinkYield::new(MAX_PAUSE);
     record(&mut link_yield, 0, 10, 40);
     link_yield.reset();
@@ -86,7 +86,7 @@
     /// Processes that share a link and call again as soon as they may keep the queue short, even if they
     /// start in step: no process waits longer than a quarter of what it would wait without pauses.
     #[test]
-    fn the_queue_of_many_stays_short(processes in 2_usize..200, answer_ms in 1_u64..60) {
+    fn the_queue_of_many_processes_stays_short(processes in 2_usize..200, answer_ms in 1_u64..60) {
         let round = processes as u64 * answer_ms;
         let max_pause = millis(round.max(1));
         let mut waiting: Vec<LinkYield> = (0..processes).map(|_| LinkYield::new(max_pause)).collect();
--- a/components/edge/src/message.rs
+++ b/components/edge/src/message.rs
@@ -398,12 +398,12 @@
 
 /// Encodes a message.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(message).expect("a message has no type that cannot be encoded")
+    postcard::to_stdvec(message).expect("messages can be encoded")
 }
 
 /// Decodes a message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
-    postcard::from_bytes(bytes).map_err(|_| Error::new(Code::BadFrame, "an unreadable message"))
+    postcard::from_bytes(bytes).map_err(|_| Error::new(Code::BadFrame, "unreadable message"))
 }
 
 /// Writes a message with a length prefix.
@@ -431,7 +431,7 @@
     stream.read_exact(&mut length).await.map_err(connection_lost)?;
     let length = u32::from_le_bytes(length);
     if length > MAX_FRAME_BYTES {
-        return Err(Error::new(Code::FrameTooLarge, "a message that is too large"));
+        return Err(Error::new(Code::FrameTooLarge, "message is too large"));
     }
     let mut body = vec![0; length as usize];
     stream.read_exact(&mut body).await.map_err(connection_lost)?;
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -251,7 +251,7 @@
 
 /// Any landed build may exchange datagrams with a build that is two landings older or newer.
 #[test]
-fn what_all_landed_builds_say_is_the_same_in_each_of_them() {
+fn samples_are_identical_in_all_landed_builds() {
     let names = datagrams().into_iter().map(|it| it.0);
     let names = names.chain(requests().into_iter().map(|it| it.0));
     for name in names.chain(answers().into_iter().map(|it| it.0)) {
@@ -265,11 +265,11 @@
     let variants: std::collections::BTreeSet<u8> =
         datagrams().iter().map(|(_, it)| encode(it)[0]).collect();
     assert_eq!(variants, (0..variants.len() as u8).collect());
-    assert!(decode::<Datagram>(&[variants.len() as u8]).is_err(), "a variant without a sample");
+    assert!(decode::<Datagram>(&[variants.len() as u8]).is_err(), "a variant has no sample");
 }
 
 #[test]
-fn samples_of_this_build_are_written_where_that_is_asked_for() {
+fn samples_of_this_build_are_written_on_request() {
     let Ok(directory) = std::env::var("SILVERDOCK_SAMPLES") else {
         return;
     };
--- a/components/edge/src/message/tests.rs
+++ b/components/edge/src/message/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_list_of_as_many_gateways_as_are_told_fits_a_datagram() {
+fn the_longest_list_of_gateways_fits_into_a_datagram() {
     assert!(list_bytes(128) <= MAX_DATAGRAM_BYTES, "{} bytes", list_bytes(128));
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn where_no_hall_is_evacuated_a_report_of_load_is_four_bytes_longer_for_it() {
+fn an_empty_list_of_evacuations_takes_four_bytes() {
     assert_eq!(evacuation_bytes(0), 4);
 }
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn crashes_take_one_byte_where_there_are_none_and_half_a_datagram_at_most() {
+fn an_empty_crash_list_takes_one_byte_and_a_full_one_half_a_datagram() {
     assert_eq!(crash_bytes(0, 0), 1);
     for crashes in 1..=8 {
         let bytes = crash_bytes(64, crashes);
--- a/components/edge/src/metrics.rs
+++ b/components/edge/src/metrics.rs
@@ -14,7 +14,7 @@
 use uptime::{Instant, Suspensions};
 
 use crate::caller::Callers;
-use crate::gateway::{error_answer, whole_body, AnswerBody};
+use crate::gateway::{error_answer, full_body, AnswerBody};
 use crate::server::{listen, serve, ServerOptions};
 use crate::spawner::Spawner;
 
@@ -105,7 +105,7 @@
     if request.uri().path() != METRICS_PATH {
         return error_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
     }
-    let mut answer = Response::new(whole_body(metrics.render()));
+    let mut answer = Response::new(full_body(metrics.render()));
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_FORMAT));
     answer
 }
--- a/components/edge/src/paging/tests.rs
+++ b/components/edge/src/paging/tests.rs
@@ -8,7 +8,7 @@
 const SLOW_PAGE: Duration = Duration::from_millis(400);
 
 #[test]
-fn pages_grow_while_they_come_quickly() {
+fn pages_grow_while_they_arrive_quickly() {
     let mut paging = Paging::new(Urgency::Urgent);
     assert_eq!(paging.rows(), FIRST_ROWS);
     paging.record_page(FAST_PAGE);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn pages_shrink_while_they_come_slowly() {
+fn pages_shrink_while_they_arrive_slowly() {
     let mut paging = Paging::new(Urgency::Urgent);
     paging.record_page(SLOW_PAGE);
     assert_eq!(paging.rows(), FIRST_ROWS / 2);
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn only_a_listing_that_nothing_waits_for_rests() {
+fn only_a_background_listing_pauses_between_pages() {
     let mut urgent = Paging::new(Urgency::Urgent);
     urgent.record_page(SLOW_PAGE);
     assert_eq!(urgent.pause(), Duration::ZERO);
     let mut background = Paging::new(Urgency::Background);
-    assert_eq!(background.pause(), Duration::ZERO, "nothing has been asked for yet");
+    assert_eq!(background.pause(), Duration::ZERO, "no page was requested yet");
     background.record_page(Duration::from_millis(10));
     assert_eq!(background.pause(), Duration::from_millis(80));
     background.record_page(SLOW_PAGE);
--- a/components/edge/src/reload/tests.rs
+++ b/components/edge/src/reload/tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_file_that_is_being_written_is_read_when_it_is_whole() {
+fn a_file_that_is_being_written_is_read_when_it_is_complete() {
     let temporary = TemporaryFile::new("half");
     let mut file = temporary.read();
     reload_if_changed(&mut file);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_change_between_the_first_reading_and_the_first_look_is_seen() {
+fn a_change_between_the_first_reading_and_the_first_check_is_detected() {
     let temporary = TemporaryFile::new("early");
     temporary.write(&SETTINGS.replace("= 106", "= 50"));
     let mut file = temporary.read();
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_file_that_is_gone_changes_nothing_until_it_is_back() {
+fn a_deleted_file_changes_nothing_until_it_exists_again() {
     let temporary = TemporaryFile::new("gone");
     let mut file = temporary.read();
     reload_if_changed(&mut file);
--- a/components/edge/src/run.rs
+++ b/components/edge/src/run.rs
@@ -101,7 +101,7 @@
     let result = logs.set(&settings.node.log_level, settings.node.log_lines_per_s);
     if let Err(error) = result {
         let reason = error.to_string();
-        log::error!(reason = reason.as_str(); "the logs stay as they are");
+        log::error!(reason = reason.as_str(); "log settings cannot be changed; the old ones stay");
     }
     node.apply(settings);
 }
--- a/components/edge/src/sidecar/fetches.rs
+++ b/components/edge/src/sidecar/fetches.rs
@@ -64,7 +64,7 @@
     match call_peer(core, address, until, &PeerRequest::Manifest { version }).await? {
         PeerAnswer::Manifest(manifest) => Ok(Arc::new(manifest)),
         PeerAnswer::Busy => Err(Error::new(Code::PeerBusy, "too many uploads")),
-        _ => Err(Error::new(Code::NotFound, "not there")),
+        _ => Err(Error::new(Code::NotFound, "the peer does not hold the manifest")),
     }
 }
 
@@ -107,10 +107,10 @@
     let (origin, model) = origin(core)?;
     let timeout = until.saturating_duration_since(Instant::now());
     let call = weights::chunk(&model, version, index);
-    let kept = core.origin_clients.borrow_mut().pop().filter(|it| it.address() == origin);
-    let mut client = kept.unwrap_or_else(|| HttpClient::new(origin));
-    let begin = timeout.min(ORIGIN_MAX_PAUSE);
-    let answer = client.call_with_pause_limit(call, begin, begin).await?;
+    let idle = core.origin_clients.borrow_mut().pop().filter(|it| it.address() == origin);
+    let mut client = idle.unwrap_or_else(|| HttpClient::new(origin));
+    let max_pause = timeout.min(ORIGIN_MAX_PAUSE);
+    let answer = client.call_with_pause_limit(call, max_pause, max_pause).await?;
     core.origin_clients.borrow_mut().push(client);
     answer.success().map(Bytes::from)
 }
@@ -136,7 +136,7 @@
             Ok(Bytes::from(bytes))
         }
         PeerAnswer::Busy => Err(Error::new(Code::PeerBusy, "too many uploads")),
-        _ => Err(Error::new(Code::ChunkMissing, "not there")),
+        _ => Err(Error::new(Code::ChunkMissing, "the peer does not hold the chunk")),
     }
 }
 
@@ -147,9 +147,9 @@
     until: Instant,
     request: &PeerRequest,
 ) -> Result<PeerAnswer> {
-    let kept = core.idle_connections.borrow_mut().take(address);
+    let idle = core.idle_connections.borrow_mut().take(address);
     let exchange = async {
-        let mut stream = match kept {
+        let mut stream = match idle {
             Some(stream) => stream,
             None => connect(address, CONNECT_TIMEOUT).await?,
         };
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -139,7 +139,7 @@
 /// Records whether the runner is leaving. `known` is its previous statement.
 fn record_leaving(core: &Core, known: &mut bool, is_leaving: bool) {
     if std::mem::replace(known, is_leaving) != is_leaving {
-        log::info!(leaves = is_leaving; "the runner says whether it leaves");
+        log::info!(leaves = is_leaving; "the runner reports that it leaves, or no longer does");
         core.dispatch(Event::RunnerLeaves(is_leaving));
     }
 }
@@ -171,7 +171,7 @@
     let mut client = HttpClient::new(core.settings.runner);
     let outcome = send_order(&mut client, runner::retire(&model, version, sequence, layers)).await;
     let outcome_text = format!("{outcome:?}");
-    log::warn!(version = version, sequence = sequence, outcome = outcome_text.as_str(); "version given up at its bound");
+    log::warn!(version = version, sequence = sequence, outcome = outcome_text.as_str(); "version retired at its deadline");
 }
 
 /// Sends an order to the runner.
@@ -244,7 +244,8 @@
 
     async fn stage_chunk(&mut self, version: u64, index: u32) -> Result<()> {
         let chunk = self.core.chunks.borrow().get(version, index);
-        let bytes = chunk.ok_or_else(|| Error::new(Code::ChunkMissing, "not here"))?;
+        let bytes =
+            chunk.ok_or_else(|| Error::new(Code::ChunkMissing, "the chunk is not stored"))?;
         let call = weights::stage(&self.model, index, bytes.to_vec());
         let answer = self.client.call(call, CALL_TIMEOUT).await?;
         if (200..300).contains(&answer.status) {
--- a/components/edge/src/store_time.rs
+++ b/components/edge/src/store_time.rs
@@ -50,12 +50,12 @@
 
 impl StoreTime {
     /// Records the newest revision and the clock in an answer of the store that was not produced before
-    /// `made`.
+    /// `produced_at`.
     pub fn record(&mut self, newest: StorePlace, clock_ms: u64, produced_at: Instant) {
         let now = Instant::now();
         self.readings.retain(|it| now.saturating_duration_since(it.produced_at) < MAX_READING_AGE);
-        let behind = self.readings.iter().rposition(|it| it.clock_ms <= clock_ms);
-        let index = behind.map_or(0, |it| it + 1);
+        let earlier = self.readings.iter().rposition(|it| it.clock_ms <= clock_ms);
+        let index = earlier.map_or(0, |it| it + 1);
         self.readings.insert(index, Reading { newest, clock_ms, produced_at, arrived_at: now });
         if self.readings.len() > MAX_READINGS {
             self.readings.pop_front();
@@ -114,7 +114,7 @@
 /// shortest delay.
 #[derive(Debug, Default)]
 struct ReportedClock {
-    /// The best reports of the current span of `KEPT_FOR` and of the previous one.
+    /// The best reports of the current span of `MAX_READING_AGE` and of the previous one.
     best: Option<ClockReport>,
     previous_best: Option<ClockReport>,
     /// When the current span started.
--- a/components/edge/src/store_time/tests.rs
+++ b/components/edge/src/store_time/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_row_was_written_after_the_last_answer_under_an_older_revision() {
+fn a_row_was_written_after_the_last_answer_with_an_older_revision() {
     let (time, now) = record_answers(&[(900, 7), (500, 9), (100, 12)]);
     let at = now - Duration::from_millis(500);
     assert_eq!(time.written_after(position(11)), Some(WrittenAfter { clock_ms: 49_500, at }));
@@ -26,21 +26,21 @@
 }
 
 #[test]
-fn answers_may_be_taken_in_out_of_order() {
+fn answers_may_be_recorded_out_of_order() {
     let (time, _) = record_answers(&[(500, 9), (100, 12), (900, 7)]);
     assert_eq!(time.written_after(position(9)).map(|it| it.clock_ms), Some(49_100));
     assert_eq!(time.written_after(position(13)).map(|it| it.clock_ms), Some(49_900));
 }
 
 #[test]
-fn revisions_of_another_era_tell_nothing() {
+fn revisions_of_another_era_give_no_bound() {
     let (time, _) = record_answers(&[(500, 9)]);
     assert_eq!(time.written_after(StorePlace { era: Some(2), revision: 11 }), None);
 }
 
 /// An answer that was requested long before it was produced would put the store's clock too far ahead.
 #[test]
-fn the_clock_is_read_from_the_answer_that_tells_most_exactly() {
+fn the_clock_is_taken_from_the_most_precise_answer() {
     let (mut time, now) = record_answers(&[(900, 7)]);
     time.record(position(9), 49_800, now - Duration::from_millis(1000));
     assert_eq!(time.clock_ms(now), Some(50_001));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_clock_is_told_on_once_an_answer_has_shown_it_closely() {
+fn the_clock_is_reported_once_an_answer_has_determined_it_precisely() {
     let mut time = StoreTime::default();
     let now = Instant::now() + Duration::from_secs(10);
     time.record(position(7), 49_000, Instant::now() - Duration::from_secs(1));
@@ -71,7 +71,7 @@
 
 /// A report that was delayed by three seconds on a narrow link contains an age that is three seconds too low.
 #[test]
-fn ages_that_others_tell_are_by_the_clock_and_not_by_when_the_word_came() {
+fn reported_ages_follow_the_clock_and_not_the_arrival_of_the_report() {
     let mut time = StoreTime::default();
     time.record_report(50_000);
     time.record_report(47_000);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_word_on_the_clock_is_forgotten_after_a_while() {
+fn a_report_of_the_clock_expires() {
     let mut reported = ReportedClock::default();
     let now = Instant::now();
     reported.record(now, 50_000);
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -268,12 +268,14 @@
             }
             None => {
                 let immediate = self.request_changes(position, timeouts.feed_wait(false)).await;
-                let interrupted = || Error::new(Code::TimedOut, "the feed was given up");
+                let interrupted = || Error::new(Code::TimedOut, "the feed call was interrupted");
                 immediate.ok_or_else(interrupted)??
             }
         };
         if store::is_history_gone(answer.status) {
-            return Err(self.reset_position("the store forgot its history"));
+            return Err(
+                self.reset_position("the store no longer has the history after the known revision")
+            );
         }
         let era = self.options.era.record(&answer.headers)?;
         if era != position.era {
@@ -327,13 +329,14 @@
         wait: Duration,
     ) -> Option<Result<CallAnswer>> {
         let call = store::feed(self.options.table, position.revision, wait.as_millis() as u64);
-        let begin = match self.reader {
+        let start_timeout = match self.reader {
             Some(_) => self.options.readers.feed_start_timeout(wait),
             None => self.options.timeouts.feed_start_timeout(wait),
         };
         (self.sent_at, self.wait) = (Instant::now(), wait);
         let wake_ups = self.wake_ups.clone();
-        let answer = self.source_client().call_with_pause_limit(call, begin, MAX_ANSWER_PAUSE);
+        let answer =
+            self.source_client().call_with_pause_limit(call, start_timeout, MAX_ANSWER_PAUSE);
         future::or(async { Some(answer.await) }, async {
             let _ = wake_ups.recv().await;
             None
--- a/components/edge/src/watch/change_dates.rs
+++ b/components/edge/src/watch/change_dates.rs
@@ -9,7 +9,7 @@
 use crate::store_time::WrittenAfter;
 
 impl TableWatch {
-    /// Records the newest revision and the store's clock in an answer that was not produced before `made`.
+    /// Records the newest revision and the store's clock in an answer that was not produced before `produced_at`.
     pub(super) fn record_store_reading(
         &self,
         newest: StorePlace,
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -103,7 +103,9 @@
     pub(super) fn reader_age(&self, age: Option<ReportedAge>) -> Result<Option<ReportedAge>> {
         match self.reader {
             None => Ok(None),
-            Some(_) if age.is_none() => Err(Error::new(Code::BadFrame, "a reader tells no age")),
+            Some(_) if age.is_none() => {
+                Err(Error::new(Code::BadFrame, "the answer of a reader has no age headers"))
+            }
             Some(_) => Ok(age),
         }
     }
--- a/components/edge/tests/store_timeouts.rs
+++ b/components/edge/tests/store_timeouts.rs
@@ -16,7 +16,7 @@
 
 proptest! {
     #[test]
-    fn a_feed_that_is_lost_at_the_end_of_an_outage_is_asked_again_within_the_contact_time(
+    fn a_feed_call_lost_at_the_end_of_an_outage_is_repeated_within_the_contact_time(
         contact in contact(),
         failures in 1..MAX_FAILURES,
     ) {
@@ -28,7 +28,7 @@
     }
 
     #[test]
-    fn a_table_is_listed_within_the_contact_time_though_a_feed_was_lost_and_its_history_is_gone(
+    fn a_table_is_listed_within_the_contact_time_after_a_lost_feed_call_whose_history_is_gone(
         contact in contact(),
         failures in 1..MAX_FAILURES,
     ) {
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn processes_that_hear_together_that_a_history_is_gone_do_not_list_together(
+    fn processes_that_lose_their_history_together_do_not_list_together(
         contact in contact(),
     ) {
         let pause = StoreTimeouts::new(contact).pause_before_listing(0);
@@ -48,7 +48,7 @@
     }
 
     #[test]
-    fn a_listing_that_is_lost_at_the_end_of_an_outage_is_asked_again_within_the_contact_time(
+    fn a_listing_lost_at_the_end_of_an_outage_is_repeated_within_the_contact_time(
         contact in contact(),
         failures in 1..MAX_FAILURES,
     ) {
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn pauses_are_never_empty_and_never_shorter_than_the_one_before(
+    fn pauses_are_never_empty_and_never_become_shorter(
         contact in (0_u64..20_000).prop_map(Duration::from_millis),
         failures in 1..MAX_FAILURES,
     ) {
@@ -69,7 +69,7 @@
     }
 
     #[test]
-    fn calls_are_spared_where_the_contact_time_is_long(contact in contact()) {
+    fn a_long_contact_time_allows_long_waits(contact in contact()) {
         let timeouts = StoreTimeouts::new(contact);
         let wait = timeouts.feed_wait(true);
         prop_assert!(wait >= contact / 2 || wait == Duration::from_secs(5));
