--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -107,16 +107,17 @@
         let was_sent = std::mem::replace(sent, true);
         let started = Instant::now();
         let answer = async { connection.send(request).await.map_err(|_| AttemptOutcome::Lost) };
-        let answer = match future::or(answer, async { Err(self.answer_timeout(now).await) }).await {
+        let answer = match future::or(answer, async { Err(self.wait_for_timeout(now).await) }).await
+        {
             Ok(answer) => answer,
             Err(outcome) => return outcome.into(),
         };
         self.core.metrics.note_span(Span::Runner, started.elapsed().as_millis() as u64);
-        let outcome = self.evaluate(connection, answer).await;
-        if let AttemptResult::Failure { outcome, .. } = &outcome {
+        let result = self.evaluate(connection, answer).await;
+        if let AttemptResult::Failure { outcome, .. } = &result {
             *sent = was_sent || !outcome.is_not_run();
         }
-        outcome
+        result
     }
 
     /// Asks the sidecar for a slot, if the runner has a sidecar. The connection is opened afterwards: under
@@ -139,7 +140,7 @@
 
     /// Waits for as long as a repeatable request sent at `sent` may wait for an answer. Returns why the wait
     /// ended.
-    async fn answer_timeout(&self, sent: Millis) -> AttemptOutcome {
+    async fn wait_for_timeout(&self, sent: Millis) -> AttemptOutcome {
         if !self.context.kind.is_repeatable() {
             return future::pending().await;
         }
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -41,7 +41,7 @@
     pub tables: Rc<Tables>,
     /// Receives a message when sidecars have to be updated at once.
     pub sidecar_updates: Receiver<()>,
-    sidecar_update: Sender<()>,
+    notify_sidecar_update: Sender<()>,
     /// Receives the requests that crash runners.
     pub crashes: Receiver<CrashNews>,
     crash_changes: Sender<CrashNews>,
@@ -66,7 +66,7 @@
         reservations: Reservations,
         tables: Rc<Tables>,
     ) -> Self {
-        let (sidecar_update, sidecar_updates) = async_channel::bounded(1);
+        let (notify_sidecar_update, sidecar_updates) = async_channel::bounded(1);
         let (crash_changes, crashes) = async_channel::unbounded();
         let (notify_store_restored, store_restored) = async_channel::bounded(1);
         let state = State { gateway: Gateway::new(options), waiting: HashMap::new(), next_key: 0 };
@@ -78,7 +78,7 @@
             reservations,
             tables,
             sidecar_updates,
-            sidecar_update,
+            notify_sidecar_update,
             crashes,
             crash_changes,
             store_restored,
@@ -105,7 +105,7 @@
     /// Sends sidecars at once what operators wrote.
     pub fn notify_sidecars(&self) {
         // One pending message is enough.
-        let _ = self.sidecar_update.try_send(());
+        let _ = self.notify_sidecar_update.try_send(());
     }
 
     /// Passes an event to the reducer and its decisions to the tasks that wait for them.
--- a/components/edge/src/gateway/sidecar_datagrams.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -23,10 +23,10 @@
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(1000);
 /// Number of sidecars per interval that are asked which gateways they know, by a gateway that is unsure of
 /// the others and by any other one, if each sidecar knows all gateways.
-const QUERIED_IF_UNSURE: usize = 3;
-const QUERIED: usize = 1;
+const QUERIED_SIDECARS_IF_UNSURE: usize = 3;
+const QUERIED_SIDECARS: usize = 1;
 /// The same if each sidecar knows a part of the gateways: the other answers contain what one lacks.
-const QUERIED_FOR_PARTS: usize = 6;
+const QUERIED_SIDECARS_FOR_PARTS: usize = 6;
 /// The greatest age of the runner list by which a sidecar is informed that its runner is warm. With the time
 /// that writing a row takes, it is less than the time after a start from which sidecars believe it. A store
 /// that has just become unreachable is not yet known to be so.
@@ -50,12 +50,12 @@
             last_sent_at = Some(Instant::now());
         }
         let subscription = Subscription::new(&core);
-        let is_first_content = !sidecars.is_empty() && !subscription.services.is_empty();
+        let has_sent_services = !sidecars.is_empty() && !subscription.services.is_empty();
         for sidecar in sidecars {
             let datagram = subscription.for_sidecar(sidecar, queried.contains(&sidecar));
             socket.send(sidecar, &datagram).await;
         }
-        if is_first_content {
+        if has_sent_services {
             // The first round is not delayed: sidecars grant no slot before it.
             Timer::after(SUBSCRIBE_SPACING).await;
         }
@@ -127,9 +127,9 @@
     let unsure = core.read(|it| it.members().sureness(now)) == Sureness::Unsure;
     let partial = core.read(|it| it.members().is_partial());
     let count = match (partial, unsure) {
-        (true, _) => QUERIED_FOR_PARTS,
-        (false, true) => QUERIED_IF_UNSURE,
-        (false, false) => QUERIED,
+        (true, _) => QUERIED_SIDECARS_FOR_PARTS,
+        (false, true) => QUERIED_SIDECARS_IF_UNSURE,
+        (false, false) => QUERIED_SIDECARS,
     };
     sidecars.iter().copied().choose_multiple(&mut rand::rng(), count)
 }
--- a/components/edge/src/watch/options.rs
+++ b/components/edge/src/watch/options.rs
@@ -75,7 +75,7 @@
         /// Up to which time the content of the table is known.
         known_until: Instant,
     },
-    /// Whether the store answers, after a change of that.
+    /// The store became reachable (`true`) or unreachable.
     ReachabilityChanged(bool),
     /// The store was restored from an older copy, and what was written since is lost. The following changes
     /// are from that copy.
