--- a/components/edge/src/answer_log.rs
+++ b/components/edge/src/answer_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on the answers of the platform's store.
+//! Log lines about answers of the platform's store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,36 +7,37 @@
 use fleet::StorePlace;
 use platform::store::Table;
 
-/// What an answer of the store told.
+/// Summary of an answer of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    /// How many rows.
+pub struct AnswerSummary {
+    /// The number of rows.
     pub rows: usize,
-    /// The place in the store's history up to which it tells everything.
-    pub place: StorePlace,
+    /// The position in the store's history up to which the answer is complete.
+    pub position: StorePlace,
 }
 
-/// Logs the outcome of a call for a table that was asked so long ago, at a reader or the store.
+/// Logs the outcome of a call for a table. `elapsed` is the time since the call was sent, to a reader if
+/// `reader` is set, otherwise to the store.
 pub fn log_answer(
     table: Table,
     call: &str,
     reader: Option<SocketAddr>,
-    asked: Duration,
-    outcome: &Result<Told>,
+    elapsed: Duration,
+    outcome: &Result<AnswerSummary>,
 ) {
     let table = format!("{table:?}");
     let reader = reader.map(|it| it.to_string());
     let reader = reader.as_deref();
-    let asked_ms = asked.as_millis() as u64;
+    let asked_ms = elapsed.as_millis() as u64;
     match outcome {
-        Ok(Told { rows, place }) => log::info!(
+        Ok(AnswerSummary { rows, position }) => log::info!(
             table = table.as_str(),
             call = call,
             reader = reader,
             asked_ms = asked_ms,
             rows = rows,
-            revision = place.revision,
-            era = place.era;
+            revision = position.revision,
+            era = position.era;
             "store answered"
         ),
         Err(error) => {
--- a/components/edge/src/news.rs
+++ b/components/edge/src/datagram_socket.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateways and sidecars.
+//! The datagram socket of gateways and sidecars.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,65 +11,65 @@
 use errors::{Code, Error, Result};
 use telemetry::Metrics;
 
-use crate::additions::{decode_datagram, encode_datagram};
+use crate::extensions::{decode_datagram, encode_datagram};
 use crate::message::Datagram;
 
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The pause after the system refused to receive.
-const ERROR_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after the system failed to receive.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// The most peers of which is told that their datagrams cannot be read.
-const MOST_FOREIGN: usize = 256;
+/// The most peers for which unreadable datagrams are logged.
+const MAX_LOGGED_PEERS: usize = 256;
 
 /// A socket for datagrams.
 #[derive(Clone)]
-pub struct News {
+pub struct DatagramSocket {
     socket: UdpSocket,
     metrics: Rc<Metrics>,
-    /// Peers whose datagrams could not be read, wholly or in part, and that were told of.
-    foreign: Rc<RefCell<BTreeSet<SocketAddr>>>,
+    /// Peers that were logged because their datagrams could not be read completely.
+    unreadable_peers: Rc<RefCell<BTreeSet<SocketAddr>>>,
 }
 
-impl News {
-    /// Takes an address.
+impl DatagramSocket {
+    /// Binds a socket to an address.
     pub async fn bind(address: SocketAddr, metrics: Rc<Metrics>) -> Result<Self> {
         let socket = UdpSocket::bind(address).await;
         let socket = socket
             .map_err(|error| Error::new(Code::AddressInUse, format!("{address}: {error}")))?;
-        Ok(Self { socket, metrics, foreign: Rc::default() })
+        Ok(Self { socket, metrics, unreadable_peers: Rc::default() })
     }
 
-    /// Sends a datagram. One that is lost is followed by a newer one.
+    /// Sends a datagram without confirmation. A lost datagram is superseded by a later one.
     pub async fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let _ = self.socket.send_to(&encode_datagram(datagram), to).await;
     }
 
-    /// Counts what another build says and this one cannot read, and tells of each peer once.
-    fn note_foreign(&self, from: SocketAddr, kind: &'static str) {
+    /// Counts unreadable content from another build, and logs it once per peer.
+    fn record_unreadable(&self, from: SocketAddr, kind: &'static str) {
         self.metrics.count_foreign_message(kind);
-        let mut foreign = self.foreign.borrow_mut();
-        if foreign.len() < MOST_FOREIGN && foreign.insert(from) {
+        let mut unreadable_peers = self.unreadable_peers.borrow_mut();
+        if unreadable_peers.len() < MAX_LOGGED_PEERS && unreadable_peers.insert(from) {
             log::warn!(peer = from.to_string().as_str(), kind = kind; "a peer says what this build cannot read");
         }
     }
 
-    /// Waits for the next datagram that can be read.
+    /// Waits for the next readable datagram.
     pub async fn receive(&self) -> (SocketAddr, Datagram) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                Timer::after(ERROR_PAUSE).await;
+                Timer::after(RECEIVE_ERROR_PAUSE).await;
                 continue;
             };
             match decode_datagram(&buffer[..length]) {
-                Ok((datagram, additions)) => {
-                    if additions.unknown > 0 {
-                        self.note_foreign(from, "additions");
+                Ok((datagram, extensions)) => {
+                    if extensions.unknown > 0 {
+                        self.record_unreadable(from, "additions");
                     }
                     return (from, datagram);
                 }
-                Err(_) => self.note_foreign(from, "datagram"),
+                Err(_) => self.record_unreadable(from, "datagram"),
             }
         }
     }
--- a/components/edge/src/freshness.rs
+++ b/components/edge/src/freshness.rs
@@ -1,59 +1,62 @@
-//! Up to when everything is known that a table of the platform's store holds.
+//! Up to which time the content of a table of the platform's store is known.
 //!
-//! An answer may arrive long after it was made: a slow store, a full link, a busy processor. It says nothing of the time in
-//! between, so what it tells is as old as the moment at which it was made, at worst.
+//! An answer may arrive long after it was produced because of a slow store, a full link or a busy processor.
+//! It says nothing about the time in between, so its content is only known to be current at the time at which
+//! it was produced.
 
 use std::time::Duration;
 
 use uptime::Instant;
 
-/// What is known of the moment at which the last answer was made.
+/// Bounds on the time at which the last answer was produced.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    /// It was not made before this.
-    made: Option<Instant>,
-    /// What the store's clock showed then, in milliseconds, if it told.
+    /// The answer was not produced before this time.
+    produced_at: Option<Instant>,
+    /// The store's clock in that answer, in milliseconds, if it was sent.
     clock_ms: Option<u64>,
 }
 
-/// An answer of the store.
+/// Timing of an answer of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival {
-    /// When the question was asked.
-    pub asked: Instant,
-    /// When the answer had arrived.
-    pub arrived: Instant,
-    /// How long the store was to wait for news, where it had none.
+pub struct AnswerTiming {
+    /// When the call was sent.
+    pub sent_at: Instant,
+    /// When the answer arrived.
+    pub arrived_at: Instant,
+    /// How long the store was to wait for changes, if it returned none.
     pub waited: Option<Duration>,
-    /// What the store's clock showed, in milliseconds, if it told.
+    /// The store's clock in the answer, in milliseconds, if it was sent.
     pub clock_ms: Option<u64>,
-    /// Where another process passes on what it has read: how long it kept the question waiting, and how long before its
-    /// answer everything was known.
-    pub told: Option<(Duration, Duration)>,
+    /// For an answer of a reader, which passes on what it has read: how long it held the call, and how long
+    /// before its answer its content was complete.
+    pub by_reader: Option<(Duration, Duration)>,
 }
 
 impl Freshness {
-    /// Takes in an answer, and gives the moment up to which everything is known.
-    pub fn take(&mut self, answer: &Arrival) -> Instant {
-        if let Some((held, known)) = answer.told {
-            // Its clock showed that at an earlier answer.
+    /// Records an answer and returns the time up to which the table is completely known.
+    pub fn record(&mut self, answer: &AnswerTiming) -> Instant {
+        if let Some((held, known)) = answer.by_reader {
+            // The clock value in it belongs to an earlier answer of the store.
             *self = Self::default();
-            return (answer.asked + held).min(answer.arrived) - known;
+            return (answer.sent_at + held).min(answer.arrived_at) - known;
         }
-        let made = match answer.waited {
-            // The store says that it has nothing to tell after it has waited.
-            Some(waited) if answer.asked + waited <= answer.arrived => answer.asked + waited,
-            _ => self.made_by_clock(answer).map_or(answer.asked, |at| at.max(answer.asked)),
+        let produced_at = match answer.waited {
+            // The store reports that there are no changes only after it has waited.
+            Some(waited) if answer.sent_at + waited <= answer.arrived_at => answer.sent_at + waited,
+            _ => self
+                .produced_at_by_clock(answer)
+                .map_or(answer.sent_at, |at| at.max(answer.sent_at)),
         };
-        let made = made.min(answer.arrived);
-        *self = Self { made: Some(made), clock_ms: answer.clock_ms };
-        made
+        let produced_at = produced_at.min(answer.arrived_at);
+        *self = Self { produced_at: Some(produced_at), clock_ms: answer.clock_ms };
+        produced_at
     }
 
-    /// When an answer was made, by how far the store's clock has come since the one before.
-    fn made_by_clock(&self, answer: &Arrival) -> Option<Instant> {
+    /// When an answer was produced, by the advance of the store's clock since the previous answer.
+    fn produced_at_by_clock(&self, answer: &AnswerTiming) -> Option<Instant> {
         let passed_ms = answer.clock_ms?.checked_sub(self.clock_ms?)?;
-        Some(self.made? + Duration::from_millis(passed_ms))
+        Some(self.produced_at? + Duration::from_millis(passed_ms))
     }
 }
 
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -14,89 +14,90 @@
 use telemetry::Span;
 use uptime::Instant;
 
-use super::answer::{whole_body, AnswerBody};
+use super::answer::{full_body, AnswerBody};
 use super::core::Core;
-use super::request::Job;
-use super::reservations::Wanted;
-use crate::exchange::Exchange;
+use super::request::RequestContext;
+use super::reservations::SlotRequest;
+use crate::http_connection::HttpConnection;
 
-/// How long a connection to a runner may take to come up.
+/// How long opening a connection to a runner may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long after it was given a place may be used: the connection takes up to `CONNECT_TIMEOUT`, and
-/// the rest is for a machine that is short of processor time. A sidecar's margin before a version's
-/// bound covers it.
-const PLACE_LIFE: Duration = Duration::from_millis(350);
-/// How many times its aim a request that may run again waits for the head of an answer.
-const PATIENCE: f64 = 2.0;
-/// The least such wait, in milliseconds.
-const MIN_PATIENCE: u64 = 600;
-/// How long before a version may be used no more a request is taken back that has not begun on it, in milliseconds: the
-/// runner hears of it a little later.
-const TAKE_BACK_MARGIN: u64 = 100;
-/// The largest failure of a runner that is held to be handed on, in bytes.
-const HELD_BYTES: usize = 64 * 1024;
+/// How long after it was granted a slot may be used: opening the connection takes up to `CONNECT_TIMEOUT`,
+/// and the rest allows for a machine that is short of processor time. A sidecar's margin before a version's
+/// deadline covers it.
+const SLOT_VALIDITY: Duration = Duration::from_millis(350);
+/// A repeatable request waits for the head of an answer for this multiple of its latency target.
+const TIMEOUT_FACTOR: f64 = 2.0;
+/// The shortest such timeout, in milliseconds.
+const MIN_TIMEOUT_MS: u64 = 600;
+/// A request that has not started is withdrawn from the runner this long before the version's deadline, in
+/// milliseconds, because the runner receives the withdrawal a little later.
+const WITHDRAWAL_MARGIN_MS: u64 = 100;
+/// The largest error answer of a runner that is buffered to be forwarded, in bytes.
+const MAX_ERROR_ANSWER_BYTES: usize = 64 * 1024;
 
 /// An attempt.
 pub struct Attempt<'a> {
     /// The gateway.
     pub core: &'a Core,
     /// The request.
-    pub job: &'a Job,
+    pub context: &'a RequestContext,
     /// Its key.
     pub key: RequestKey,
     /// The runner.
     pub target: &'a RunnerTarget,
 }
 
-/// A runner's answer that has begun.
+/// A runner's answer whose head has arrived.
 pub struct RunnerAnswer {
     /// Its status.
     pub status: StatusCode,
-    /// Its headers, without those for one connection.
+    /// Its headers, without the hop-by-hop ones.
     pub headers: HeaderMap,
     /// The connection that it arrives on.
-    pub exchange: Exchange,
-    /// What is still to come.
+    pub connection: HttpConnection,
+    /// The rest of the answer.
     pub body: Incoming,
 }
 
-/// What became of an attempt so far.
-// It is moved once for each attempt; a box would cost more than it saves.
+/// The result of an attempt when the head of the answer has arrived or the attempt has failed.
+// It is moved once per attempt; a box would cost more than it saves.
 #[allow(clippy::large_enum_variant)]
-pub enum Outcome {
+pub enum AttemptResult {
     /// The runner answers.
     Answer(RunnerAnswer),
-    /// It did not.
+    /// The attempt failed.
     Failure {
-        /// How.
+        /// How it failed.
         outcome: AttemptOutcome,
-        /// The failure that the runner answered with, to be handed on if nothing better comes.
+        /// The runner's error answer, which is forwarded if no other attempt succeeds.
         answer: Option<Response<AnswerBody>>,
     },
 }
 
-impl From<AttemptOutcome> for Outcome {
+impl From<AttemptOutcome> for AttemptResult {
     fn from(outcome: AttemptOutcome) -> Self {
         Self::Failure { outcome, answer: None }
     }
 }
 
 impl Attempt<'_> {
-    /// Sends the request and waits for the head of the answer. `last_event` is where a stream goes
-    /// on; `sent` is set once the runner may have the request.
-    pub async fn run(&self, last_event: Option<&str>, sent: &mut bool) -> Outcome {
+    /// Sends the request and waits for the head of the answer. `last_event` is the event after which a stream
+    /// resumes; `sent` is set once the runner may have received the request.
+    pub async fn run(&self, last_event: Option<&str>, sent: &mut bool) -> AttemptResult {
         if let Err(outcome) = self.reserve().await {
             return outcome.into();
         }
         let granted = Instant::now();
-        let Ok(mut exchange) = Exchange::open(self.target.address, CONNECT_TIMEOUT).await else {
+        let Ok(mut connection) = HttpConnection::open(self.target.address, CONNECT_TIMEOUT).await
+        else {
             return AttemptOutcome::NotSent.into();
         };
         let Some(request) = self.request(last_event) else {
             return AttemptOutcome::NotSent.into();
         };
-        if self.target.reserve && granted.elapsed() > PLACE_LIFE {
-            // The sidecar gave the place for now, not for whenever this machine comes round to it.
+        if self.target.reserve && granted.elapsed() > SLOT_VALIDITY {
+            // The sidecar granted the slot for immediate use, and this machine was too slow.
             return AttemptOutcome::Expired.into();
         }
         let now = self.core.clock.now();
@@ -104,73 +105,75 @@
             return AttemptOutcome::Withdrawn.into();
         }
         let was_sent = std::mem::replace(sent, true);
-        let begun = Instant::now();
-        let answer = async { exchange.send(request).await.map_err(|_| AttemptOutcome::Lost) };
-        let answer = match future::or(answer, async { Err(self.lose_patience(now).await) }).await {
+        let started = Instant::now();
+        let answer = async { connection.send(request).await.map_err(|_| AttemptOutcome::Lost) };
+        let answer = match future::or(answer, async { Err(self.wait_for_timeout(now).await) }).await
+        {
             Ok(answer) => answer,
             Err(outcome) => return outcome.into(),
         };
-        self.core.metrics.note_span(Span::Runner, begun.elapsed().as_millis() as u64);
-        let outcome = self.judge(exchange, answer).await;
-        if let Outcome::Failure { outcome, .. } = &outcome {
+        self.core.metrics.note_span(Span::Runner, started.elapsed().as_millis() as u64);
+        let result = self.evaluate(connection, answer).await;
+        if let AttemptResult::Failure { outcome, .. } = &result {
             *sent = was_sent || !outcome.is_not_run();
         }
-        outcome
+        result
     }
 
-    /// Asks the sidecar for a place, where there is one to ask. The connection is opened after it: under
-    /// load most questions are answered with no, and each connection takes work on both sides.
+    /// Asks the sidecar for a slot, if the runner has a sidecar. The connection is opened afterwards: under
+    /// load most reservations are denied, and each connection costs both sides work.
     async fn reserve(&self) -> Result<(), AttemptOutcome> {
         if !self.target.reserve {
             return Ok(());
         }
-        let facts = &self.job.facts;
+        let facts = &self.context.facts;
         let id = facts.id.as_deref().unwrap_or("");
         let reservations = &self.core.reservations;
-        let prompt_tokens = self.job.prompt_tokens;
+        let prompt_tokens = self.context.prompt_tokens;
         let RunnerTarget { rank, left_ms, wait_ms, limit, .. } = *self.target;
-        let wanted = Wanted { prompt_tokens, rank, left_ms, wait_ms, limit };
-        match reservations.ask(self.target.address, id, wanted).await {
+        let slot_request = SlotRequest { prompt_tokens, rank, left_ms, wait_ms, limit };
+        match reservations.reserve(self.target.address, id, slot_request).await {
             None => Ok(()),
             Some(outcome) => Err(outcome),
         }
     }
 
-    /// Waits as long as a request that may run again, and was sent at `sent`, should wait for an answer. Gives why no longer.
-    async fn lose_patience(&self, sent: Millis) -> AttemptOutcome {
-        if !self.job.kind.is_repeatable() {
+    /// Waits for as long as a repeatable request sent at `sent` may wait for an answer. Returns why the wait
+    /// ended.
+    async fn wait_for_timeout(&self, sent: Millis) -> AttemptOutcome {
+        if !self.context.kind.is_repeatable() {
             return future::pending().await;
         }
-        let patience = ((self.job.aim_ms as f64 * PATIENCE) as u64).max(MIN_PATIENCE);
-        let begin_by = self.core.read(|gateway| gateway.begin_by(sent, self.key));
-        let left = begin_by.map(|it| it.minus(TAKE_BACK_MARGIN).since(sent).0);
-        let outdated = left.filter(|it| *it < patience);
-        uptime::sleep(Duration::from_millis(outdated.unwrap_or(patience))).await;
-        match outdated {
+        let timeout_ms = ((self.context.aim_ms as f64 * TIMEOUT_FACTOR) as u64).max(MIN_TIMEOUT_MS);
+        let start_deadline = self.core.read(|gateway| gateway.begin_by(sent, self.key));
+        let left = start_deadline.map(|it| it.minus(WITHDRAWAL_MARGIN_MS).since(sent).0);
+        let withdraw_after = left.filter(|it| *it < timeout_ms);
+        uptime::sleep(Duration::from_millis(withdraw_after.unwrap_or(timeout_ms))).await;
+        match withdraw_after {
             Some(_) => AttemptOutcome::Outdated,
             None => AttemptOutcome::Lost,
         }
     }
 
     fn request(&self, last_event: Option<&str>) -> Option<Request<Full<Bytes>>> {
-        let job = self.job;
+        let context = self.context;
         let now = self.core.clock.now();
         let added = Added {
             runner: &self.target.id,
-            deadline_ms: job.deadline.map(|it| it.min(job.limit).since(now).0),
-            workspace: job.workspace.as_ref(),
+            deadline_ms: context.deadline.map(|it| it.min(context.answer_deadline).since(now).0),
+            workspace: context.workspace.as_ref(),
             last_event,
         };
-        let mut request = Request::new(Full::new(job.body.clone()));
-        *request.method_mut() = job.method.clone();
-        *request.uri_mut() = job.uri.clone();
-        *request.headers_mut() = headers::prepare_request(&job.headers, &added);
+        let mut request = Request::new(Full::new(context.body.clone()));
+        *request.method_mut() = context.method.clone();
+        *request.uri_mut() = context.uri.clone();
+        *request.headers_mut() = headers::prepare_request(&context.headers, &added);
         Some(request)
     }
 
-    /// Takes in that the runner wants no more requests, where its answer says so: before anything of the answer is
-    /// handed on, so that no request that arrives afterwards can miss it.
-    fn take_notice(&self, notice: Notice) {
+    /// Records that the runner wants no more requests, if its answer says so. This happens before any part of
+    /// the answer is forwarded, so that no request that arrives afterwards is sent to it.
+    fn record_notice(&self, notice: Notice) {
         if notice.is_empty() {
             return;
         }
@@ -189,12 +192,12 @@
             Some(RateWord::Limited(rate)) => Some(rate.per_s()),
             _ => None,
         };
-        let told = Decision::Told { runner, leaving: is_leaving, rest_ms, limit_per_s };
-        self.job.trace.note(told);
-        self.core.feed(Event::Noticed(self.key, notice));
+        let decision = Decision::Told { runner, leaving: is_leaving, rest_ms, limit_per_s };
+        self.context.trace.add(decision);
+        self.core.dispatch(Event::Noticed(self.key, notice));
     }
 
-    /// What an answer says of its runner. One that sends the request elsewhere is that of another runner.
+    /// What an answer says about its runner. A misdirected answer comes from another runner.
     fn notice(&self, status: StatusCode, facts: &AnswerFacts) -> Notice {
         if status == StatusCode::MISDIRECTED_REQUEST {
             return Notice::default();
@@ -203,14 +206,14 @@
         Notice {
             is_leaving: facts.is_leaving,
             rest_ms: facts.rest_ms.filter(|_| asks_for_rest),
-            limit: self.limit_news(facts),
+            limit: self.limit_change(facts),
         }
     }
 
-    /// What an answer says of the runner's rate limit, as far as it matters: that there is none only where one is known,
-    /// and only if it is the answer to this request.
-    fn limit_news(&self, facts: &AnswerFacts) -> Option<RateWord> {
-        let is_own = facts.id.is_some() && facts.id == self.job.facts.id;
+    /// What an answer says about the runner's rate limit. That there is no limit matters only if one is
+    /// known, and only if it is the answer to this request.
+    fn limit_change(&self, facts: &AnswerFacts) -> Option<RateWord> {
+        let is_own = facts.id.is_some() && facts.id == self.context.facts.id;
         let is_limited = || self.core.read(|gateway| gateway.is_limited(&self.target.id));
         match facts.limit {
             RateWord::Unlimited if !is_own || !is_limited() => None,
@@ -218,33 +221,42 @@
         }
     }
 
-    async fn judge(&self, mut exchange: Exchange, answer: Response<Incoming>) -> Outcome {
+    async fn evaluate(
+        &self,
+        mut connection: HttpConnection,
+        answer: Response<Incoming>,
+    ) -> AttemptResult {
         let (head, mut body) = answer.into_parts();
         let facts = headers::read_answer(&head.headers);
-        self.take_notice(self.notice(head.status, &facts));
-        if let Some(outcome) = refused(head.status, &facts) {
+        self.record_notice(self.notice(head.status, &facts));
+        if let Some(outcome) = refusal_outcome(head.status, &facts) {
             return outcome.into();
         }
-        let other = facts.id.is_some() && facts.id != self.job.facts.id;
-        if other || !facts.signed {
+        let is_for_other_request = facts.id.is_some() && facts.id != self.context.facts.id;
+        if is_for_other_request || !facts.signed {
             return AttemptOutcome::Lost.into();
         }
         let headers = headers::without_hop_by_hop(&head.headers);
         if !head.status.is_server_error() {
-            return Outcome::Answer(RunnerAnswer { status: head.status, headers, exchange, body });
+            return AttemptResult::Answer(RunnerAnswer {
+                status: head.status,
+                headers,
+                connection,
+                body,
+            });
         }
-        let Ok(text) = exchange.collect(&mut body, HELD_BYTES).await else {
+        let Ok(text) = connection.collect(&mut body, MAX_ERROR_ANSWER_BYTES).await else {
             return AttemptOutcome::Lost.into();
         };
-        let mut answer = Response::new(whole_body(text));
+        let mut answer = Response::new(full_body(text));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = headers;
-        Outcome::Failure { outcome: AttemptOutcome::Failed, answer: Some(answer) }
+        AttemptResult::Failure { outcome: AttemptOutcome::Failed, answer: Some(answer) }
     }
 }
 
-/// How a runner turned a request away, if it did.
-fn refused(status: StatusCode, facts: &AnswerFacts) -> Option<AttemptOutcome> {
+/// The outcome if the runner refused the request.
+fn refusal_outcome(status: StatusCode, facts: &AnswerFacts) -> Option<AttemptOutcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptOutcome::Misdirected);
     }
--- a/components/edge/src/gateway/reservations.rs
+++ b/components/edge/src/gateway/reservations.rs
@@ -1,4 +1,4 @@
-//! Places at runners, asked of the sidecars beside them.
+//! Reservations of slots at runners, made by their sidecars.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,82 +11,85 @@
 use gateway::AttemptOutcome;
 use uptime::Instant;
 
-use crate::exchange::within;
+use crate::datagram_socket::DatagramSocket;
+use crate::http_connection::with_deadline;
 use crate::message::{Datagram, Reply};
-use crate::news::News;
 
-/// How long a sidecar may take to answer. One that is awake answers within a few milliseconds.
+/// How long a sidecar may take to answer. A sidecar that gets processor time answers within a few
+/// milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(45);
 
-/// What a question says of its request.
+/// The parameters of a reservation.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    /// Tokens of its prompt.
+pub struct SlotRequest {
+    /// The number of tokens of the request's prompt.
     pub prompt_tokens: u32,
-    /// The rank of the request; zero goes first.
+    /// The rank of the request; the lowest is served first.
     pub rank: u8,
-    /// What is left of the request's aim, in milliseconds. Zero for a later try of a caller that was refused.
+    /// What is left of the request's latency target, in milliseconds. Zero for a retry of a caller that was
+    /// refused.
     pub left_ms: u64,
-    /// How long the question may wait for a place, in milliseconds.
+    /// How long the reservation may be queued, in milliseconds.
     pub wait_ms: u64,
-    /// What the gateway heard of the runner's rate limit, lately.
+    /// The runner's rate limit that the gateway received lately.
     pub limit: Option<ToldLimit>,
 }
 
-/// Waits for the next answer.
-async fn next(answers: &Receiver<Reply>, timeout: Duration) -> Option<Reply> {
-    within(Instant::now() + timeout, answers.recv()).await?.ok()
+/// Waits for the next reply.
+async fn next_reply(answers: &Receiver<Reply>, timeout: Duration) -> Option<Reply> {
+    with_deadline(Instant::now() + timeout, answers.recv()).await?.ok()
 }
 
-/// Asks sidecars for places.
+/// Reserves slots by asking sidecars.
 #[derive(Clone)]
 pub struct Reservations {
-    news: News,
-    /// The port at which sidecars listen.
+    socket: DatagramSocket,
+    /// The port on which sidecars listen.
     port: u16,
-    open: Rc<RefCell<Open>>,
+    pending: Rc<RefCell<PendingReservations>>,
 }
 
-/// Questions that wait for their answers.
+/// Reservations that wait for their replies.
 #[derive(Default)]
-struct Open {
-    next: u64,
-    /// The runner that each question is about, and who waits for the answers.
+struct PendingReservations {
+    last_question: u64,
+    /// The runner of each reservation, and the channel for its replies.
     waiting: HashMap<u64, (SocketAddr, Sender<Reply>)>,
 }
 
 impl Reservations {
-    /// Asks over a socket.
-    pub fn new(news: News, port: u16) -> Self {
-        Self { news, port, open: Rc::default() }
+    /// Creates a client that sends over a socket.
+    pub fn new(socket: DatagramSocket, port: u16) -> Self {
+        Self { socket, port, pending: Rc::default() }
     }
 
-    /// Asks for a place at a runner. Gives what keeps the request from being sent, if something does.
-    pub async fn ask(
+    /// Reserves a slot at a runner. Returns why the request must not be sent there, or `None` if the slot is
+    /// granted.
+    pub async fn reserve(
         &self,
         runner: SocketAddr,
         request: &str,
-        wanted: Wanted,
+        slot_request: SlotRequest,
     ) -> Option<AttemptOutcome> {
-        let Wanted { prompt_tokens, rank, left_ms, wait_ms, limit } = wanted;
+        let SlotRequest { prompt_tokens, rank, left_ms, wait_ms, limit } = slot_request;
         let left_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
         let (sender, answers) = async_channel::bounded(2);
         let question = {
-            let mut open = self.open.borrow_mut();
-            open.next += 1;
-            let question = open.next;
-            open.waiting.insert(question, (runner, sender));
+            let mut pending = self.pending.borrow_mut();
+            pending.last_question += 1;
+            let question = pending.last_question;
+            pending.waiting.insert(question, (runner, sender));
             question
         };
-        let _end = Question { open: &self.open, question };
+        let _guard = PendingGuard { pending: &self.pending, question };
         let sidecar = SocketAddr::new(runner.ip(), self.port);
         let request = request.to_owned();
         let reserve =
             Datagram::Reserve { question, request, prompt_tokens, rank, left_ms, wait_ms, limit };
-        self.news.send(sidecar, &reserve).await;
-        let mut reply = next(&answers, ANSWER_TIMEOUT).await;
+        self.socket.send(sidecar, &reserve).await;
+        let mut reply = next_reply(&answers, ANSWER_TIMEOUT).await;
         if reply == Some(Reply::Queued) {
-            reply = next(&answers, Duration::from_millis(wait_ms) + ANSWER_TIMEOUT).await;
+            reply = next_reply(&answers, Duration::from_millis(wait_ms) + ANSWER_TIMEOUT).await;
         }
         match reply {
             Some(Reply::Granted) => None,
@@ -98,27 +101,27 @@
         }
     }
 
-    /// Takes in an answer.
-    pub fn settle(&self, question: u64, reply: Reply) {
-        if let Some((_, waiting)) = self.open.borrow().waiting.get(&question) {
+    /// Passes on a reply.
+    pub fn deliver_reply(&self, question: u64, reply: Reply) {
+        if let Some((_, waiting)) = self.pending.borrow().waiting.get(&question) {
             let _ = waiting.try_send(reply);
         }
     }
 
-    /// The runner that a question is about, while somebody waits for the answer.
+    /// The runner of a reservation that waits for its reply.
     pub fn runner(&self, question: u64) -> Option<SocketAddr> {
-        self.open.borrow().waiting.get(&question).map(|(runner, _)| *runner)
+        self.pending.borrow().waiting.get(&question).map(|(runner, _)| *runner)
     }
 }
 
-/// Forgets a question whose asker is gone.
-struct Question<'a> {
-    open: &'a Rc<RefCell<Open>>,
+/// Removes a reservation when its request is dropped.
+struct PendingGuard<'a> {
+    pending: &'a Rc<RefCell<PendingReservations>>,
     question: u64,
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.open.borrow_mut().waiting.remove(&self.question);
+        self.pending.borrow_mut().waiting.remove(&self.question);
     }
 }
--- a/components/edge/src/gateway/state_log.rs
+++ b/components/edge/src/gateway/state_log.rs
@@ -1,7 +1,7 @@
-//! What a gateway believes, written to the log at intervals.
+//! Logs the state of a gateway at intervals.
 //!
-//! Lines on single changes are soon far behind thousands of lines on requests; whoever has only the end of
-//! a log still finds one of these.
+//! Lines on single changes are soon thousands of request lines back; the end of a log still contains one of
+//! these lines.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 
 use super::core::Core;
 
-/// The time between two lines: a log that is kept for some seconds holds one at least, and they are few
-/// beside the other lines of a busy gateway.
-const EVERY: Duration = Duration::from_millis(2000);
+/// The time between two lines: a log that covers a few seconds contains at least one, and they are few
+/// compared with the other lines of a busy gateway.
+const LOG_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// Writes a line at intervals for as long as the task runs.
-pub async fn write(core: Core) {
+/// Logs the state at intervals for as long as the task runs.
+pub async fn log_state(core: Core) {
     loop {
-        Timer::after(EVERY).await;
+        Timer::after(LOG_INTERVAL).await;
         let configuration = core.catalog().map_or(0, |it| it.version);
         let operator_age_ms = core.tables.operator.age_ms();
         let runners_age_ms = core.tables.runners.age_ms();
--- a/components/edge/src/gateway/trace.rs
+++ b/components/edge/src/gateway/trace.rs
@@ -1,6 +1,6 @@
 //! The decisions on one request, written to the log when it ends.
 //!
-//! Of ordinary successes only some are written; everything else is.
+//! Only a sample of ordinary successes is written; everything else is.
 
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,41 +12,41 @@
 
 use super::core::Core;
 
-/// One in so many ordinary successes is written, with every step.
-const SAMPLE: u64 = 64;
+/// One of 64 ordinary successes is written, with every step.
+const SAMPLE_INTERVAL: u64 = 64;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnd {
     /// The caller got the whole answer.
-    Whole,
-    /// It did not run and never will.
+    Complete,
+    /// The request did not run and will not run.
     Refused,
-    /// A failure of the runner was handed on.
+    /// An error answer of the runner was forwarded.
     Failed,
-    /// It was sent, and whether it ran is not known.
+    /// The request was sent, and it is unknown whether it ran.
     Unknown,
-    /// The answer broke off.
+    /// The answer was truncated.
     Cut,
-    /// The caller left.
-    Left,
+    /// The caller disconnected.
+    Disconnected,
 }
 
-impl Ending {
+impl RequestEnd {
     fn name(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Refused => "refused",
             Self::Failed => "failed",
             Self::Unknown => "unknown",
             Self::Cut => "cut",
-            Self::Left => "left",
+            Self::Disconnected => "left",
         }
     }
 }
 
-/// Whether a decision is one of those that are made on a request which ends well: a question for a place
-/// that finds none is asked elsewhere.
+/// Whether a decision may be part of an ordinary success. A denied reservation is, since the request asks
+/// another runner.
 fn is_ordinary(entry: &Entry) -> bool {
     !matches!(
         entry.decision,
@@ -54,8 +54,8 @@
     )
 }
 
-/// Homes as they stand in a log.
-fn names(homes: &HomeRegions) -> Vec<String> {
+/// Home regions as they are logged.
+fn region_names(homes: &HomeRegions) -> Vec<String> {
     homes.regions().map(|it| it.0.clone()).collect()
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl Trace {
-    /// A request that arrived now.
+    /// Starts the trace of a request that arrives now.
     pub fn new(core: &Core, id: Option<&str>) -> Self {
         Self {
             core: core.clone(),
@@ -82,50 +82,50 @@
         }
     }
 
-    /// How long ago it arrived, in milliseconds.
+    /// How long ago the request arrived, in milliseconds.
     pub fn age_ms(&self) -> u64 {
         self.core.clock.now().since(self.arrived).0
     }
 
-    /// Notes a decision.
-    pub fn note(&self, decision: Decision) {
+    /// Adds a decision.
+    pub fn add(&self, decision: Decision) {
         self.entries.borrow_mut().push(Entry { ts_ms: telemetry::unix_millis(), decision });
     }
 
-    /// Notes the kind of its route, for the metrics.
+    /// Sets the kind of its route, for the metrics.
     pub fn set_kind(&self, kind: &'static str) {
         self.kind.set(kind);
     }
 
-    /// Notes the choice of a runner.
-    pub fn choose(&self, target: &RunnerTarget, attempt: u32) {
-        self.note(Decision::Chosen {
+    /// Adds the choice of a runner.
+    pub fn add_choice(&self, target: &RunnerTarget, attempt: u32) {
+        self.add(Decision::Chosen {
             runner: target.id.0.clone(),
             attempt,
             occupancy: target.seen.occupancy,
             report_age_ms: target.seen.report_age_ms,
             candidates: target.seen.candidates,
-            homes: names(&target.seen.homes),
+            homes: region_names(&target.seen.homes),
             left_ms: Some(target.left_ms),
         });
     }
 
-    /// Notes an attempt that did not end in an answer.
-    pub fn fail(&self, target: &RunnerTarget, outcome: AttemptOutcome, took_ms: u64) {
+    /// Adds an attempt that failed.
+    pub fn add_failure(&self, target: &RunnerTarget, outcome: AttemptOutcome, took_ms: u64) {
         let runner = target.id.0.clone();
-        let place = match outcome {
+        let slot_outcome = match outcome {
             AttemptOutcome::Denied { .. } => Some("denied"),
             AttemptOutcome::Silent => Some("silent"),
             AttemptOutcome::Expired => Some("expired"),
             _ => None,
         };
-        if let Some(place) = place {
-            self.note(Decision::NoPlace { runner, outcome: place.into() });
+        if let Some(slot_outcome) = slot_outcome {
+            self.add(Decision::NoPlace { runner, outcome: slot_outcome.into() });
             return;
         }
         let code = outcome.code();
         self.core.metrics.count_failed_attempt(code);
-        self.note(Decision::Failed {
+        self.add(Decision::Failed {
             runner,
             code: code.number(),
             name: code.name().into(),
@@ -134,19 +134,19 @@
         });
     }
 
-    /// Ends the account. Only the first end counts.
-    pub fn end(&self, ending: Ending, status: u16, code: Option<Code>) {
+    /// Ends the trace. Only the first call counts.
+    pub fn end(&self, ending: RequestEnd, status: u16, code: Option<Code>) {
         self.end_with(ending, status, code, None, Standing::default());
     }
 
-    /// Ends the account of a request that is refused.
+    /// Ends the trace of a refused request.
     pub fn refuse(&self, status: u16, code: Code, retry_after_ms: Option<u64>, standing: Standing) {
-        self.end_with(Ending::Refused, status, Some(code), retry_after_ms, standing);
+        self.end_with(RequestEnd::Refused, status, Some(code), retry_after_ms, standing);
     }
 
     fn end_with(
         &self,
-        ending: Ending,
+        ending: RequestEnd,
         status: u16,
         code: Option<Code>,
         retry_after_ms: Option<u64>,
@@ -159,7 +159,8 @@
         if let Some(code) = code {
             self.core.metrics.count_refusal(code);
         }
-        let ordinary = ending == Ending::Whole && self.entries.borrow().iter().all(is_ordinary);
+        let ordinary =
+            ending == RequestEnd::Complete && self.entries.borrow().iter().all(is_ordinary);
         if ordinary && !self.is_sampled() {
             return;
         }
@@ -171,21 +172,21 @@
             retry_after_ms,
             runners: standing.runners,
             usable: standing.usable,
-            homes: names(&standing.homes),
+            homes: region_names(&standing.homes),
             evacuated: standing.evacuated,
         };
-        self.note(ended);
-        self.write(ending == Ending::Whole || ending == Ending::Left);
+        self.add(ended);
+        self.log(ending == RequestEnd::Complete || ending == RequestEnd::Disconnected);
     }
 
     fn is_sampled(&self) -> bool {
         let mut hasher = DefaultHasher::new();
         self.id.hash(&mut hasher);
-        hasher.finish().is_multiple_of(SAMPLE)
+        hasher.finish().is_multiple_of(SAMPLE_INTERVAL)
     }
 
-    fn write(&self, good: bool) {
-        let level = if good { log::Level::Info } else { log::Level::Warn };
+    fn log(&self, is_ordinary_end: bool) {
+        let level = if is_ordinary_end { log::Level::Info } else { log::Level::Warn };
         for Entry { ts_ms, decision } in self.entries.borrow_mut().drain(..) {
             let instance = self.core.name.to_string();
             let line = RequestLine { ts_ms, instance, request: self.id.clone(), decision };
@@ -198,6 +199,6 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        self.end(Ending::Left, 0, None);
+        self.end(RequestEnd::Disconnected, 0, None);
     }
 }
--- /dev/null
+++ b/components/edge/src/http_client.rs
@@ -0,0 +1,157 @@
+//! HTTP calls to one server over a kept-alive connection.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use errors::{Code, Error, Result};
+use http::header::{CONTENT_TYPE, HOST};
+use http::{HeaderMap, Request, Response};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use platform::Call;
+use uptime::Instant;
+
+use crate::http_connection::{with_deadline, HttpConnection};
+
+/// The largest answer to a call, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+
+/// The answer to a call.
+pub struct CallAnswer {
+    /// The status.
+    pub status: u16,
+    /// The headers.
+    pub headers: HeaderMap,
+    /// The body.
+    pub body: Vec<u8>,
+}
+
+impl CallAnswer {
+    /// The body of an answer with status 200, otherwise an error.
+    pub fn success(self) -> Result<Vec<u8>> {
+        match self.status {
+            200 => Ok(self.body),
+            429 => Err(Error::new(Code::PlatformBusy, "status 429")),
+            status => Err(Error::new(Code::PlatformUnavailable, format!("status {status}"))),
+        }
+    }
+}
+
+/// How long opening a connection may take. A server that is down sends nothing, and a longer timeout would
+/// still run when the server is back.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long an idle connection is kept.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1000);
+
+/// A client that makes one call at a time to a server. A connection on which a call failed is closed.
+pub struct HttpClient {
+    address: SocketAddr,
+    connection: Option<(HttpConnection, Instant)>,
+}
+
+impl HttpClient {
+    /// Creates a client without a connection.
+    pub fn new(address: SocketAddr) -> Self {
+        Self { address, connection: None }
+    }
+
+    /// Closes the connection if it has been idle for `idle`: servers limit how many they keep.
+    pub fn close_if_idle(&mut self, idle: Duration) {
+        self.connection.take_if(|(_, since)| since.elapsed() >= idle);
+    }
+
+    /// Whether an idle connection is kept.
+    pub fn is_connected(&self) -> bool {
+        self.connection.is_some()
+    }
+
+    /// The address of the server.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Makes a call within a timeout.
+    pub async fn call(&mut self, call: Call, timeout: Duration) -> Result<CallAnswer> {
+        let until = Instant::now() + timeout;
+        let timed_out = || Error::new(Code::TimedOut, "no answer in time");
+        with_deadline(until, self.call_with_pause_limit(call, timeout, timeout))
+            .await
+            .ok_or_else(timed_out)?
+    }
+
+    /// Makes a call whose answer must start within `start_timeout` and may take as long as it likes after that, with
+    /// no pause longer than `max_pause`. A large answer on a narrow link would never arrive if it were cut off
+    /// and requested again.
+    pub async fn call_with_pause_limit(
+        &mut self,
+        call: Call,
+        start_timeout: Duration,
+        max_pause: Duration,
+    ) -> Result<CallAnswer> {
+        // Taken out, so that a cancelled call does not leave its connection behind.
+        let idle_connection =
+            self.connection.take().filter(is_reusable).map(|(connection, _)| connection);
+        let timed_out = || Error::new(Code::TimedOut, "no answer in time");
+        let started = start_call(self.address, idle_connection, call, start_timeout);
+        let (mut connection, answer) = with_deadline(Instant::now() + start_timeout, started)
+            .await
+            .ok_or_else(timed_out)??;
+        let (head, mut body) = answer.into_parts();
+        let body = collect(&mut connection, &mut body, max_pause).await?;
+        self.connection = Some((connection, Instant::now()));
+        Ok(CallAnswer { status: head.status.as_u16(), headers: head.headers, body })
+    }
+}
+
+/// Whether a kept connection can be used again. Servers close idle connections, and the connection is not
+/// polled meanwhile.
+fn is_reusable((connection, since): &(HttpConnection, Instant)) -> bool {
+    connection.is_open() && since.elapsed() < MAX_IDLE_TIME
+}
+
+/// Sends a call and waits for the head of its answer.
+async fn start_call(
+    address: SocketAddr,
+    idle_connection: Option<HttpConnection>,
+    call: Call,
+    timeout: Duration,
+) -> Result<(HttpConnection, Response<Incoming>)> {
+    let mut connection = match idle_connection {
+        Some(connection) => connection,
+        None => HttpConnection::open(address, timeout.min(CONNECT_TIMEOUT)).await?,
+    };
+    let answer = connection.send(request(address, call)?).await?;
+    Ok((connection, answer))
+}
+
+/// Reads a body of at most `MAX_ANSWER_BYTES` bytes, with no pause between them longer than `max_pause`.
+async fn collect(
+    connection: &mut HttpConnection,
+    body: &mut Incoming,
+    max_pause: Duration,
+) -> Result<Vec<u8>> {
+    let mut body_bytes = Vec::new();
+    loop {
+        let next = with_deadline(Instant::now() + max_pause, connection.next_bytes(body)).await;
+        let next = next.ok_or_else(|| Error::new(Code::TimedOut, "the answer stalled"))?;
+        let Some(bytes) = next else {
+            return Ok(body_bytes);
+        };
+        body_bytes.extend_from_slice(&bytes?);
+        if body_bytes.len() > MAX_ANSWER_BYTES {
+            return Err(Error::new(Code::TooLarge, "the answer is too large"));
+        }
+    }
+}
+
+fn request(address: SocketAddr, call: Call) -> Result<Request<Full<Bytes>>> {
+    let mut request =
+        Request::builder().method(call.method).uri(call.path).header(HOST, address.to_string());
+    if call.json {
+        request = request.header(CONTENT_TYPE, "application/json");
+    }
+    request
+        .body(Full::new(Bytes::from(call.body)))
+        .map_err(|error| Error::new(Code::Internal, error.to_string()))
+}
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -1,4 +1,4 @@
-//! A table of the platform's store, listed whole, and what cannot be read of it.
+//! Lists a complete table of the platform's store and reports its unreadable rows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use uptime::Instant;
 
 use crate::era::Era;
-use crate::gateway::{read_age, ToldAge};
-use crate::link::Link;
-use crate::paging::{Haste, Paging};
-use crate::patience::Patience;
+use crate::gateway::{read_age, ReportedAge};
+use crate::http_client::HttpClient;
+use crate::paging::{Paging, Urgency};
+use crate::store_timeouts::StoreTimeouts;
 
-/// The longest pause between two pieces of an answer. A large configuration may take seconds on a
-/// narrow link that others use too.
-pub const PIECE_PAUSE: Duration = Duration::from_millis(900);
-/// The most rows that cannot be read of which is told, each by its key and what was wrong.
-const MOST_FAULTS: usize = 256;
+/// The longest pause within an answer. A large configuration may take seconds on a narrow link that others
+/// use too.
+pub const MAX_ANSWER_PAUSE: Duration = Duration::from_millis(900);
+/// The most unreadable rows that are logged, each with its key and the reason.
+const MAX_LOGGED_FAULTS: usize = 256;
 
 /// The name of a table's calls in the metrics.
 pub fn call_name(table: Table) -> &'static str {
@@ -31,46 +31,46 @@
     }
 }
 
-/// A table as it was listed.
+/// A listed table.
 pub struct Listing {
-    /// Where a feed goes on.
-    pub place: StorePlace,
-    /// What the store's clock showed, in milliseconds, if it told.
+    /// The position after which a feed continues.
+    pub position: StorePlace,
+    /// The store's clock, in milliseconds, if it was sent.
     pub clock_ms: Option<u64>,
-    /// What its rows say.
+    /// The content of its rows.
     pub changes: Vec<Change>,
-    /// What was wrong with rows that could not be read.
+    /// The errors of rows that could not be read.
     pub faults: Vec<Error>,
-    /// Its pages, as they came.
+    /// The undecoded pages.
     pub pages: Vec<Vec<u8>>,
-    /// How old its last page says that it is. `None` from the store.
-    pub age: Option<ToldAge>,
+    /// The age of the last page as its sender reports it. `None` for the store.
+    pub age: Option<ReportedAge>,
 }
 
-/// Lists a whole table. All pages are of one era, or the listing has failed.
+/// Lists a complete table. The listing fails if its pages are of different eras.
 pub async fn list(
-    link: &mut Link,
+    client: &mut HttpClient,
     table: Table,
     era: &Era,
     metrics: &Metrics,
-    haste: Haste,
+    urgency: Urgency,
 ) -> Result<Listing> {
-    let mut cost = ListingCost::begin();
-    let listed = list_pages(link, table, era, metrics, Paging::new(haste), &mut cost).await;
+    let mut cost = ListingCost::start();
+    let listed = list_pages(client, table, era, metrics, Paging::new(urgency), &mut cost).await;
     cost.log(table, listed.as_ref().err());
     listed
 }
 
-/// What a listing has taken so far.
+/// The time and size of a listing so far.
 struct ListingCost {
-    begun: Instant,
+    started: Instant,
     pages: u64,
     bytes: u64,
 }
 
 impl ListingCost {
-    fn begin() -> Self {
-        Self { begun: Instant::now(), pages: 0, bytes: 0 }
+    fn start() -> Self {
+        Self { started: Instant::now(), pages: 0, bytes: 0 }
     }
 
     fn count(&mut self, table: Table, bytes: usize, metrics: &Metrics) {
@@ -81,13 +81,13 @@
 
     fn log(&self, table: Table, fault: Option<&Error>) {
         let (table, outcome) = (format!("{table:?}"), fault.map_or("whole", |it| it.code.name()));
-        let took_ms = self.begun.elapsed().as_millis() as u64;
+        let took_ms = self.started.elapsed().as_millis() as u64;
         log::info!(table = table.as_str(), outcome = outcome, pages = self.pages, bytes = self.bytes, took_ms = took_ms; "table listed");
     }
 }
 
 async fn list_pages(
-    link: &mut Link,
+    client: &mut HttpClient,
     table: Table,
     era: &Era,
     metrics: &Metrics,
@@ -100,37 +100,40 @@
     let mut first = None;
     loop {
         let call = page_call(table, &from, &paging);
-        let asked = Instant::now();
-        let answer = link.call_patiently(call, Patience::LIST_BEGIN, PIECE_PAUSE).await?;
-        paging.take(asked.elapsed());
-        let era = era.note(&answer.headers)?;
+        let sent_at = Instant::now();
+        let answer = client
+            .call_with_pause_limit(call, StoreTimeouts::LIST_START_TIMEOUT, MAX_ANSWER_PAUSE)
+            .await?;
+        paging.record_page(sent_at.elapsed());
+        let era = era.record(&answer.headers)?;
         let age = read_age(&answer.headers);
         let body = answer.success()?;
         cost.count(table, body.len(), metrics);
         let page = store::read(table, &body)?;
         pages.push(body);
         faults.extend(page.faults);
-        // Changes behind the first page's version may be missing on it, so the feed starts there.
-        let place = StorePlace { era, revision: page.revision };
-        let (place, clock_ms) = *first.get_or_insert((place, page.clock_ms));
-        if place.era != era {
+        // Changes after the first page's revision may be missing on that page, so the feed starts there.
+        let position = StorePlace { era, revision: page.revision };
+        let (position, clock_ms) = *first.get_or_insert((position, page.clock_ms));
+        if position.era != era {
             return Err(Error::new(Code::NotFound, "the store came back from an older copy"));
         }
         changes.extend(page.changes);
         match page.next {
             Some(next) => {
                 from = next;
-                Timer::after(paging.rest()).await;
+                Timer::after(paging.pause()).await;
             }
             None => {
                 let age = age?;
-                return Ok(Listing { place, clock_ms, changes, faults, pages, age });
+                return Ok(Listing { position, clock_ms, changes, faults, pages, age });
             }
         }
     }
 }
 
-/// Reads the next page. What operators write has few rows, and some of them are large.
+/// The call for the next page. The operator table has few rows, some of them large, so its pages are not
+/// limited.
 fn page_call(table: Table, from: &str, paging: &Paging) -> Call {
     match table {
         Table::Operator | Table::Versions => store::list(table, from),
@@ -138,7 +141,7 @@
     }
 }
 
-/// Logs rows that cannot be read: what they say is not in force here.
+/// Logs unreadable rows, whose content is not in force here.
 pub fn log_faults(table: Table, faults: &[Error]) {
     let table = format!("{table:?}");
     for fault in faults {
@@ -147,22 +150,22 @@
     }
 }
 
-/// Rows that could not be read and were told of: once, and not at every reading.
+/// The unreadable rows that were already logged, so that each is logged once and not at every reading.
 #[derive(Debug, Default)]
-pub struct ToldFaults(BTreeSet<String>);
+pub struct LoggedFaults(BTreeSet<String>);
 
-impl ToldFaults {
-    /// Tells of the faults of a whole listing. Those that it lacks are over.
-    pub fn tell_all(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
+impl LoggedFaults {
+    /// Logs the new errors of a complete listing. Errors that are missing in it are resolved.
+    pub fn log_listing(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
         let listed: BTreeSet<String> = faults.iter().map(Error::to_string).collect();
         self.0.retain(|it| listed.contains(it));
-        self.tell(table, metrics, faults);
+        self.log_new(table, metrics, faults);
     }
 
-    /// Logs and counts the faults that are new.
-    pub fn tell(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
+    /// Logs and counts new errors.
+    pub fn log_new(&mut self, table: Table, metrics: &Metrics, faults: &[Error]) {
         for fault in faults {
-            if self.0.len() < MOST_FAULTS && self.0.insert(fault.to_string()) {
+            if self.0.len() < MAX_LOGGED_FAULTS && self.0.insert(fault.to_string()) {
                 log_faults(table, std::slice::from_ref(fault));
                 metrics.count_platform(call_name(table), "unreadable_row");
             }
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -1,5 +1,5 @@
-//! A sample of every message, as builds that have landed wrote it. `SILVERDOCK_SAMPLES=FOLDER cargo test -p edge samples`
-//! writes those of this build.
+//! Samples of every message, as written by landed builds. `SILVERDOCK_SAMPLES=FOLDER cargo test -p edge
+//! samples` writes the samples of this build.
 
 use std::path::{Path, PathBuf};
 
@@ -9,11 +9,11 @@
 use rollout::ColdPlan;
 
 use super::*;
-use crate::additions::{decode_datagram, encode_datagram};
+use crate::extensions::{decode_datagram, encode_datagram};
 
 /// The builds that have landed, oldest first.
 const BUILDS: [&str; 6] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
-/// Those of them that tell of the store's era, behind the message.
+/// The builds that append the store's era to messages.
 const BUILDS_WITH_ERAS: [&str; 5] = ["75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
 
 fn address(last: u8, port: u16) -> SocketAddr {
@@ -39,10 +39,10 @@
     NamedVersion { model: "m".into(), version: 3, age_ms: Some(700), after_ms: None }
 }
 
-fn have() -> Bitmap {
-    let mut have = Bitmap::new(64);
-    [0, 5, 63].into_iter().for_each(|it| have.insert(it));
-    have
+fn stored_chunks() -> Bitmap {
+    let mut stored_chunks = Bitmap::new(64);
+    [0, 5, 63].into_iter().for_each(|it| stored_chunks.insert(it));
+    stored_chunks
 }
 
 fn place() -> Place {
@@ -149,12 +149,17 @@
         ("you-ordered-last", Datagram::YouOrderedLast),
         (
             "summary",
-            Datagram::Summary { from: "10.0.0.7".into(), place: place(), version: 3, have: have() },
+            Datagram::Summary {
+                from: "10.0.0.7".into(),
+                place: place(),
+                version: 3,
+                have: stored_chunks(),
+            },
         ),
     ]
 }
 
-/// Every datagram that tells of the store's era, by name.
+/// Every datagram with the store's era, by name.
 fn datagrams_with_eras() -> Vec<(&'static str, Datagram)> {
     let names = [
         ("subscribe", "subscribe-era"),
@@ -178,7 +183,7 @@
         index: 17,
         from: "10.0.0.7".into(),
         place: place(),
-        have: have(),
+        have: stored_chunks(),
     };
     vec![
         ("request-chunk", PeerRequest::Chunk(chunk)),
@@ -191,24 +196,24 @@
     let manifest = Manifest::describe("v3", &[7; 5000]).expect("it has chunks");
     vec![
         ("answer-manifest", PeerAnswer::Manifest(manifest)),
-        ("answer-chunk", PeerAnswer::Chunk { bytes: vec![1, 2, 3, 250], have: have() }),
+        ("answer-chunk", PeerAnswer::Chunk { bytes: vec![1, 2, 3, 250], have: stored_chunks() }),
         ("answer-missing", PeerAnswer::Missing),
         ("answer-busy", PeerAnswer::Busy),
     ]
 }
 
-fn folder(build: &str) -> PathBuf {
+fn directory(build: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("samples").join(build)
 }
 
 fn sample(build: &str, name: &str) -> Vec<u8> {
-    let path = folder(build).join(name);
+    let path = directory(build).join(name);
     std::fs::read(&path).unwrap_or_else(|error| panic!("{path:?}: {error}"))
 }
 
-/// Holds the format to what a build wrote: each sample is read as the value that it stands for, and that is written in
+/// Compares the format with what a build wrote: each sample decodes to its value, and the value encodes to
 /// the same bytes.
-fn compare<T>(build: &str, samples: Vec<(&'static str, T)>)
+fn assert_format_unchanged<T>(build: &str, samples: Vec<(&'static str, T)>)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
@@ -222,13 +227,13 @@
 #[test]
 fn every_message_of_each_landed_build_is_read_and_written_as_it_was() {
     for build in BUILDS {
-        compare(build, datagrams());
-        compare(build, requests());
-        compare(build, answers());
+        assert_format_unchanged(build, datagrams());
+        assert_format_unchanged(build, requests());
+        assert_format_unchanged(build, answers());
     }
 }
 
-/// Builds without eras read the same but the era.
+/// Builds without eras read everything except the era.
 #[test]
 fn every_datagram_with_an_era_is_read_and_written_as_it_was() {
     for build in BUILDS_WITH_ERAS {
@@ -244,9 +249,9 @@
     }
 }
 
-/// A datagram of any landed build may come from one that is two landings older or newer than this one.
+/// Any landed build may exchange datagrams with a build that is two landings older or newer.
 #[test]
-fn what_all_landed_builds_say_is_the_same_in_each_of_them() {
+fn samples_are_identical_in_all_landed_builds() {
     let names = datagrams().into_iter().map(|it| it.0);
     let names = names.chain(requests().into_iter().map(|it| it.0));
     for name in names.chain(answers().into_iter().map(|it| it.0)) {
@@ -260,22 +265,23 @@
     let variants: std::collections::BTreeSet<u8> =
         datagrams().iter().map(|(_, it)| encode(it)[0]).collect();
     assert_eq!(variants, (0..variants.len() as u8).collect());
-    assert!(decode::<Datagram>(&[variants.len() as u8]).is_err(), "a variant without a sample");
+    assert!(decode::<Datagram>(&[variants.len() as u8]).is_err(), "a variant has no sample");
 }
 
 #[test]
-fn samples_of_this_build_are_written_where_that_is_asked_for() {
-    let Ok(folder) = std::env::var("SILVERDOCK_SAMPLES") else {
+fn samples_of_this_build_are_written_on_request() {
+    let Ok(directory) = std::env::var("SILVERDOCK_SAMPLES") else {
         return;
     };
-    let of_datagrams = datagrams().into_iter().map(|(name, it)| (name, encode(&it)));
-    let of_requests = requests().into_iter().map(|(name, it)| (name, encode(&it)));
-    let of_answers = answers().into_iter().map(|(name, it)| (name, encode(&it)));
-    let with_eras =
+    let datagram_bytes = datagrams().into_iter().map(|(name, it)| (name, encode(&it)));
+    let request_bytes = requests().into_iter().map(|(name, it)| (name, encode(&it)));
+    let answer_bytes = answers().into_iter().map(|(name, it)| (name, encode(&it)));
+    let datagram_with_era_bytes =
         datagrams_with_eras().into_iter().map(|(name, it)| (name, encode_datagram(&it)));
-    let all = of_datagrams.chain(with_eras).chain(of_requests).chain(of_answers);
-    std::fs::create_dir_all(&folder).unwrap();
+    let all =
+        datagram_bytes.chain(datagram_with_era_bytes).chain(request_bytes).chain(answer_bytes);
+    std::fs::create_dir_all(&directory).unwrap();
     for (name, bytes) in all {
-        std::fs::write(Path::new(&folder).join(name), bytes).unwrap();
+        std::fs::write(Path::new(&directory).join(name), bytes).unwrap();
     }
 }
--- a/components/edge/src/message/tests.rs
+++ b/components/edge/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Sizes of messages.
+//! Tests of the sizes of messages.
 
 use fleet::{Evacuation, Millis};
 use gateway::{GatewayList, HeardGateway};
@@ -9,7 +9,7 @@
 /// The largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// The size of a list of so many gateways, in bytes.
+/// The size of a list of `gateways` gateways, in bytes.
 fn list_bytes(gateways: u8) -> usize {
     let address = |last| SocketAddr::from(([10, 0, 0, last], 47_000));
     let heard = |last| HeardGateway { address: address(last), tenths: 160 };
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_list_of_as_many_gateways_as_are_told_fits_a_datagram() {
+fn the_longest_list_of_gateways_fits_into_a_datagram() {
     assert!(list_bytes(128) <= MAX_DATAGRAM_BYTES, "{} bytes", list_bytes(128));
 }
 
@@ -28,7 +28,7 @@
     assert!(slope <= 10, "{slope} bytes a gateway, {} for 53", list_bytes(53));
 }
 
-/// The size of a list of so many halls that are evacuated, in bytes.
+/// The size of a list of `halls` evacuated halls, in bytes.
 fn evacuation_bytes(halls: usize) -> usize {
     let evacuation = Evacuation { hall: "gogledd-a".into(), age_ms: Some(60_000) };
     let evacuated = vec![evacuation; halls];
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn where_no_hall_is_evacuated_a_report_of_load_is_four_bytes_longer_for_it() {
+fn an_empty_list_of_evacuations_takes_four_bytes() {
     assert_eq!(evacuation_bytes(0), 4);
 }
 
@@ -45,7 +45,7 @@
     assert_eq!(evacuation_bytes(1) - evacuation_bytes(0), "gogledd-a".len() + 5);
 }
 
-/// The size of what is told of so many requests, with as many crashes as are told at most.
+/// The size of a crash list of `requests` requests, with as many crashes as are sent at most, in bytes.
 fn crash_bytes(requests: u64, crashes_of_each: u32) -> usize {
     let mut ledger = CrashLedger::default();
     for request in 0..requests {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn crashes_take_one_byte_where_there_are_none_and_half_a_datagram_at_most() {
+fn an_empty_crash_list_takes_one_byte_and_a_full_one_half_a_datagram() {
     assert_eq!(crash_bytes(0, 0), 1);
     for crashes in 1..=8 {
         let bytes = crash_bytes(64, crashes);
--- a/components/edge/src/run.rs
+++ b/components/edge/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway or a sidecar: start, signals, planned stop.
+//! The main loop of a gateway or sidecar process: start, signals, planned stop.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -13,28 +13,28 @@
 use telemetry::{BoundedLogs, Metrics};
 
 use crate::gateway::GatewayNode;
-use crate::reload::{SettingsFile, LOOK_EVERY};
+use crate::reload::{SettingsFile, CHECK_INTERVAL};
 use crate::sidecar::SidecarNode;
 use crate::spawner::Spawner;
 
-/// Runs a process until it is told to stop. `path` is the file that its settings came from.
+/// Runs a process until it receives a stop signal. `path` is the file that its settings were read from.
 pub fn run(settings: &DeploymentSettings, path: PathBuf) -> eyre::Result<()> {
     let node = &settings.node;
     let logs = telemetry::start_bounded_logs(&node.name.0, &node.log_level, node.log_lines_per_s)?;
     if !settings.ablation.is_empty() {
-        let without = settings.ablation.to_string();
-        log::warn!(without = without.as_str(); "mechanisms are switched off for a measurement");
+        let switched_off = settings.ablation.to_string();
+        log::warn!(without = switched_off.as_str(); "mechanisms are switched off for a measurement");
     }
     let executor = Rc::new(LocalExecutor::new());
     let file = SettingsFile::new(path, settings.clone());
-    let life = live(Spawner::new(&executor), file, logs);
-    async_io::block_on(executor.run(life))
+    let main_loop = run_node(Spawner::new(&executor), file, logs);
+    async_io::block_on(executor.run(main_loop))
 }
 
-/// How long the last lines of the log have to be written.
-const LAST_LINES: Duration = Duration::from_millis(60);
+/// The time for writing the last lines of the log.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(60);
 
-/// What runs.
+/// The running node.
 enum Node {
     /// A gateway.
     Gateway(GatewayNode),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Goes on with other settings. Nothing that is under way is touched.
+    /// Applies changed settings. Work in progress is not affected.
     fn apply(&self, settings: &DeploymentSettings) {
         match self {
             Self::Gateway(gateway) => gateway.apply(settings),
@@ -70,14 +70,14 @@
     }
 }
 
-/// What wakes the process.
+/// What wakes the main loop.
 enum Wake {
-    /// It is to stop.
+    /// A stop signal.
     Stop,
-    /// The settings are to be read again.
+    /// A signal to read the settings again.
     Reload,
-    /// It is time to look whether they have changed.
-    Look,
+    /// It is time to check whether the settings have changed.
+    CheckSettings,
 }
 
 async fn next_wake(signals: &mut Signals) -> eyre::Result<Wake> {
@@ -87,26 +87,26 @@
             _ => Ok(Wake::Stop),
         }
     };
-    let look = async {
-        Timer::after(LOOK_EVERY).await;
-        Ok(Wake::Look)
+    let check = async {
+        Timer::after(CHECK_INTERVAL).await;
+        Ok(Wake::CheckSettings)
     };
-    future::or(signal, look).await
+    future::or(signal, check).await
 }
 
 fn reload(file: &mut SettingsFile, logs: &BoundedLogs, node: &Node) {
-    let Some(settings) = file.read_again(node.metrics()) else {
+    let Some(settings) = file.reload(node.metrics()) else {
         return;
     };
-    let told = logs.set(&settings.node.log_level, settings.node.log_lines_per_s);
-    if let Err(error) = told {
+    let result = logs.set(&settings.node.log_level, settings.node.log_lines_per_s);
+    if let Err(error) = result {
         let reason = error.to_string();
-        log::error!(reason = reason.as_str(); "the logs stay as they are");
+        log::error!(reason = reason.as_str(); "log settings cannot be changed; the old ones stay");
     }
     node.apply(settings);
 }
 
-async fn live(spawner: Spawner, mut file: SettingsFile, logs: BoundedLogs) -> eyre::Result<()> {
+async fn run_node(spawner: Spawner, mut file: SettingsFile, logs: BoundedLogs) -> eyre::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .wrap_err("signals cannot be received")?;
     let node = Node::start(&spawner, file.in_force()).await?;
@@ -114,8 +114,8 @@
     loop {
         match next_wake(&mut signals).await? {
             Wake::Stop => break,
-            Wake::Look if !file.has_changed() => {}
-            Wake::Look | Wake::Reload => reload(&mut file, &logs, &node),
+            Wake::CheckSettings if !file.has_changed() => {}
+            Wake::CheckSettings | Wake::Reload => reload(&mut file, &logs, &node),
         }
     }
     log::info!("stopping: no new work, requests in progress finish");
@@ -124,7 +124,7 @@
     }
     drop(node);
     log::info!("stopped");
-    // The writer of logs ends with the process.
-    Timer::after(LAST_LINES).await;
+    // The log writer ends with the process.
+    Timer::after(LOG_FLUSH_TIME).await;
     Ok(())
 }
--- a/components/edge/src/server.rs
+++ b/components/edge/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server that stops without cutting off requests.
+//! An HTTP server that stops without interrupting requests.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -18,24 +18,24 @@
 use hyper::service::service_fn;
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::caller::{Caller, CallerStream, Callers, CountedBody};
-use crate::exchange::prepare;
+use crate::caller::{AccountedBody, Caller, CallerStream, Callers};
 use crate::gateway::AnswerBody;
+use crate::http_connection::set_socket_options;
 use crate::spawner::Spawner;
 
-/// How long to wait after the system refused to accept a connection.
+/// How long to wait after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the connections of a server share.
+/// The settings and state shared by the connections of a server.
 #[derive(Clone)]
 pub struct ServerOptions {
-    /// How long a connection may rest, and a head may take.
-    pub idle: Duration,
+    /// How long a connection may be idle, and how long a request head may take.
+    pub idle_timeout: Duration,
     /// Closed when the server stops.
     pub stopping: Receiver<()>,
-    /// How many connections are open.
-    pub open: Rc<Cell<usize>>,
-    /// What is kept for those who are connected.
+    /// The number of open connections.
+    pub open_connections: Rc<Cell<usize>>,
+    /// The state of the callers that are connected.
     pub callers: Callers,
 }
 
@@ -45,7 +45,7 @@
     listener.map_err(|error| Error::new(Code::AddressInUse, format!("{address}: {error}")))
 }
 
-/// Accepts connections and answers their requests, for as long as the task runs.
+/// Accepts connections and answers their requests for as long as the task runs.
 pub async fn serve<H, F>(
     spawner: Spawner,
     listener: TcpListener,
@@ -59,7 +59,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (options, handler) = (options.clone(), handler.clone());
-                prepare(&stream);
+                set_socket_options(&stream);
                 spawner.detach(serve_connection(stream, options, handler));
             }
             Err(_) => {
@@ -76,21 +76,21 @@
     H: Fn(Request<Incoming>, Rc<Caller>) -> F + 'static,
     F: Future<Output = Response<AnswerBody>> + 'static,
 {
-    options.open.set(options.open.get() + 1);
-    let caller = options.callers.connect(options.idle);
+    options.open_connections.set(options.open_connections.get() + 1);
+    let caller = options.callers.connect(options.idle_timeout);
     let stream = CallerStream::new(stream, caller.clone());
     let service = service_fn(move |request| {
         let (answer, caller) = (handler(request, caller.clone()), caller.clone());
         async move {
-            let answer = answer.await.map(|body| CountedBody::new(body, caller));
+            let answer = answer.await.map(|body| AccountedBody::new(body, caller));
             Ok::<_, std::convert::Infallible>(answer)
         }
     });
     let mut builder = Builder::new();
     builder
         .timer(SmolTimer::new())
-        .header_read_timeout(options.idle)
-        .max_buf_size(options.callers.bounds().buffer);
+        .header_read_timeout(options.idle_timeout)
+        .max_buf_size(options.callers.limits().read_ahead);
     let mut connection = std::pin::pin!(builder.serve_connection(FuturesIo::new(stream), service));
     let served = future::or(
         async {
@@ -107,5 +107,5 @@
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
-    options.open.set(options.open.get() - 1);
+    options.open_connections.set(options.open_connections.get() - 1);
 }
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -1,4 +1,4 @@
-//! Asks gateways, or the store, who the other sidecars are. `rollout::Directory` decides when.
+//! Asks gateways, or the store, for the other sidecars. `rollout::Directory` decides when.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -20,81 +20,81 @@
 use uptime::Instant;
 
 use super::core::Core;
-use crate::exchange::within;
-use crate::link::Link;
+use crate::datagram_socket::DatagramSocket;
+use crate::http_client::HttpClient;
+use crate::http_connection::with_deadline;
 use crate::listing::{list, log_faults};
 use crate::message::{Datagram, SidecarsPart};
-use crate::news::News;
-use crate::paging::Haste;
+use crate::paging::Urgency;
 
 /// How long a gateway may take to answer. It is at most a few milliseconds away and answers at once.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(250);
-/// How far apart sidecars that have waited for a gateway equally long ask the store.
-const SPREAD: Duration = Duration::from_millis(2000);
-/// How often one that reads the store's list looks whether a gateway has come.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// The store calls of sidecars that have waited equally long for a gateway are spread over this time.
+const MAX_SPREAD: Duration = Duration::from_millis(2000);
+/// How often a sidecar that reads the store's list checks whether a gateway has subscribed.
+const GATEWAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How many gateways are asked, one after the other.
-const TRIES: usize = 3;
-/// How often the gateways that the store names are asked before its list is read, how many times in a row all of them
-/// may be silent, and the pause between.
-const NAMED_ROUNDS: u32 = 8;
-const MOST_SILENT_ROUNDS: u32 = 2;
-const NAMED_PAUSE: Duration = Duration::from_millis(1000);
-/// How long the row that names them may take to come.
+const MAX_GATEWAYS_ASKED: usize = 3;
+/// How often the gateways that the store names are asked before its list is read, how many rounds in a row
+/// may remain without any answer, and the pause between rounds.
+const MAX_NAMED_ROUNDS: u32 = 8;
+const MAX_SILENT_ROUNDS: u32 = 2;
+const NAMED_ROUND_PAUSE: Duration = Duration::from_millis(1000);
+/// How long reading the row that names these gateways may take.
 const ROW_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Keeps the reducer told of the other sidecars for as long as the task runs.
+/// Updates the reducer's list of sidecars for as long as the task runs.
 pub async fn follow(
     core: Core,
-    news: News,
+    socket: DatagramSocket,
     parts: Receiver<SidecarsPart>,
     settings: DirectorySettings,
 ) {
-    let mut times = Directory::new(core.clock.now());
-    let mut asker = Asker {
-        link: Link::new(settings.store),
+    let mut directory = Directory::new(core.clock.now());
+    let mut directory_client = DirectoryClient {
+        client: HttpClient::new(settings.store),
         settings,
         core: core.clone(),
-        news,
+        socket,
         parts,
         questions: 0,
-        known: false,
+        has_list: false,
     };
     loop {
-        let answer = asker.ask_gateways().await;
-        let step = times.take_answer(core.clock.now(), answer);
+        let answer = directory_client.ask_gateways().await;
+        let step = directory.take_answer(core.clock.now(), answer);
         if step.read_store {
-            asker.read_store().await;
+            directory_client.read_store().await;
         }
         let pause = Duration::from_millis(step.pause_ms);
-        within(Instant::now() + pause, core.list_wanted.recv()).await;
+        with_deadline(Instant::now() + pause, core.list_requested.recv()).await;
     }
 }
 
-/// A random part of the time over which sidecars spread what all of them ask of the store at once.
-pub fn spread() -> Duration {
-    rand::rng().random_range(Duration::ZERO..SPREAD)
+/// A random delay, over which sidecars spread calls that all of them make to the store at the same time.
+pub fn random_delay() -> Duration {
+    rand::rng().random_range(Duration::ZERO..MAX_SPREAD)
 }
 
-/// Waits until some gateway wants reports.
+/// Waits until a gateway subscribes to reports.
 async fn wait_for_gateway(core: Core) {
     while core.subscribers().is_empty() {
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(GATEWAY_CHECK_INTERVAL).await;
     }
 }
 
-/// What a directory is told at start.
+/// The settings of a directory.
 pub struct DirectorySettings {
-    /// The store.
+    /// The address of the store.
     store: SocketAddr,
-    /// The port at which sidecars listen.
+    /// The port on which sidecars listen.
     port: u16,
     /// Every data hall with its region.
     halls: BTreeMap<Hall, Region>,
 }
 
 impl DirectorySettings {
-    /// Takes what is needed out of the settings.
+    /// Extracts the required settings.
     pub fn new(settings: &DeploymentSettings) -> Self {
         Self {
             store: settings.store.address,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The sidecar on a machine. Sidecars are named by the addresses of their machines.
+    /// The sidecar on a machine. Sidecars are identified by the addresses of their machines.
     fn peer(&self, machine: IpAddr, hall: &Hall, version: Option<u64>) -> Peer {
         let region = self.halls.get(hall).cloned().unwrap_or_default();
         Peer {
@@ -115,84 +115,84 @@
     }
 }
 
-/// What a gateway answered.
-enum Collected {
+/// The answer of a gateway.
+enum CollectedAnswer {
     /// The sidecars.
     List(Vec<Peer>),
-    /// The gateway does not hear the store, and an older list is here.
+    /// The gateway is not connected to the store, and this sidecar already has a list.
     Stale,
-    /// The gateway does not know them yet.
+    /// The gateway does not know the sidecars yet.
     Pending,
 }
 
-struct Asker {
+struct DirectoryClient {
     settings: DirectorySettings,
     core: Core,
-    news: News,
+    socket: DatagramSocket,
     parts: Receiver<SidecarsPart>,
-    link: Link,
-    /// Questions asked so far.
+    client: HttpClient,
+    /// The number of questions so far.
     questions: u64,
-    /// Whether some list has been taken.
-    known: bool,
+    /// Whether a list was applied.
+    has_list: bool,
 }
 
-impl Asker {
-    fn tell(&mut self, peers: Vec<Peer>) {
-        self.known = true;
-        self.core.feed(Event::Peers(peers));
+impl DirectoryClient {
+    fn apply_list(&mut self, peers: Vec<Peer>) {
+        self.has_list = true;
+        self.core.dispatch(Event::Peers(peers));
     }
 
-    /// Asks a few gateways, until one answers with a list that is worth taking.
+    /// Asks a few gateways until one answers with a usable list.
     async fn ask_gateways(&mut self) -> DirectoryAnswer {
         let gateways = self.core.subscribers();
         if gateways.is_empty() {
             return DirectoryAnswer::NoGateway;
         }
         self.core.is_alone.set(false);
-        self.ask(gateways).await
+        self.ask_any(gateways).await
     }
 
-    async fn ask(&mut self, gateways: Vec<SocketAddr>) -> DirectoryAnswer {
-        let asked = gateways.into_iter().choose_multiple(&mut rand::rng(), TRIES);
+    async fn ask_any(&mut self, gateways: Vec<SocketAddr>) -> DirectoryAnswer {
+        let asked = gateways.into_iter().choose_multiple(&mut rand::rng(), MAX_GATEWAYS_ASKED);
         let mut best = DirectoryAnswer::Silent;
         for gateway in asked {
             self.questions += 1;
             let question = self.questions;
             let service = self.core.settings.service.clone();
-            self.news.send(gateway, &Datagram::WantSidecars { question, service }).await;
-            let until = Instant::now() + ANSWER_PATIENCE;
-            match within(until, self.collect(question)).await {
-                Some(Collected::List(peers)) => {
-                    self.tell(peers);
+            self.socket.send(gateway, &Datagram::WantSidecars { question, service }).await;
+            let until = Instant::now() + ANSWER_TIMEOUT;
+            match with_deadline(until, self.collect(question)).await {
+                Some(CollectedAnswer::List(peers)) => {
+                    self.apply_list(peers);
                     return DirectoryAnswer::List;
                 }
-                Some(Collected::Stale) => best = DirectoryAnswer::Stale,
-                Some(Collected::Pending) if best == DirectoryAnswer::Silent => {
+                Some(CollectedAnswer::Stale) => best = DirectoryAnswer::Stale,
+                Some(CollectedAnswer::Pending) if best == DirectoryAnswer::Silent => {
                     best = DirectoryAnswer::Pending;
                 }
-                Some(Collected::Pending) | None => {}
+                Some(CollectedAnswer::Pending) | None => {}
             }
         }
         best
     }
 
-    /// Waits for every part of an answer.
-    async fn collect(&self, question: u64) -> Collected {
+    /// Waits for all parts of an answer.
+    async fn collect(&self, question: u64) -> CollectedAnswer {
         let mut seen = BTreeSet::new();
         let mut peers = Vec::new();
         loop {
             let Ok(part) = self.parts.recv().await else {
-                return Collected::Pending;
+                return CollectedAnswer::Pending;
             };
             if part.question != question {
                 continue;
             }
             if part.is_pending() {
-                return Collected::Pending;
+                return CollectedAnswer::Pending;
             }
-            if self.known && !part.fresh {
-                return Collected::Stale;
+            if self.has_list && !part.fresh {
+                return CollectedAnswer::Stale;
             }
             if seen.insert(part.part) {
                 let of_part = part.sidecars.iter();
@@ -201,20 +201,21 @@
                 );
             }
             if seen.len() as u32 >= part.parts {
-                return Collected::List(peers);
+                return CollectedAnswer::List(peers);
             }
         }
     }
 
-    /// Reads the store's list. Where no gateway is known, until one comes: its list is as good, and it crosses no link.
-    /// So the gateways are asked before that which the store names for this hall.
+    /// Reads the store's list. Without a known gateway, it stops when one subscribes: the gateway's list is
+    /// as good and does not load the link to the store. For the same reason the gateways that the store names
+    /// for this hall are asked first.
     async fn read_store(&mut self) {
         let core = self.core.clone();
         if !core.subscribers().is_empty() {
             return self.read_list().await;
         }
         future::or(wait_for_gateway(core.clone()), async {
-            Timer::after(spread()).await;
+            Timer::after(random_delay()).await;
             if self.ask_named_gateways().await {
                 return;
             }
@@ -224,8 +225,8 @@
         .await;
     }
 
-    /// Asks the gateways that the store names for this hall until one answers, and tells whether one did. They may be
-    /// starting, and answer once they know the list themselves.
+    /// Asks the gateways that the store names for this hall until one answers. Returns whether one did. They
+    /// may be starting, and answer once they know the list themselves.
     async fn ask_named_gateways(&mut self) -> bool {
         let named = match self.named_gateways().await {
             Ok(named) => named,
@@ -236,24 +237,24 @@
             }
         };
         let mut silent = 0;
-        for _ in 0..NAMED_ROUNDS {
-            match self.ask(named.clone()).await {
+        for _ in 0..MAX_NAMED_ROUNDS {
+            match self.ask_any(named.clone()).await {
                 DirectoryAnswer::List => return true,
                 DirectoryAnswer::Stale | DirectoryAnswer::Pending => silent = 0,
                 DirectoryAnswer::Silent | DirectoryAnswer::NoGateway => silent += 1,
             }
-            if named.is_empty() || silent == MOST_SILENT_ROUNDS {
+            if named.is_empty() || silent == MAX_SILENT_ROUNDS {
                 return false;
             }
-            Timer::after(NAMED_PAUSE).await;
+            Timer::after(NAMED_ROUND_PAUSE).await;
         }
         false
     }
 
     async fn named_gateways(&mut self) -> Result<Vec<SocketAddr>> {
         let (hall, call) = (&self.core.place.hall, ReadersCall::Read);
-        let answer = self.link.call(readers::call(hall, &call)?, ROW_TIMEOUT).await?;
-        self.core.era.note(&answer.headers)?;
+        let answer = self.client.call(readers::call(hall, &call)?, ROW_TIMEOUT).await?;
+        self.core.era.record(&answer.headers)?;
         match readers::read(hall, &call, answer.status, &answer.body)? {
             ReadersAnswer::Row(row) => Ok(row.named),
             ReadersAnswer::Written(_) | ReadersAnswer::Failed => {
@@ -264,7 +265,7 @@
 
     async fn read_list(&mut self) {
         match self.listed_peers().await {
-            Ok(peers) => self.tell(peers),
+            Ok(peers) => self.apply_list(peers),
             Err(error) => {
                 let reason = error.to_string();
                 log::warn!(reason = reason.as_str(); "list of runners cannot be read");
@@ -273,16 +274,21 @@
     }
 
     async fn listed_peers(&mut self) -> Result<Vec<Peer>> {
-        let listing =
-            list(&mut self.link, Table::Runners, &self.core.era, &self.core.metrics, Haste::Spread)
-                .await?;
+        let listing = list(
+            &mut self.client,
+            Table::Runners,
+            &self.core.era,
+            &self.core.metrics,
+            Urgency::Background,
+        )
+        .await?;
         log_faults(Table::Runners, &listing.faults);
         let mut peers = Vec::new();
         for change in listing.changes {
             let Change::Runner(record) = change else {
                 continue;
             };
-            // The machine of a runner that leaves goes with it, and whatever chunks it was to draw.
+            // The machine of a leaving runner is removed with it, and so are the chunks that it was to fetch.
             let stays = record.state == RunnerState::Ready;
             if stays && record.service == self.core.settings.service {
                 let version = record.whole_version();
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -18,42 +18,42 @@
 use uptime::Instant;
 
 use super::core::Core;
-use super::directory::{self, spread, DirectorySettings};
+use super::directory::{self, random_delay, DirectorySettings};
 use super::runner::{self, Job};
-use super::{draws, peers};
-use crate::backlog::BacklogBounds;
+use super::{fetches, peers};
 use crate::caller::Callers;
+use crate::caller_buffers::BufferLimits;
+use crate::datagram_socket::DatagramSocket;
 use crate::evacuated::EvacuatedHalls;
-use crate::life_log::note_life;
-use crate::link::Link;
+use crate::http_client::HttpClient;
+use crate::life_change_log::log_life_change;
 use crate::listing::{list, log_faults, Listing};
 use crate::message::{weights_services, Datagram};
-use crate::metrics::{note_evacuation, serve_metrics, Standstills};
-use crate::news::News;
-use crate::paging::Haste;
+use crate::metrics::{record_evacuation, serve_metrics, StallDetector};
+use crate::paging::Urgency;
 use crate::server::listen;
 use crate::spawner::Spawner;
 
-/// How often the named versions are listed by a sidecar that no gateway reaches.
-const VERSIONS_SPACING: Duration = Duration::from_millis(30_000);
-/// How often a sidecar looks whether it is still without a gateway.
-const ALONE_LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Sidecars that are told of an order, or asked for the last one.
-const MOST_TOLD_OF_ORDERS: usize = 64;
-/// How often the reducer is told of the time.
-const TICK: Duration = Duration::from_millis(40);
-/// How often the log tells how many chunks are here.
-const PROGRESS_EVERY: Millis = Millis(500);
-/// Parts of the list of sidecars that may wait to be taken: several times as many as a large fleet has.
-const MOST_PARTS: usize = 64;
-/// What control messages may cost while chunks come, in bytes a second. Everyone who draws should hear
-/// of a new chunk within a fraction of the time that a version takes.
+/// The interval of listing the named versions in a sidecar without a gateway.
+const VERSIONS_INTERVAL: Duration = Duration::from_millis(30_000);
+/// How often a sidecar checks whether it still has no gateway.
+const ALONE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The most sidecars that are notified of an order, or asked for the last one.
+const MAX_ORDER_PEERS: usize = 64;
+/// How often the reducer receives a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
+/// The interval of progress lines of a version's chunks.
+const PROGRESS_INTERVAL: Millis = Millis(500);
+/// Capacity of the channel for parts of the sidecar list: several times as many as a large fleet has.
+const PARTS_CAPACITY: usize = 64;
+/// Limit of control messages while chunks are fetched, in bytes per second. Every sidecar that fetches chunks
+/// should learn of a new one within a fraction of the time that a version takes.
 const CONTROL_BYTES_PER_S: u64 = 40_000;
 
-/// A sidecar. It has nothing to finish: what its runner does goes on without it.
+/// A sidecar. It has nothing to finish on a stop: the runner's work does not depend on it.
 pub struct SidecarNode {
     core: Core,
-    /// Keeps the page of metrics open for the life of the process.
+    /// Keeps the metrics page open until the process ends.
     _open: Sender<()>,
 }
 
@@ -65,8 +65,8 @@
         sidecar: &SidecarSettings,
     ) -> Result<Self> {
         let listen_at = SocketAddr::new(settings.node.address, settings.node.first_port);
-        let (effects, to_do) = async_channel::unbounded();
-        let (jobs, work) = async_channel::unbounded();
+        let (effects, pending_effects) = async_channel::unbounded();
+        let (jobs, pending_jobs) = async_channel::unbounded();
         let metrics = Rc::new(Metrics::start()?);
         let core = Core::new(
             options(settings),
@@ -77,7 +77,7 @@
             effects,
             settings.bounds.repeat_window_s * 1000,
         );
-        let news = News::bind(listen_at, metrics).await?;
+        let socket = DatagramSocket::bind(listen_at, metrics).await?;
         let listener = listen(listen_at).await?;
         spawner.detach(peers::serve(
             spawner.clone(),
@@ -85,34 +85,42 @@
             listener,
             settings.node.link_bytes_per_s,
         ));
-        let (sidecars, parts) = async_channel::bounded(MOST_PARTS);
-        spawner.detach(peers::listen(core.clone(), news.clone(), sidecars));
-        spawner.detach(runner::work(core.clone(), work));
-        spawner.detach(runner::report(core.clone(), news.clone()));
-        spawner.detach(perform(spawner.clone(), core.clone(), to_do, jobs, news.clone()));
+        let (sidecars, parts) = async_channel::bounded(PARTS_CAPACITY);
+        spawner.detach(peers::receive_datagrams(core.clone(), socket.clone(), sidecars));
+        spawner.detach(runner::run_jobs(core.clone(), pending_jobs));
+        spawner.detach(runner::poll_reports(core.clone(), socket.clone()));
+        spawner.detach(execute_effects(
+            spawner.clone(),
+            core.clone(),
+            pending_effects,
+            jobs,
+            socket.clone(),
+        ));
         spawner.detach(follow_versions(core.clone(), settings.store.address));
         spawner.detach(find_plan(core.clone(), settings.store.address));
         let directory = DirectorySettings::new(settings);
-        spawner.detach(directory::follow(core.clone(), news.clone(), parts, directory));
-        spawner.detach(ask_who_ordered(core.clone(), news.clone()));
+        spawner.detach(directory::follow(core.clone(), socket.clone(), parts, directory));
+        spawner.detach(ask_who_ordered(core.clone(), socket.clone()));
         let (open, stopping) = async_channel::bounded(1);
-        serve_page(spawner, settings, &core, stopping).await?;
+        serve_sidecar_metrics(spawner, settings, &core, stopping).await?;
         spawner.detach(tick(core.clone()));
         Ok(Self { core, _open: open })
     }
 
-    /// Its counters.
+    /// The metrics of this process.
     pub fn metrics(&self) -> &Metrics {
         &self.core.metrics
     }
 
-    /// Goes on with other settings.
+    /// Applies changed settings.
     pub fn apply(&self, settings: &DeploymentSettings) {
         let bounds = &settings.bounds;
         self.core.gateways.borrow_mut().set_window(bounds.repeat_window_s * 1000);
-        self.core
-            .feed(Event::Bounded { version_ms: bounds.version_ms, evacuate_ms: bounds.leave_ms() });
-        self.core.feed(Event::ColdBounded(cold_limit(bounds)));
+        self.core.dispatch(Event::Bounded {
+            version_ms: bounds.version_ms,
+            evacuate_ms: bounds.leave_ms(),
+        });
+        self.core.dispatch(Event::ColdBounded(cold_limit(bounds)));
     }
 }
 
@@ -133,101 +141,104 @@
     bounds.cold.map(|it| ColdLimit { overrun: it.overrun, slack: it.slack })
 }
 
-/// Carries out effects for as long as the task runs.
-async fn perform(
+/// Executes effects for as long as the task runs.
+async fn execute_effects(
     spawner: Spawner,
     core: Core,
     effects: Receiver<Effect>,
     jobs: Sender<Job>,
-    news: News,
+    socket: DatagramSocket,
 ) {
     while let Ok(effect) = effects.recv().await {
         match effect {
             Effect::Describe(version, source) => {
-                spawner.detach(draws::describe(core.clone(), version, source));
+                spawner.detach(fetches::fetch_manifest(core.clone(), version, source));
             }
             Effect::Draw(version, draw) => {
-                spawner.detach(draws::draw(core.clone(), version, draw));
+                spawner.detach(fetches::fetch_chunk(core.clone(), version, draw));
             }
             Effect::Summarize { to, version, have } => {
                 let (from, place) = (core.me.clone(), core.place.clone());
-                news.send(to, &Datagram::Summary { from, place, version, have }).await;
+                socket.send(to, &Datagram::Summary { from, place, version, have }).await;
             }
             Effect::Answer(question, verdict) => {
-                peers::reply(&core, &news, question, verdict).await;
+                peers::send_reply(&core, &socket, question, verdict).await;
             }
             Effect::Life(change, told) => {
                 let news = LifeNews { runner: core.me.clone(), change, told, known_born: None };
-                note_life(&core.metrics, &news);
+                log_life_change(&core.metrics, &news);
             }
             Effect::Limit(rate) => {
                 let per_s = rate.map(Rate::per_s);
                 log::info!(per_s = per_s; "rate limit of the runner");
             }
             Effect::Evacuation(change) => {
-                note_evacuation(&core.metrics, &change);
-                core.look_at_runner();
+                record_evacuation(&core.metrics, &change);
+                core.request_runner_report();
             }
-            Effect::Find(version) => add(&jobs, Job::Find(version)),
-            Effect::Stage(version) => add(&jobs, Job::Stage(version)),
+            Effect::Find(version) => queue_job(&jobs, Job::Find(version)),
+            Effect::Stage(version) => queue_job(&jobs, Job::Stage(version)),
             Effect::Retire { version, sequence } => {
                 spawner.detach(runner::retire(core.clone(), version, sequence));
-                tell_of_order(&core, &news).await;
+                notify_of_order(&core, &socket).await;
             }
             Effect::Order { version, sequence, cut } => {
-                tell_of_order(&core, &news).await;
-                add(&jobs, Job::Order { version, sequence, cut });
+                notify_of_order(&core, &socket).await;
+                queue_job(&jobs, Job::Order { version, sequence, cut });
             }
         }
     }
 }
 
-/// Other sidecars, some of them where they are many: all telling all of their orders would fill the links while a version
-/// moves, and a few that are drawn anew each time hear of many orders.
-fn some_peers(core: &Core) -> Vec<SocketAddr> {
+/// The other sidecars, or a random sample of them if there are many: if all of them were notified of all
+/// orders, the links would be congested during a rollout. Since each sample is random, every sidecar still
+/// learns of many orders.
+fn sample_peers(core: &Core) -> Vec<SocketAddr> {
     let peers = core.rollout.borrow().peer_addresses();
-    peers.into_iter().choose_multiple(&mut rand::rng(), MOST_TOLD_OF_ORDERS)
+    peers.into_iter().choose_multiple(&mut rand::rng(), MAX_ORDER_PEERS)
 }
 
-/// Tells other sidecars that this one gives its runner an order.
-async fn tell_of_order(core: &Core, news: &News) {
-    for peer in some_peers(core) {
-        news.send(peer, &Datagram::Ordered).await;
+/// Notifies other sidecars that this one sends its runner an order.
+async fn notify_of_order(core: &Core, socket: &DatagramSocket) {
+    for peer in sample_peers(core) {
+        socket.send(peer, &Datagram::Ordered).await;
     }
 }
 
-/// Asks other sidecars, as soon as they are known, whether this machine gave the last order of all: a
-/// process that starts has forgotten that.
-async fn ask_who_ordered(core: Core, news: News) {
+/// Asks other sidecars, as soon as they are known, whether this one sent the last order of all, which a
+/// restarted process does not know.
+async fn ask_who_ordered(core: Core, socket: DatagramSocket) {
     while core.rollout.borrow().peer_addresses().is_empty() {
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
-    for peer in some_peers(&core) {
-        news.send(peer, &Datagram::WhoOrdered).await;
+    for peer in sample_peers(&core) {
+        socket.send(peer, &Datagram::WhoOrdered).await;
     }
 }
 
-fn add(jobs: &Sender<Job>, job: Job) {
+fn queue_job(jobs: &Sender<Job>, job: Job) {
     let _ = jobs.try_send(job);
 }
 
-/// Waits until no gateway tells of anything and the directory has given up asking for one.
+/// Waits until no gateway is subscribed and the directory has given up asking for one.
 async fn wait_until_alone(core: &Core) {
     while !core.subscribers().is_empty() || !core.is_alone.get() {
-        Timer::after(ALONE_LOOK_EVERY).await;
+        Timer::after(ALONE_CHECK_INTERVAL).await;
     }
 }
 
-/// Reads the named versions from the store while no gateway tells of them.
+/// Reads the named versions from the store while no gateway reports them.
 async fn follow_versions(core: Core, store: SocketAddr) {
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
         wait_until_alone(&core).await;
-        match list(&mut link, Table::Versions, &core.era, &core.metrics, Haste::Spread).await {
+        match list(&mut client, Table::Versions, &core.era, &core.metrics, Urgency::Background)
+            .await
+        {
             Ok(listing) => {
                 log_faults(Table::Versions, &listing.faults);
-                take_versions(&core, listing.changes);
-                Timer::after(VERSIONS_SPACING).await;
+                record_listed_versions(&core, listing.changes);
+                Timer::after(VERSIONS_INTERVAL).await;
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -238,30 +249,32 @@
     }
 }
 
-fn take_versions(core: &Core, changes: Vec<Change>) {
+fn record_listed_versions(core: &Core, changes: Vec<Change>) {
     for change in changes {
         if let Change::Version { model, version, .. } = change {
-            // A row does not tell when it was written.
-            core.take_names(&[NamedVersion { model, version, age_ms: None, after_ms: None }]);
+            // A row does not contain the time at which it was written.
+            core.record_versions(&[NamedVersion { model, version, age_ms: None, after_ms: None }]);
         }
     }
-    core.feed(Event::VersionsKnown);
+    core.dispatch(Event::VersionsKnown);
 }
 
-/// Reads from the configuration what it says of the weights, where no gateway tells of it, and which halls are
-/// evacuated. The configuration may be large, and the machine's link is narrow.
+/// Reads the configuration's weights settings and the evacuated halls from the store if no gateway reports
+/// them. The configuration may be large, and the machine's link is narrow.
 async fn find_plan(core: Core, store: SocketAddr) {
-    let mut link = Link::new(store);
+    let mut client = HttpClient::new(store);
     loop {
-        Timer::after(Duration::from_millis(GATEWAY_PATIENCE) + spread()).await;
+        Timer::after(Duration::from_millis(GATEWAY_PATIENCE) + random_delay()).await;
         if core.rollout.borrow().plan().is_some() {
             return;
         }
         if !core.is_alone.get() {
             continue;
         }
-        match list(&mut link, Table::Operator, &core.era, &core.metrics, Haste::Spread).await {
-            Ok(listing) => take_operator_table(&core, listing),
+        match list(&mut client, Table::Operator, &core.era, &core.metrics, Urgency::Background)
+            .await
+        {
+            Ok(listing) => apply_operator_table(&core, listing),
             Err(error) => {
                 let reason = error.to_string();
                 log::warn!(reason = reason.as_str(); "configuration cannot be read");
@@ -270,28 +283,29 @@
     }
 }
 
-fn take_operator_table(core: &Core, listing: Listing) {
-    let Listing { place, changes, faults, .. } = listing;
+fn apply_operator_table(core: &Core, listing: Listing) {
+    let Listing { position, changes, faults, .. } = listing;
     log_faults(Table::Operator, &faults);
-    // Before it knows its runner: it gives no place until then, and none in an evacuated hall from then on.
-    let evacuated = EvacuatedHalls::default().take_listing(Instant::now(), place, &changes);
-    core.feed(Event::Evacuations(evacuated));
+    // Evacuations are applied before the runner's service is known: no slot is granted until then, and none
+    // in an evacuated hall afterwards.
+    let evacuated = EvacuatedHalls::default().apply_listing(Instant::now(), position, &changes);
+    core.dispatch(Event::Evacuations(evacuated));
     for change in changes {
         if let Change::Configuration(catalog) = change {
-            core.take_services(&weights_services(&catalog));
+            core.apply_services(&weights_services(&catalog));
         }
     }
 }
 
-/// Serves the page of metrics with what the sidecar believes.
-async fn serve_page(
+/// Serves the metrics page with the sidecar's current state.
+async fn serve_sidecar_metrics(
     spawner: &Spawner,
     settings: &DeploymentSettings,
     core: &Core,
     stopping: Receiver<()>,
 ) -> Result<()> {
     let address = SocketAddr::new(settings.node.address, settings.node.last_port);
-    let bounds = BacklogBounds::of_memory(settings.node.memory_mb);
+    let bounds = BufferLimits::from_memory_mb(settings.node.memory_mb);
     let callers = Callers::new(bounds, core.clock, core.metrics.clone());
     let (metrics, core) = (core.metrics.clone(), core.clone());
     let refresh = move || {
@@ -313,14 +327,14 @@
 async fn tick(core: Core) {
     let mut progress = Progress::default();
     let mut was_cold = false;
-    let mut standstills = Standstills::start();
+    let mut stall_detector = StallDetector::start();
     loop {
-        Timer::after(TICK).await;
-        if standstills.look(&core.metrics) {
-            core.feed(Event::Woke);
+        Timer::after(TICK_INTERVAL).await;
+        if stall_detector.check(&core.metrics) {
+            core.dispatch(Event::Woke);
         }
-        core.feed(Event::Tick);
-        core.close_rested_links();
+        core.dispatch(Event::Tick);
+        core.close_idle_clients();
         core.crashes.borrow_mut().forget_old(core.clock.now());
         progress.log(&core);
         log_warmth(&core, &mut was_cold);
@@ -341,42 +355,43 @@
     }
 }
 
-/// What the log last said of the chunks of each version that comes.
+/// The last progress line of each version that is being fetched.
 #[derive(Default)]
 struct Progress {
-    told: BTreeMap<u64, Told>,
+    logged: BTreeMap<u64, LoggedProgress>,
 }
 
-/// What the log last said of one version.
+/// The last progress line of one version.
 #[derive(Clone, Copy, Default)]
-struct Told {
+struct LoggedProgress {
     chunks: u32,
     at: Millis,
 }
 
 impl Progress {
-    /// Logs how many chunks are here, now and then and when the last one has come.
+    /// Logs the number of stored chunks at intervals and when the last one has arrived.
     fn log(&mut self, core: &Core) {
         let now = core.clock.now();
-        let drawn = core.drawn();
-        self.told.retain(|version, _| drawn.iter().any(|(it, _)| it == version));
-        for (version, have) in drawn {
-            let told = self.told.get(&version).copied();
-            let changed = told.is_none_or(|it| it.chunks != have.count());
-            let due = told.is_none_or(|it| now.since(it.at) >= PROGRESS_EVERY);
-            if !changed || !(due || have.is_full()) {
+        let fetching = core.fetching();
+        self.logged.retain(|version, _| fetching.iter().any(|(it, _)| it == version));
+        for (version, have) in fetching {
+            let logged = self.logged.get(&version).copied();
+            let is_changed = logged.is_none_or(|it| it.chunks != have.count());
+            let is_due = logged.is_none_or(|it| now.since(it.at) >= PROGRESS_INTERVAL);
+            if !is_changed || !(is_due || have.is_full()) {
                 continue;
             }
-            self.told.insert(version, Told { chunks: have.count(), at: now });
+            self.logged.insert(version, LoggedProgress { chunks: have.count(), at: now });
             log_progress(core, version, &have);
         }
     }
 }
 
-/// Logs how many chunks of a version are here, and what became of the draws since the last such line.
+/// Logs the number of stored chunks of a version, and the outcomes of fetches since the last such line.
 fn log_progress(core: &Core, version: u64, have: &Bitmap) {
-    let draws = core.draws.take();
-    let draws: Vec<String> = draws.iter().map(|(name, count)| format!("{name}={count}")).collect();
-    let draws = draws.join(" ");
-    log::info!(version = version, chunks = have.count(), of = have.capacity(), draws = draws.as_str(); "chunks");
+    let fetches = core.fetch_counts.take();
+    let fetches: Vec<String> =
+        fetches.iter().map(|(name, count)| format!("{name}={count}")).collect();
+    let fetches = fetches.join(" ");
+    log::info!(version = version, chunks = have.count(), of = have.capacity(), draws = fetches.as_str(); "chunks");
 }
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -1,6 +1,6 @@
 //! Follows a table of the platform's store.
 
-mod dating;
+mod change_dates;
 mod options;
 mod source;
 
@@ -18,75 +18,82 @@
 use rand::Rng;
 use uptime::Instant;
 
-use crate::answer_log::{log_answer, Told};
+use crate::answer_log::{log_answer, AnswerSummary};
+use crate::catch_up::CatchUp;
+use crate::delayed_removals::DelayedRemovals;
+use crate::delayed_returns::DelayedReturns;
 use crate::evacuated::EvacuatedHalls;
-use crate::freshness::{Arrival, Freshness};
-use crate::gateway::{read_age, ToldAge};
-use crate::lapses::Lapses;
-use crate::lateness::Lateness;
-use crate::link::{CallAnswer, Link};
-use crate::listing::{call_name, list, Listing, ToldFaults, PIECE_PAUSE};
-use crate::paging::Haste;
-use crate::returns::Returns;
-use crate::yielding::Yielding;
+use crate::freshness::{AnswerTiming, Freshness};
+use crate::gateway::{read_age, ReportedAge};
+use crate::http_client::{CallAnswer, HttpClient};
+use crate::link_yield::LinkYield;
+use crate::listing::{call_name, list, Listing, LoggedFaults, MAX_ANSWER_PAUSE};
+use crate::paging::Urgency;
 
-/// How much longer than a feed waits the store may be silent before its news is taken for old.
-const LATE_AFTER: Duration = Duration::from_millis(1200);
+/// How much longer than the wait of a feed call the store may be silent before its changes are considered
+/// old.
+const SILENCE_MARGIN: Duration = Duration::from_millis(1200);
 
-/// The pause before the next look where nobody is to be asked yet.
-const NOBODY_PAUSE: Duration = Duration::from_millis(50);
+/// The pause before the next check if there is nothing to call yet.
+const NO_SOURCE_PAUSE: Duration = Duration::from_millis(50);
 
-pub use self::options::{Dated, Seen, WatchOptions};
+pub use self::options::{ChangeDate, TableEvent, WatchOptions};
 
 /// Follows a table for as long as the task runs.
-pub async fn watch(options: WatchOptions, mut deliver: impl FnMut(Seen)) {
-    let calls = options.era.calls();
-    let mut watch = Watch {
-        link: Link::new(options.store),
+pub async fn watch(options: WatchOptions, mut deliver: impl FnMut(TableEvent)) {
+    let wake_ups = options.era.subscribe();
+    let mut watch = TableWatch {
+        client: HttpClient::new(options.store),
         reader: None,
-        yielding: Yielding::new(options.longest_rest),
+        link_yield: LinkYield::new(options.max_yield_pause),
         started: Instant::now(),
         options,
-        calls,
-        place: None,
+        wake_ups,
+        position: None,
         era: None,
-        returns: Returns::default(),
+        delayed_returns: DelayedReturns::default(),
         runners: BTreeSet::new(),
         evacuated: EvacuatedHalls::default(),
-        faults: ToldFaults::default(),
+        logged_faults: LoggedFaults::default(),
         connected: true,
-        asked: Instant::now(),
+        sent_at: Instant::now(),
         wait: Duration::ZERO,
         freshness: Freshness::default(),
-        known: Instant::now(),
-        heard: None,
-        lateness: Lateness::default(),
-        named: BTreeMap::new(),
-        lapses: Lapses::default(),
+        known_until: Instant::now(),
+        answered_at: None,
+        catch_up: CatchUp::default(),
+        newest_versions: BTreeMap::new(),
+        delayed_removals: DelayedRemovals::default(),
     };
-    watch.options.reading.wait_until_settled().await;
+    watch.options.readers.wait_until_settled().await;
     let mut spacing = watch.options.first_spacing;
     let mut failures = 0;
     loop {
-        for id in watch.lapses.take_due(Instant::now()) {
-            deliver(Seen::Change { change: Change::RunnerGone(id), dated: Dated::default() });
+        for id in watch.delayed_removals.take_due(Instant::now()) {
+            deliver(TableEvent::Change {
+                change: Change::RunnerGone(id),
+                date: ChangeDate::default(),
+            });
         }
-        for record in watch.returns.take_due(Instant::now()) {
-            deliver(Seen::Change { change: Change::Runner(record), dated: Dated::default() });
+        for record in watch.delayed_returns.take_due(Instant::now()) {
+            deliver(TableEvent::Change {
+                change: Change::Runner(record),
+                date: ChangeDate::default(),
+            });
         }
-        if !watch.choose_source() {
-            Timer::after(NOBODY_PAUSE).await;
+        if !watch.select_source() {
+            Timer::after(NO_SOURCE_PAUSE).await;
             continue;
         }
-        let (call, result) = match watch.place {
-            Some(place) => ("feed", watch.feed(place, &mut deliver).await),
+        let (call, result) = match watch.position {
+            Some(position) => ("feed", watch.feed(position, &mut deliver).await),
             None => ("list", watch.list(&mut deliver).await),
         };
         let reader = watch.reader.as_ref().map(|(reader, _)| *reader);
-        log_answer(watch.options.table, call, reader, watch.asked.elapsed(), &result);
+        log_answer(watch.options.table, call, reader, watch.sent_at.elapsed(), &result);
         let result = result.map(drop);
-        if watch.is_reader_lost(&result) {
-            // Another reader, or the store, is asked at once.
+        if watch.reader_failed(&result) {
+            // Another reader, or the store, is called at once.
             continue;
         }
         let outcome = result.as_ref().map_or_else(|error| error.code.name(), |()| "ok");
@@ -94,289 +101,312 @@
         let pause = match result {
             Ok(()) => {
                 failures = 0;
-                deliver(Seen::Heard { asked: watch.known.min(watch.asked), known: watch.known });
-                watch.note_kept();
+                deliver(TableEvent::Answered {
+                    sent_at: watch.known_until.min(watch.sent_at),
+                    known_until: watch.known_until,
+                });
+                watch.record_cached();
                 watch.pause(spacing)
             }
             Err(ref error) if is_history_gone(error) => {
-                let pause = watch.options.patience.pause_before_listing(failures);
+                let pause = watch.options.timeouts.pause_before_listing(failures);
                 failures = 0;
-                draw(pause)
+                random_pause(pause)
             }
             Err(_) => {
                 failures += 1;
-                draw(watch.options.patience.pause(failures))
+                random_pause(watch.options.timeouts.pause(failures))
             }
         };
-        if watch.note(result) {
-            deliver(Seen::Reached(watch.connected));
+        if watch.record_reachability(result) {
+            deliver(TableEvent::ReachabilityChanged(watch.connected));
         }
-        let pause = watch.due_in().map_or(pause, |left| pause.min(left));
+        let pause = watch.delayed_due_in().map_or(pause, |left| pause.min(left));
         Timer::after(pause).await;
         spacing = (spacing * 2).min(watch.options.spacing);
     }
 }
 
-/// Whether the store has answered, and what was read before is of a history that is gone.
+/// Whether the store answered that the history of the known revision is gone.
 fn is_history_gone(error: &Error) -> bool {
     error.code == Code::NotFound
 }
 
-/// A pause out of a range.
-fn draw(pause: Range<Duration>) -> Duration {
+/// Draws a random pause from a range.
+fn random_pause(pause: Range<Duration>) -> Duration {
     rand::rng().random_range(pause)
 }
 
-/// How many of the known runners one answer says are gone.
+/// How many of the known runners one answer removes.
 #[derive(Clone, Copy)]
-struct Lost {
+struct RemovalCount {
     gone: usize,
     known: usize,
 }
 
-struct Watch {
+struct TableWatch {
     options: WatchOptions,
-    /// The link to the store.
-    link: Link,
-    /// The reader that is asked instead, and the link to it.
-    reader: Option<(SocketAddr, Link)>,
-    yielding: Yielding,
-    /// When the task began.
+    /// The client of the store.
+    client: HttpClient,
+    /// The reader that is called instead of the store, and its client.
+    reader: Option<(SocketAddr, HttpClient)>,
+    link_yield: LinkYield,
+    /// When the task started.
     started: Instant,
-    /// Told that the store came back from an older copy, or is to be asked at once.
-    calls: Receiver<()>,
-    /// Where the feed goes on. `None` until the table has been listed, and where what was read is of a history that is
-    /// gone.
-    place: Option<StorePlace>,
-    /// The era of what was read last.
+    /// Receives a message when the store was restored from an older copy or is to be called at once.
+    wake_ups: Receiver<()>,
+    /// The position after which the feed continues. `None` until the table has been listed, and if the known
+    /// history is gone.
+    position: Option<StorePlace>,
+    /// The era of the last answer.
     era: Option<u64>,
-    /// Runners that the copy has again.
-    returns: Returns,
+    /// Runners that a restored copy contains again.
+    delayed_returns: DelayedReturns,
     /// The runners that are listed.
     runners: BTreeSet<InstanceId>,
     evacuated: EvacuatedHalls,
-    faults: ToldFaults,
+    logged_faults: LoggedFaults,
     connected: bool,
-    /// When the question was asked that was answered last, or is open.
-    asked: Instant,
-    /// How long the store was to wait for news then.
+    /// When the last call was sent.
+    sent_at: Instant,
+    /// How long the store was to wait for changes in that call.
     wait: Duration,
     freshness: Freshness,
-    /// Up to when everything is known that is in the table.
-    known: Instant,
+    /// Up to which time the content of the table is known.
+    known_until: Instant,
     /// When the store last answered.
-    heard: Option<Instant>,
-    lateness: Lateness,
+    answered_at: Option<Instant>,
+    catch_up: CatchUp,
     /// The newest version of each model that was read.
-    named: BTreeMap<ModelName, u64>,
-    /// Runners that have been missing since it was back.
-    lapses: Lapses,
+    newest_versions: BTreeMap<ModelName, u64>,
+    /// Runners that are missing since the store is back.
+    delayed_removals: DelayedRemovals,
 }
 
-impl Watch {
-    async fn list(&mut self, deliver: &mut impl FnMut(Seen)) -> Result<Told> {
-        self.asked = Instant::now();
+impl TableWatch {
+    async fn list(&mut self, deliver: &mut impl FnMut(TableEvent)) -> Result<AnswerSummary> {
+        self.sent_at = Instant::now();
         let (table, era) = (self.options.table, self.options.era.clone());
         let metrics = self.options.metrics.clone();
-        let listed = list(self.asked_link(), table, &era, &metrics, Haste::Urgent).await?;
-        let Listing { place, clock_ms, changes, faults, pages, age } = listed;
-        let told = self.told(age)?;
+        let listed = list(self.source_client(), table, &era, &metrics, Urgency::Urgent).await?;
+        let Listing { position, clock_ms, changes, faults, pages, age } = listed;
+        let reader_age = self.reader_age(age)?;
         match self.reader {
-            None => self.options.reading.keep_listing(table, &pages, place.era),
-            Some(_) => self.options.reading.forget(table),
+            None => self.options.readers.cache_listing(table, &pages, position.era),
+            Some(_) => self.options.readers.drop_table(table),
         }
         drop(pages);
-        let made = self.note_answer(None, clock_ms, told);
-        self.note_reading(place, clock_ms, made);
-        let went_back = self.note_era(place.era, deliver);
-        self.faults.tell_all(self.options.table, &self.options.metrics, &faults);
-        let answered = Told { rows: changes.len(), place };
+        let produced_at = self.record_answer_time(None, clock_ms, reader_age);
+        self.record_store_reading(position, clock_ms, produced_at);
+        let store_restored = self.record_era(position.era, deliver);
+        self.logged_faults.log_listing(self.options.table, &self.options.metrics, &faults);
+        let summary = AnswerSummary { rows: changes.len(), position };
         let listed: BTreeSet<InstanceId> = changes.iter().filter_map(listed_runner).collect();
         let gone: Vec<InstanceId> = self.runners.difference(&listed).cloned().collect();
-        let lost = Lost { gone: gone.len(), known: self.runners.len() };
+        let removals = RemovalCount { gone: gone.len(), known: self.runners.len() };
         for id in gone {
-            self.pass_on(Change::RunnerGone(id), told, lost, deliver);
+            self.deliver_change(Change::RunnerGone(id), reader_age, removals, deliver);
         }
         if self.options.table == Table::Operator {
-            let evacuated = self.evacuated.take_listing(Instant::now(), place, &changes);
-            deliver(Seen::Evacuations(evacuated));
+            let evacuated = self.evacuated.apply_listing(Instant::now(), position, &changes);
+            deliver(TableEvent::Evacuations(evacuated));
         }
-        self.lateness.take_listing(self.was_silent());
+        self.catch_up.record_listing(self.was_silent());
         for change in changes {
-            if !(went_back && self.returns.hold(Instant::now(), &change)) {
-                self.pass_on(change, told, lost, deliver);
+            if !(store_restored && self.delayed_returns.delay(Instant::now(), &change)) {
+                self.deliver_change(change, reader_age, removals, deliver);
             }
         }
-        self.heard = Some(Instant::now());
-        self.place = Some(place);
-        if place.era == self.options.era.current() {
-            // The rise that this listing shows need not be told of again.
-            let _ = self.calls.try_recv();
+        self.answered_at = Some(Instant::now());
+        self.position = Some(position);
+        if position.era == self.options.era.current() {
+            // This listing already covers the increase of the era that a pending message announces.
+            let _ = self.wake_ups.try_recv();
         }
-        deliver(Seen::Whole);
-        Ok(answered)
+        deliver(TableEvent::Complete);
+        Ok(summary)
     }
 
-    /// Takes in the era of a listing, and tells whether the store came back from an older copy since the one before.
-    fn note_era(&mut self, era: Option<u64>, deliver: &mut impl FnMut(Seen)) -> bool {
+    /// Records the era of a listing. Returns whether the store was restored from an older copy since the
+    /// previous one.
+    fn record_era(&mut self, era: Option<u64>, deliver: &mut impl FnMut(TableEvent)) -> bool {
         let before = std::mem::replace(&mut self.era, era);
-        let went_back = before.is_some() && era > before;
-        if went_back {
-            // Entries that the copy lacks are written again, as after an outage, however few they are.
-            self.lapses.note_copy(Instant::now());
-            self.lateness.note_gap();
-            self.yielding.forget();
-            deliver(Seen::WentBack);
+        let store_restored = before.is_some() && era > before;
+        if store_restored {
+            // Rows that the copy lacks are written again, as after an outage, however few they are.
+            self.delayed_removals.record_store_restore(Instant::now());
+            self.catch_up.record_gap();
+            self.link_yield.reset();
+            deliver(TableEvent::StoreRestored);
         }
-        went_back
+        store_restored
     }
 
-    /// How long until something is due that was held back.
-    fn due_in(&self) -> Option<Duration> {
+    /// The time until the next delayed change is due.
+    fn delayed_due_in(&self) -> Option<Duration> {
         let now = Instant::now();
-        self.lapses.left(now).into_iter().chain(self.returns.left(now)).min()
+        self.delayed_removals
+            .time_left(now)
+            .into_iter()
+            .chain(self.delayed_returns.time_left(now))
+            .min()
     }
 
-    async fn feed(&mut self, place: StorePlace, deliver: &mut impl FnMut(Seen)) -> Result<Told> {
-        let patience = self.options.patience;
+    async fn feed(
+        &mut self,
+        position: StorePlace,
+        deliver: &mut impl FnMut(TableEvent),
+    ) -> Result<AnswerSummary> {
+        let timeouts = self.options.timeouts;
         let wait = self.feed_wait();
-        let wait = self.due_in().map_or(wait, |left| wait.min(left));
-        let answer = match self.ask(place, wait).await {
+        let wait = self.delayed_due_in().map_or(wait, |left| wait.min(left));
+        let answer = match self.request_changes(position, wait).await {
             Some(answer) => answer?,
-            None if self.options.era.current() != place.era => {
-                // Another call of this process has found that the history is another one.
-                return Err(self.begin_again("the store came back from an older copy"));
+            None if self.options.era.current() != position.era => {
+                // Another call of this process has detected that the history has changed.
+                return Err(self.reset_position("the store came back from an older copy"));
             }
             None => {
-                let at_once = self.ask(place, patience.feed_wait(false)).await;
-                let called = || Error::new(Code::TimedOut, "the feed was given up");
-                at_once.ok_or_else(called)??
+                let immediate = self.request_changes(position, timeouts.feed_wait(false)).await;
+                let interrupted = || Error::new(Code::TimedOut, "the feed call was interrupted");
+                immediate.ok_or_else(interrupted)??
             }
         };
         if store::is_history_gone(answer.status) {
-            return Err(self.begin_again("the store forgot its history"));
+            return Err(
+                self.reset_position("the store no longer has the history after the known revision")
+            );
         }
-        let era = self.options.era.note(&answer.headers)?;
-        if era != place.era {
-            // The page tells of a history with a gap behind what was read before.
-            return Err(self.begin_again("the store came back from an older copy"));
+        let era = self.options.era.record(&answer.headers)?;
+        if era != position.era {
+            // The page continues a history that has a gap after what was read before.
+            return Err(self.reset_position("the store came back from an older copy"));
         }
         let age = read_age(&answer.headers);
         let body = answer.success()?;
-        let told = self.told(age?)?;
+        let reader_age = self.reader_age(age?)?;
         let page: Page = store::read(self.options.table, &body)?;
         if self.reader.is_none() {
             let name = call_name(self.options.table);
             self.options.metrics.count_store_bytes(name, "feed", body.len() as u64);
-            self.yielding.take(self.started.elapsed(), page.clock_ms, body.len());
+            self.link_yield.record_answer(self.started.elapsed(), page.clock_ms, body.len());
         }
-        let before = self.known;
+        let before = self.known_until;
         let waited_for = Some(self.wait).filter(|_| page.rows == 0);
-        let made = self.note_answer(waited_for, page.clock_ms, told);
+        let produced_at = self.record_answer_time(waited_for, page.clock_ms, reader_age);
         let read = StorePlace { era, revision: page.revision };
         if page.is_newest {
-            self.note_reading(read, page.clock_ms, made);
+            self.record_store_reading(read, page.clock_ms, produced_at);
         }
-        self.faults.tell(self.options.table, &self.options.metrics, &page.faults);
+        self.logged_faults.log_new(self.options.table, &self.options.metrics, &page.faults);
         let was_silent = self.was_silent();
-        let late = self.lateness.take_feed(was_silent, page.changes.is_empty());
+        let late = self.catch_up.record_feed(was_silent, page.changes.is_empty());
         let now = Instant::now();
-        let answered = Told { rows: page.rows, place: read };
-        let evacuated = self.evacuated.take_feed(now, read, &page.changes, late);
-        evacuated.into_iter().for_each(|list| deliver(Seen::Evacuations(list)));
+        let summary = AnswerSummary { rows: page.rows, position: read };
+        let evacuated = self.evacuated.apply_feed(now, read, &page.changes, late);
+        evacuated.into_iter().for_each(|list| deliver(TableEvent::Evacuations(list)));
         let is_gone = |change: &&Change| matches!(change, Change::RunnerGone(_));
         let gone = page.changes.iter().filter(is_gone).count();
-        let lost = Lost { gone, known: self.runners.len() };
+        let removals = RemovalCount { gone, known: self.runners.len() };
         if self.reader.is_none() {
-            // What the page tells of happened behind the answer that did not hold it.
+            // The changes of the page happened after the previous answer, which did not contain them.
             let age = (!late).then(|| before.elapsed());
-            self.options.reading.keep_changes(self.options.table, &body, age);
+            self.options.readers.cache_changes(self.options.table, &body, age);
         }
-        page.changes.into_iter().for_each(|change| self.pass_on(change, told, lost, deliver));
-        self.heard = Some(Instant::now());
-        self.place = Some(read.max(place));
-        Ok(answered)
+        page.changes
+            .into_iter()
+            .for_each(|change| self.deliver_change(change, reader_age, removals, deliver));
+        self.answered_at = Some(Instant::now());
+        self.position = Some(read.max(position));
+        Ok(summary)
     }
 
-    /// Asks for the changes behind a place. `None` where it is to be asked anew first.
-    async fn ask(&mut self, place: StorePlace, wait: Duration) -> Option<Result<CallAnswer>> {
-        let call = store::feed(self.options.table, place.revision, wait.as_millis() as u64);
-        let begin = match self.reader {
-            Some(_) => self.options.reading.feed_begin(wait),
-            None => self.options.patience.feed_begin(wait),
+    /// Requests the changes after a position. `None` if the call was interrupted because it has to be made
+    /// again.
+    async fn request_changes(
+        &mut self,
+        position: StorePlace,
+        wait: Duration,
+    ) -> Option<Result<CallAnswer>> {
+        let call = store::feed(self.options.table, position.revision, wait.as_millis() as u64);
+        let start_timeout = match self.reader {
+            Some(_) => self.options.readers.feed_start_timeout(wait),
+            None => self.options.timeouts.feed_start_timeout(wait),
         };
-        (self.asked, self.wait) = (Instant::now(), wait);
-        let calls = self.calls.clone();
-        let answer = self.asked_link().call_patiently(call, begin, PIECE_PAUSE);
+        (self.sent_at, self.wait) = (Instant::now(), wait);
+        let wake_ups = self.wake_ups.clone();
+        let answer =
+            self.source_client().call_with_pause_limit(call, start_timeout, MAX_ANSWER_PAUSE);
         future::or(async { Some(answer.await) }, async {
-            let _ = calls.recv().await;
+            let _ = wake_ups.recv().await;
             None
         })
         .await
     }
 
-    /// What was read is of a history that is gone: the table is listed next.
-    fn begin_again(&mut self, reason: &str) -> Error {
-        self.place = None;
-        // Whatever this task was told of a rise, the listing will show.
-        let _ = self.calls.try_recv();
+    /// Discards the known position, whose history is gone, so that the table is listed next.
+    fn reset_position(&mut self, reason: &str) -> Error {
+        self.position = None;
+        // The listing covers any pending message about an increase of the era.
+        let _ = self.wake_ups.try_recv();
         Error::new(Code::NotFound, reason.to_owned())
     }
 
-    /// Whether the store has not answered for longer than usual. One that fails is not silent because nothing
-    /// changes.
+    /// Whether the store has not answered for longer than usual. A store whose calls fail is not silent for
+    /// lack of changes.
     fn was_silent(&self) -> bool {
-        let usual = self.options.patience.feed_wait(self.connected) + self.options.spacing;
-        self.heard.is_none_or(|it| it.elapsed() > usual + LATE_AFTER)
+        let usual = self.options.timeouts.feed_wait(self.connected) + self.options.spacing;
+        self.answered_at.is_none_or(|it| it.elapsed() > usual + SILENCE_MARGIN)
     }
 
-    /// Notes that the store answered, and how long it waited where it had no news. Gives a moment before which the answer
-    /// was not made.
-    fn note_answer(
+    /// Records that the store answered, and how long it waited if it had no changes. Returns a time before
+    /// which the answer was not produced.
+    fn record_answer_time(
         &mut self,
         waited: Option<Duration>,
         clock_ms: Option<u64>,
-        told: Option<ToldAge>,
+        reader_age: Option<ReportedAge>,
     ) -> Instant {
-        let arrived = Instant::now();
-        let told = told.map(|it| (it.held, it.known));
-        let answer = Arrival { asked: self.asked, arrived, waited, clock_ms, told };
-        let made = self.freshness.take(&answer);
-        self.known = made.max(self.known);
+        let arrived_at = Instant::now();
+        let by_reader = reader_age.map(|it| (it.held, it.known));
+        let answer =
+            AnswerTiming { sent_at: self.sent_at, arrived_at, waited, clock_ms, by_reader };
+        let produced_at = self.freshness.record(&answer);
+        self.known_until = produced_at.max(self.known_until);
         if !self.connected {
-            self.lapses.note_return(Instant::now());
+            self.delayed_removals.record_store_return(Instant::now());
         }
-        made
+        produced_at
     }
 
-    /// Hands a change on, unless it is to be believed later only.
-    fn pass_on(
+    /// Delivers a change, unless it is delayed.
+    fn deliver_change(
         &mut self,
         change: Change,
-        told: Option<ToldAge>,
-        lost: Lost,
-        deliver: &mut impl FnMut(Seen),
+        reader_age: Option<ReportedAge>,
+        removals: RemovalCount,
+        deliver: &mut impl FnMut(TableEvent),
     ) {
         match &change {
             Change::Runner(record) => {
                 self.runners.insert(record.id.clone());
-                self.lapses.note_listed(&record.id);
-                self.returns.note_listed(&record.id);
+                self.delayed_removals.record_listed(&record.id);
+                self.delayed_returns.record_listed(&record.id);
             }
             Change::RunnerGone(id) => {
                 if self.runners.remove(id) {
-                    self.returns.note_gone(Instant::now(), id);
+                    self.delayed_returns.record_removed(Instant::now(), id);
                 }
-                if self.lapses.hold(Instant::now(), id, lost.gone, lost.known) {
+                if self.delayed_removals.delay(Instant::now(), id, removals.gone, removals.known) {
                     log::info!(runner = id.0.as_str(); "runner missing since the store is back");
                     return;
                 }
             }
             Change::RunnerUnreadable(id) => {
-                // Whatever the entry was before, another writer has put this in its place.
+                // Another writer has replaced the earlier row.
                 if self.runners.remove(id) {
                     let change = Change::RunnerGone(id.clone());
-                    deliver(Seen::Change { change, dated: Dated::default() });
+                    deliver(TableEvent::Change { change, date: ChangeDate::default() });
                 }
                 return;
             }
@@ -385,12 +415,12 @@
             | Change::Evacuated(_)
             | Change::Reopened(_) => {}
         }
-        let dated = self.date(&change, told);
-        deliver(Seen::Change { change, dated });
+        let date = self.date_change(&change, reader_age);
+        deliver(TableEvent::Change { change, date });
     }
 
-    /// Logs when the store is lost and when it is back, and tells whether either happened.
-    fn note(&mut self, result: Result<()>) -> bool {
+    /// Logs that the store is lost or back. Returns whether either happened.
+    fn record_reachability(&mut self, result: Result<()>) -> bool {
         let table = format!("{:?}", self.options.table);
         match result {
             Ok(()) if !self.connected => log::info!(table = table.as_str(); "store regained"),
--- a/components/edge/src/watch/options.rs
+++ b/components/edge/src/watch/options.rs
@@ -1,4 +1,4 @@
-//! How a table is followed, and what is told of it.
+//! Options and events of a followed table.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,70 +11,73 @@
 use uptime::Instant;
 
 use crate::era::Era;
-use crate::gateway::Reading;
-use crate::patience::Patience;
+use crate::gateway::HallReaders;
 use crate::store_time::StoreTime;
+use crate::store_timeouts::StoreTimeouts;
 
 /// How a table is followed.
 #[derive(Clone)]
 pub struct WatchOptions {
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
     /// The table.
     pub table: Table,
-    /// How long calls may take and how far apart they are.
-    pub patience: Patience,
-    /// The shortest time between the first two feeds or listings. It doubles with each, so that a process
-    /// that starts with others soon knows them all.
+    /// The timeouts and pauses of calls.
+    pub timeouts: StoreTimeouts,
+    /// The shortest time between the first two feed calls or listings. It doubles with each, so that a
+    /// process that starts together with others soon knows all of them.
     pub first_spacing: Duration,
-    /// The shortest time between two feeds or listings later on.
+    /// The shortest time between two later feed calls or listings.
     pub spacing: Duration,
-    /// The longest rest after a large answer that waited behind others. Zero where the table yields to nothing.
-    pub longest_rest: Duration,
-    /// Counts the calls.
+    /// The longest pause after a large answer that was queued behind others. Zero if the table does not yield
+    /// the link.
+    pub max_yield_pause: Duration,
+    /// The metrics that count the calls.
     pub metrics: Rc<Metrics>,
     /// The store's era.
     pub era: Rc<Era>,
-    /// Who reads the store for this hall.
-    pub reading: Reading,
-    /// What answers told of the store's history, for every table of this process.
+    /// The readers of the store in this hall.
+    pub readers: HallReaders,
+    /// Readings of the store's clock and revisions, shared by all tables of this process.
     pub time: Rc<RefCell<StoreTime>>,
-    /// Whether this process asks often, so that a change can be dated closely.
-    pub dates_closely: Rc<dyn Fn() -> bool>,
+    /// Whether this process polls often, so that changes can be dated closely.
+    pub dates_precisely: Rc<dyn Fn() -> bool>,
 }
 
-/// When a change happened, as far as that is known.
+/// When a change happened, as far as it is known.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Dated {
-    /// How long ago at most. `None` where nobody knows: the store was not heard before.
+pub struct ChangeDate {
+    /// The greatest possible age. `None` if it is unknown because there was no earlier answer of the store.
     pub age: Option<Duration>,
-    /// What the store's clock showed, in milliseconds, when it had not happened, where the age is by that.
+    /// The store's clock when the change had not happened yet, in milliseconds, if the age was derived from
+    /// it.
     pub after_ms: Option<u64>,
 }
 
-/// What a watch tells of.
+/// An event of a followed table.
 #[derive(Debug)]
-pub enum Seen {
-    /// Something changed.
+pub enum TableEvent {
+    /// A change of the table.
     Change {
-        /// What.
+        /// The change.
         change: Change,
         /// When it happened, if it is a version of weights.
-        dated: Dated,
+        date: ChangeDate,
     },
-    /// These data halls are evacuated.
+    /// The evacuated data halls.
     Evacuations(EvacuationList),
-    /// The table has been read whole at least once.
-    Whole,
-    /// The store answered: nothing else was in the table than what was told.
-    Heard {
-        /// When the question was asked.
-        asked: Instant,
-        /// Up to when that is certain.
-        known: Instant,
+    /// The table has been read completely at least once.
+    Complete,
+    /// The store answered, and all changes in its answer have been delivered.
+    Answered {
+        /// When the call was sent.
+        sent_at: Instant,
+        /// Up to which time the content of the table is known.
+        known_until: Instant,
     },
-    /// The store answers again, or does not any more.
-    Reached(bool),
-    /// The store came back from an older copy: what was written since is gone. What is told next is of that copy.
-    WentBack,
+    /// The store became reachable (`true`) or unreachable.
+    ReachabilityChanged(bool),
+    /// The store was restored from an older copy, and what was written since is lost. The following changes
+    /// are from that copy.
+    StoreRestored,
 }
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -1,34 +1,34 @@
-//! Whom a table is followed at: the store, or a reader of the own hall.
+//! Selects where a table is followed: at the store, or at a reader of the same hall.
 
 use std::time::Duration;
 
 use errors::{Code, Error, Result};
 use gateway::readers::Source;
 
-use super::{is_history_gone, Watch};
-use crate::gateway::ToldAge;
-use crate::link::Link;
+use super::{is_history_gone, TableWatch};
+use crate::gateway::ReportedAge;
+use crate::http_client::HttpClient;
 use crate::listing::call_name;
 
-/// How long a feed waits where changes are to be dated closely.
-const CLOSE_WAIT: Duration = Duration::from_millis(200);
+/// How long a feed call waits if changes are to be dated closely.
+const PRECISE_DATING_WAIT: Duration = Duration::from_millis(200);
 
-impl Watch {
-    /// Chooses whom to ask next, and tells whether somebody is to be asked. A gateway that has to tell others what it has not
-    /// read itself lists it.
-    pub(super) fn choose_source(&mut self) -> bool {
-        let reading = &self.options.reading;
-        match reading.source() {
+impl TableWatch {
+    /// Selects where to send the next call. Returns whether there is somewhere to send it. A gateway that has
+    /// to serve a table to others that it has not read itself lists it.
+    pub(super) fn select_source(&mut self) -> bool {
+        let readers = &self.options.readers;
+        match readers.source() {
             Source::Store => {
                 self.reader = None;
-                if reading.is_reader() && !reading.keeps(self.options.table) {
-                    self.place = None;
+                if readers.is_reader() && !readers.caches(self.options.table) {
+                    self.position = None;
                 }
             }
             Source::Reader(reader) => {
-                reading.forget(self.options.table);
+                readers.drop_table(self.options.table);
                 if self.reader.as_ref().is_none_or(|(known, _)| *known != reader) {
-                    self.reader = Some((reader, Link::new(reader)));
+                    self.reader = Some((reader, HttpClient::new(reader)));
                 }
             }
             Source::Nobody => return false,
@@ -36,9 +36,9 @@
         true
     }
 
-    /// The link to whom is asked.
-    pub(super) fn asked_link(&mut self) -> &mut Link {
-        self.reader.as_mut().map_or(&mut self.link, |(_, link)| link)
+    /// The client of the selected source.
+    pub(super) fn source_client(&mut self) -> &mut HttpClient {
+        self.reader.as_mut().map_or(&mut self.client, |(_, client)| client)
     }
 
     /// The name of calls in the metrics.
@@ -50,59 +50,62 @@
         }
     }
 
-    /// Notes what became of a question to a reader, and tells whether it gave no answer.
-    pub(super) fn is_reader_lost(&mut self, result: &Result<()>) -> bool {
+    /// Records the outcome of a call to a reader. Returns whether the reader gave no answer.
+    pub(super) fn reader_failed(&mut self, result: &Result<()>) -> bool {
         let Some((reader, _)) = self.reader else {
             return false;
         };
         match result {
             Err(error) if !is_history_gone(error) => {
-                self.options.reading.note_silent(reader, error, self.asked.elapsed());
+                self.options.readers.record_failure(reader, error, self.sent_at.elapsed());
                 true
             }
             _ => {
-                self.options.reading.note_heard(reader);
+                self.options.readers.record_success(reader);
                 false
             }
         }
     }
 
-    /// What is kept to be told on is known up to now.
-    pub(super) fn note_kept(&self) {
-        if let (None, Some(place)) = (&self.reader, self.place) {
-            self.options.reading.note_known(self.options.table, self.known, place);
+    /// Records up to which time the cached table is complete.
+    pub(super) fn record_cached(&self) {
+        if let (None, Some(position)) = (&self.reader, self.position) {
+            self.options.readers.record_known(self.options.table, self.known_until, position);
         }
     }
 
-    /// How long to rest before the next question. A reader of the own hall is asked at once again.
+    /// How long to pause before the next call. A reader of the same hall is called again after the shortest
+    /// pause.
     pub(super) fn pause(&self, spacing: Duration) -> Duration {
         if self.reader.is_some() {
             return self.options.first_spacing;
         }
-        spacing.max(self.yielding.rest())
+        spacing.max(self.link_yield.pause())
     }
 
-    /// How long the next feed waits.
+    /// How long the next feed call waits.
     pub(super) fn feed_wait(&self) -> Duration {
-        let (patience, reading) = (self.options.patience, &self.options.reading);
+        let (timeouts, readers) = (self.options.timeouts, &self.options.readers);
         if self.reader.is_some() {
-            return reading.feed_wait();
+            return readers.feed_wait();
         }
-        let wait = patience.feed_wait(self.connected);
-        if (self.options.dates_closely)() {
-            wait.min(CLOSE_WAIT)
-        } else if reading.is_reader() {
-            wait.min(reading.feed_wait())
+        let wait = timeouts.feed_wait(self.connected);
+        if (self.options.dates_precisely)() {
+            wait.min(PRECISE_DATING_WAIT)
+        } else if readers.is_reader() {
+            wait.min(readers.feed_wait())
         } else {
             wait
         }
     }
 
-    /// How old a reader says that its answer is. The store says nothing of that.
-    pub(super) fn told(&self, age: Option<ToldAge>) -> Result<Option<ToldAge>> {
+    /// The age that a reader reports for its answer. The store reports none.
+    pub(super) fn reader_age(&self, age: Option<ReportedAge>) -> Result<Option<ReportedAge>> {
         match self.reader {
             None => Ok(None),
-            Some(_) if age.is_none() => Err(Error::new(Code::BadFrame, "a reader tells no age")),
+            Some(_) if age.is_none() => {
+                Err(Error::new(Code::BadFrame, "the answer of a reader has no age headers"))
+            }
             Some(_) => Ok(age),
         }
     }
