--- a/components/fleet/src/ablation.rs
+++ b/components/fleet/src/ablation.rs
@@ -1,52 +1,54 @@
-//! Mechanisms that can be switched off one by one, to measure what each is worth.
+//! Mechanisms that can be disabled one by one to measure the effect of each.
 
 use std::collections::BTreeSet;
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism that decides about requests or weights. What is measured without it stands in
-/// `docs/POLICY.md`.
+/// A mechanism that decides about requests or weights. `docs/POLICY.md` has the results measured with each
+/// one disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// A gateway asks a sidecar for a place before it sends a request to the runner.
+    /// A gateway reserves a slot at the sidecar before it sends a request to the runner.
     Reservations,
-    /// Such a question waits at the sidecar for a place.
+    /// A reservation request may wait in the sidecar's queue until a slot is free.
     QueuedReservations,
-    /// A request waits at its gateway for a place for a part of its aim.
+    /// A request waits in its gateway's queue for a slot for a fraction of its latency target.
     Waiting,
-    /// A request that may have run waits longer for another runner than one that has not.
+    /// A request that may have run already waits longer for another runner than one that has not run.
     ResumeWait,
-    /// A part of the retry budget is left unused.
+    /// A part of the retry budget is kept in reserve.
     BudgetReserve,
-    /// A runner that failed is left alone for a while.
+    /// A runner that failed receives no requests for a while.
     Suspicion,
-    /// Runners of other data halls count as fuller.
+    /// Runners in other data halls are rated as more loaded.
     HallPenalty,
-    /// A runner gets no more prompts than it reads.
+    /// A runner receives prompts no faster than it can process them.
     ReadingCredit,
-    /// The machine of the last order sends nothing to a runner with an older version.
+    /// The machine that sent the latest load order sends no requests to a runner with an older version.
     LastOrder,
-    /// Sidecars whose runners serve a version keep a share of its chunks for others.
+    /// Sidecars whose runners serve a version keep a share of its chunks for other sidecars.
     KeptShares,
-    /// A version that has come far is finished although a newer one was named.
+    /// A version whose distribution is far advanced is completed although a newer one was announced.
     FinishedVersions,
-    /// Runners are moved to a version one after the other.
+    /// Runners switch to a version one after the other.
     Turns,
-    /// Questions and queued requests are ordered by rank.
+    /// Reservation requests and queued requests are ordered by rank.
     Ranks,
-    /// Callers are told when to come back by what is known of the shortage.
+    /// The retry delay sent to callers is derived from what is known of the shortage.
     ReturnEstimate,
-    /// Few receivers of a data hall draw a chunk from another one.
+    /// Only a few receivers in a data hall fetch a chunk from another hall.
     HallGates,
-    /// Processes tell each other how long ago a version was named.
+    /// Processes report to each other how long ago a version was announced.
     VersionAges,
-    /// Runners whose answers began late are chosen less.
+    /// Runners with slow first responses are selected less often.
     SlowStarts,
-    /// Requests that may go anywhere leave tight homes to those that may not.
+    /// Requests without home regions avoid short-staffed home regions, for requests that can be served only
+    /// there.
     HomeRoom,
-    /// A data hall that is evacuated is left over a part of the time that this may take.
+    /// Traffic moves out of an evacuated data hall gradually, over a part of the time allowed for the
+    /// evacuation.
     EvenLeaving,
-    /// Where places are short, first tries of callers go before later ones.
+    /// While slots are scarce, first attempts of callers take precedence over repeated attempts.
     FirstTries,
 }
 
@@ -75,7 +77,7 @@
         Self::FirstTries,
     ];
 
-    /// The name in settings.
+    /// The name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Reservations => "reservations",
@@ -102,28 +104,28 @@
     }
 }
 
-/// The mechanisms that are switched off. None are unless a measurement asks for it.
+/// The set of disabled mechanisms; empty except during a measurement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ablation(BTreeSet<Mechanism>);
 
 impl Ablation {
-    /// Without these mechanisms.
+    /// Disables the given mechanisms.
     pub fn without(mechanisms: impl IntoIterator<Item = Mechanism>) -> Self {
         Self(mechanisms.into_iter().collect())
     }
 
-    /// Whether a mechanism is at work.
+    /// Returns whether a mechanism is enabled.
     pub fn keeps(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
 
-    /// Whether every mechanism is at work.
+    /// Returns whether every mechanism is enabled.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// A name that is no mechanism's.
+/// The error for a name that matches no mechanism.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownMechanism(String);
 
@@ -136,7 +138,7 @@
 impl FromStr for Ablation {
     type Err = UnknownMechanism;
 
-    /// Reads names split by commas; an empty text switches nothing off.
+    /// Parses a comma-separated list of names; an empty string disables nothing.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let names = text.split(',').map(str::trim).filter(|it| !it.is_empty());
         let mechanism = |name: &str| {
--- a/components/fleet/src/bitmap/tests.rs
+++ b/components/fleet/src/bitmap/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `bitmap`.
+//! Unit tests for `bitmap`.
 
 use super::*;
 
--- a/components/fleet/src/bucket.rs
+++ b/components/fleet/src/bucket.rs
@@ -1,53 +1,53 @@
-//! A bucket of what may be used at a rate.
+//! A token bucket.
 
 use crate::Millis;
 
-/// Fills at a rate up to a bound, and starts empty.
+/// A token bucket that refills at a constant rate up to a capacity. It starts empty.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bucket {
     per_s: f64,
-    most: f64,
-    held: f64,
-    at: Millis,
+    capacity: f64,
+    tokens: f64,
+    updated_at: Millis,
 }
 
 impl Bucket {
-    /// Empties it: what was saved up does not count any more.
+    /// Discards all tokens.
     pub fn empty(&mut self, now: Millis) {
-        (self.held, self.at) = (0.0, now);
+        (self.tokens, self.updated_at) = (0.0, now);
     }
 
-    /// Sets how fast it fills, in units a second, and the most that it holds.
-    pub fn set(&mut self, now: Millis, per_s: f64, most: f64) {
-        (self.held, self.at) = (self.held(now).min(most), now);
-        (self.per_s, self.most) = (per_s.max(0.0), most);
+    /// Sets the refill rate in tokens per second, and the capacity.
+    pub fn set(&mut self, now: Millis, per_s: f64, capacity: f64) {
+        (self.tokens, self.updated_at) = (self.tokens(now).min(capacity), now);
+        (self.per_s, self.capacity) = (per_s.max(0.0), capacity);
     }
 
-    /// Whether it holds a unit.
+    /// Returns whether a token is available.
     pub fn has_one(&self, now: Millis) -> bool {
-        self.held(now) >= 1.0
+        self.tokens(now) >= 1.0
     }
 
-    /// Takes a unit, if it holds one.
+    /// Takes a token if one is available, and returns whether it did.
     pub fn take(&mut self, now: Millis) -> bool {
-        let held = self.held(now);
-        if held < 1.0 {
+        let tokens = self.tokens(now);
+        if tokens < 1.0 {
             return false;
         }
-        (self.held, self.at) = (held - 1.0, now);
+        (self.tokens, self.updated_at) = (tokens - 1.0, now);
         true
     }
 
-    /// In how many milliseconds it holds a unit. `None` if it never does.
+    /// Time until a token is available, in milliseconds. `None` if the rate is zero.
     pub fn ready_in_ms(&self, now: Millis) -> Option<u64> {
-        let missing = 1.0 - self.held(now);
+        let missing = 1.0 - self.tokens(now);
         if missing <= 0.0 {
             return Some(0);
         }
         (self.per_s > 0.0).then(|| (missing * 1000.0 / self.per_s).ceil() as u64)
     }
 
-    /// How many milliseconds so many units take. `None` if they never come.
+    /// Time to refill `units` tokens, in milliseconds. `None` if the rate is zero.
     pub fn refill_ms(&self, units: usize) -> Option<u64> {
         if units == 0 {
             return Some(0);
@@ -55,8 +55,8 @@
         (self.per_s > 0.0).then(|| (units as f64 * 1000.0 / self.per_s).ceil() as u64)
     }
 
-    fn held(&self, now: Millis) -> f64 {
-        let gained = now.since(self.at).0 as f64 * self.per_s / 1000.0;
-        (self.held + gained).min(self.most)
+    fn tokens(&self, now: Millis) -> f64 {
+        let gained = now.since(self.updated_at).0 as f64 * self.per_s / 1000.0;
+        (self.tokens + gained).min(self.capacity)
     }
 }
--- a/components/fleet/src/configuration.rs
+++ b/components/fleet/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The state that operators want, in numbered revisions.
+//! The desired state of the fleet, in numbered revisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,59 +6,60 @@
 
 use crate::{Hall, InstanceId, ModelName, PlanId, Revision, VersionId};
 
-/// How many past changes a configuration remembers, so that a lost answer can be settled.
-const RECENT_CHANGES: usize = 64;
+/// Number of recent changes kept in a configuration. They show whether a change was applied when the reply to
+/// it was lost.
+const MAX_RECENT_CHANGES: usize = 64;
 
-/// What a replica of a model does.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Answers requests whole.
+    /// Processes whole requests.
     #[default]
     Serve,
-    /// Computes prompts and exports their KV cache.
+    /// Processes prompts and exports their KV cache.
     Prefill,
-    /// Imports KV cache and generates tokens.
+    /// Imports a KV cache and generates tokens.
     Decode,
 }
 
-/// What an instance does in a deployment, and where it stands. The hall is kept here so that every
-/// receiver of a spread derives the same from the configuration, whatever it has heard of others.
+/// The role of an instance in a deployment, and its location. The hall is stored here so that all receivers
+/// of a distribution derive the same result from the configuration, independent of their view of the members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// What the replica does.
+    /// The role of the replica.
     pub role: Role,
     /// The instance's hall.
     pub hall: Hall,
 }
 
-/// A version together with what planners need to know of it.
+/// A version with the data that planners need.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The digest of the manifest.
     pub version: VersionId,
     /// The label in the manifest.
     pub label: String,
-    /// The length of the weights in bytes.
+    /// The size of the weights in bytes.
     pub bytes: u64,
 }
 
 /// A model or adapter and the instances that should run it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Deployment {
-    /// The name callers use.
+    /// The name in requests.
     pub model: ModelName,
-    /// What should run.
+    /// The release to run.
     pub release: Release,
-    /// What ran before, for a rollback.
+    /// The release that ran before, for a rollback.
     pub previous: Option<Release>,
-    /// The revision that made this assignment; orders to engines carry it as their fence.
+    /// The revision that made this assignment. Orders to engines carry it as a fencing token.
     pub epoch: Revision,
-    /// The model that an adapter belongs to.
+    /// The base model of an adapter.
     pub adapter_of: Option<ModelName>,
-    /// Spreads of a higher priority draw first.
+    /// Distributions with a higher priority fetch their chunks first.
     pub priority: u8,
-    /// Which instances should run it and as what.
+    /// The instances that should run the model, and their roles.
     pub placements: BTreeMap<InstanceId, Placement>,
 }
 
@@ -68,38 +69,38 @@
 pub enum Change {
     /// Adds a deployment or replaces the one of the same name.
     Deploy(Deployment),
-    /// Takes a deployment away.
+    /// Removes a deployment.
     Remove(ModelName),
     /// Marks an instance as leaving.
     Leave(InstanceId),
-    /// Takes the mark away.
+    /// Removes the mark from a leaving instance.
     Return(InstanceId),
 }
 
-/// Which plan made which revision.
+/// Records which plan created which revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
     /// The plan that was confirmed.
     pub plan: PlanId,
-    /// The revision it made.
+    /// The revision that it created.
     pub revision: Revision,
 }
 
-/// The wanted state of the fleet at one revision.
+/// The desired state of the fleet at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The number of this configuration.
+    /// The revision of this configuration.
     pub revision: Revision,
-    /// Every deployment by name.
+    /// All deployments by model name.
     pub deployments: BTreeMap<ModelName, Deployment>,
-    /// Instances that operators told to leave.
+    /// Instances marked as leaving by an operator.
     pub leaving: BTreeSet<InstanceId>,
-    /// The latest changes, oldest first.
+    /// The most recent changes, oldest first.
     pub recent: Vec<ChangeRecord>,
 }
 
 impl Configuration {
-    /// The configuration that follows when a plan's change is accepted.
+    /// Returns the configuration that results from a plan's change.
     pub fn apply(&self, plan: &PlanId, change: &Change) -> Configuration {
         let mut next = self.clone();
         next.revision = Revision(self.revision.0 + 1);
@@ -120,12 +121,12 @@
             }
         }
         next.recent.push(ChangeRecord { plan: plan.clone(), revision: next.revision });
-        let surplus = next.recent.len().saturating_sub(RECENT_CHANGES);
+        let surplus = next.recent.len().saturating_sub(MAX_RECENT_CHANGES);
         next.recent.drain(..surplus);
         next
     }
 
-    /// The revision that a plan made, if it was accepted lately.
+    /// The revision that a plan created, if the change is among the recent ones.
     pub fn revision_of(&self, plan: &PlanId) -> Option<Revision> {
         self.recent.iter().find(|record| &record.plan == plan).map(|record| record.revision)
     }
--- a/components/fleet/src/configuration/tests.rs
+++ b/components/fleet/src/configuration/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `configuration`.
+//! Unit tests for `configuration`.
 
 use super::*;
 
 #[test]
-fn can_find_the_revision_of_a_recent_plan_and_forgets_old_ones() {
+fn finds_the_revisions_of_recent_plans_only() {
     let mut configuration = Configuration::default();
     for number in 0..100 {
         let plan = PlanId(format!("p{number}"));
@@ -12,5 +12,5 @@
     assert_eq!(configuration.revision, Revision(100));
     assert_eq!(configuration.revision_of(&"p99".into()), Some(Revision(100)));
     assert_eq!(configuration.revision_of(&"p1".into()), None);
-    assert_eq!(configuration.recent.len(), RECENT_CHANGES);
+    assert_eq!(configuration.recent.len(), MAX_RECENT_CHANGES);
 }
--- a/components/fleet/src/id.rs
+++ b/components/fleet/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things in the fleet.
+//! Identifiers used in the fleet.
 
 use std::fmt;
 use std::str::FromStr;
@@ -57,7 +57,7 @@
     Region
 }
 text_id! {
-    /// The name under which callers ask for a model or adapter.
+    /// The name of a model or adapter in requests.
     ModelName
 }
 text_id! {
@@ -69,46 +69,46 @@
     WorkspaceId
 }
 text_id! {
-    /// The identity of a plan: a digest of its intent and base revision, in hex.
+    /// The ID of a plan: a digest of its intent and base revision, in hex.
     PlanId
 }
 number_id! {
-    /// The number of a configuration; each accepted change adds one.
+    /// The revision of a configuration. Each accepted change increments it.
     Revision
 }
 number_id! {
-    /// Tells one run of a process from the next one of the same name. It rises with each start.
+    /// Distinguishes successive runs of a process with the same name. It increases with each start.
     Incarnation
 }
 number_id! {
-    /// A moment or a span, in milliseconds.
+    /// A point in time or a duration, in milliseconds.
     Millis
 }
 
 impl Millis {
-    /// The span from `earlier` to this moment, zero if `earlier` is later.
+    /// The duration from `earlier` to this time, or zero if `earlier` is later.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` milliseconds after this one.
+    /// The time `span` milliseconds after this one. Saturates.
     pub fn plus(self, span: u64) -> Millis {
         Millis(self.0.saturating_add(span))
     }
 
-    /// The moment `span` milliseconds before this one, or the first one if there is none.
+    /// The time `span` milliseconds before this one. Saturates at zero.
     pub fn minus(self, span: u64) -> Millis {
         Millis(self.0.saturating_sub(span))
     }
 }
 
-/// The identity of one request: the incarnation of the entry that took it and a serial number.
-/// Never used twice, so a late answer can only reach the request it belongs to.
+/// The ID of a request: the incarnation of the entry process that accepted it and a serial number. IDs are
+/// never reused, so a late response can only reach the request it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// The incarnation of the entry.
+    /// The incarnation of the entry process.
     pub entry: Incarnation,
-    /// The serial number of the request at that entry.
+    /// The serial number of the request at that process.
     pub serial: u64,
 }
 
@@ -118,12 +118,12 @@
     }
 }
 
-/// The identity of a version of weights: the BLAKE3 digest of its manifest.
+/// The ID of a version of weights: the BLAKE3 digest of its manifest.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionId(pub [u8; 32]);
 
 impl VersionId {
-    /// The first eight digits, for people.
+    /// The first eight hex digits, for display.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
@@ -151,7 +151,7 @@
     }
 }
 
-// Readable formats carry the hex text, compact ones the 32 bytes.
+// Human-readable formats contain the hex string, binary formats the 32 bytes.
 impl Serialize for VersionId {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
--- a/components/fleet/src/instance.rs
+++ b/components/fleet/src/instance.rs
@@ -1,4 +1,4 @@
-//! Machines of the fleet as the platform lists them.
+//! Machines of the fleet, as listed by the platform.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::{Hall, InstanceId, Region, ServiceName};
 
-/// Where an instance stands.
+/// The location of an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
     /// The region.
@@ -15,41 +15,41 @@
     pub hall: Hall,
 }
 
-/// Which process of silverdock runs on an instance.
+/// The silverdock process that runs on an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Process {
-    /// Takes requests from callers and intents from operators.
+    /// Accepts requests from callers and intents from operators.
     Entry,
-    /// Stands beside a model engine.
+    /// Runs next to a model engine.
     Engine,
-    /// Stands beside a plain service of this name.
+    /// Runs next to a plain service with this name.
     Service(ServiceName),
 }
 
-/// What the platform's list says of an instance.
+/// The state of an instance in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It is up.
+    /// The instance is running.
     Live,
-    /// It will be taken away soon.
+    /// The instance will be removed soon.
     Leaving,
 }
 
-/// One row of the platform's instance list. The list lags behind the truth.
+/// A row of the platform's instance list. The list lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// The unique name.
     pub id: InstanceId,
-    /// Where it stands.
+    /// The location.
     pub place: Place,
-    /// What runs on it.
+    /// The silverdock process on the instance.
     pub process: Process,
-    /// Where its daemon listens for other daemons, over TCP and UDP.
+    /// The address of its daemon for other daemons, over TCP and UDP.
     pub address: SocketAddr,
-    /// Memory for weights, in bytes.
+    /// Memory available for weights, in bytes.
     pub memory_bytes: u64,
-    /// Whether it is live or leaving.
+    /// The state in the list.
     pub state: ListedState,
 }
--- a/components/fleet/src/intent.rs
+++ b/components/fleet/src/intent.rs
@@ -1,49 +1,49 @@
-//! What operators declare.
+//! Intents: the changes that operators request.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Hall, InstanceId, ModelName, Role, VersionId};
 
-/// One wish of an operator or of automation. A plan answers it; nothing changes before the plan
+/// A change requested by an operator or by automation. The reply is a plan; nothing changes before the plan
 /// is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Intent {
-    /// A model or adapter runs in a version on a number of instances.
+    /// Runs a version of a model or adapter on a number of instances.
     Deploy {
-        /// The name callers use.
+        /// The name in requests.
         model: ModelName,
         /// The version to run.
         version: VersionId,
-        /// How many replicas to run.
+        /// The number of replicas.
         replicas: u32,
-        /// What the replicas do.
+        /// The role of the replicas.
         role: Role,
-        /// Where replicas may stand; empty means everywhere.
+        /// The halls in which replicas may run; empty allows all.
         halls: Vec<Hall>,
-        /// The model that an adapter belongs to.
+        /// The base model of an adapter.
         adapter_of: Option<ModelName>,
-        /// Spreads of a higher priority draw first.
+        /// Distributions with a higher priority fetch their chunks first.
         priority: u8,
     },
-    /// A model goes back to the version it had before the last change.
+    /// Reverts a model to the version before the last change.
     Rollback {
-        /// The name callers use.
+        /// The name in requests.
         model: ModelName,
     },
-    /// A model stops being served.
+    /// Stops serving a model.
     Remove {
-        /// The name callers use.
+        /// The name in requests.
         model: ModelName,
     },
-    /// An upstream finishes what it has and takes no new work.
+    /// Drains an upstream: it completes its requests and receives no new ones.
     Leave {
-        /// The instance that leaves.
+        /// The instance to drain.
         instance: InstanceId,
     },
-    /// An upstream that was told to leave takes work again.
+    /// Ends the draining of an upstream: it receives requests again.
     Return {
-        /// The instance that returns.
+        /// The instance that receives requests again.
         instance: InstanceId,
     },
 }
--- a/components/fleet/src/life.rs
+++ b/components/fleet/src/life.rs
@@ -1,40 +1,41 @@
-//! The lives of a runner: it may start again under the name that it had, and then holds and knows nothing of before.
+//! Distinguishes successive runs of a runner. A runner that restarts keeps its name but loses its weights and
+//! its state.
 
 use serde::{Deserialize, Serialize};
 
-/// What a word about a runner tells of the life that it is from.
+/// The part of a report about a runner that identifies the run it describes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LifeWord {
-    /// When that life began, in milliseconds of Unix time by the runner's own clock. `None` from a runner that does
-    /// not tell it.
+    /// Start time of the run, in milliseconds of Unix time by the runner's clock. `None` if the runner does
+    /// not report it.
     pub born: Option<u64>,
-    /// Orders that the runner has taken since then.
+    /// Number of orders accepted by the runner since it started.
     pub sequence: u64,
 }
 
-/// How a word stands to the one that is known.
+/// The relation of a report to the known run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeChange {
-    /// It is of the same life.
+    /// The report is about the same run.
     Same,
-    /// It is of a later one: what was known of the runner is past.
+    /// The report is about a later run. What was known about the runner is obsolete.
     Began,
-    /// It is of an earlier one and says nothing of the runner as it is.
+    /// The report is about an earlier run and does not describe the current state of the runner.
     Earlier,
-    /// The runner has told when it began before, and this word does not: nobody knows what it is of.
+    /// The report has no start time although an earlier one had one, so its run is unknown.
     Untold,
 }
 
 impl LifeWord {
-    /// How a newer word of the same source stands to this one. Where no birth is told a life ends where the orders
-    /// taken become fewer.
+    /// Compares a newer report from the same source with this one. Without start times, a decrease of the
+    /// number of accepted orders indicates a new run.
     pub fn compare(self, newer: LifeWord) -> LifeChange {
         match (self.born, newer.born) {
-            (Some(known), Some(told)) if told > known => LifeChange::Began,
-            (Some(known), Some(told)) if told < known => LifeChange::Earlier,
+            (Some(known), Some(reported)) if reported > known => LifeChange::Began,
+            (Some(known), Some(reported)) if reported < known => LifeChange::Earlier,
             (Some(_), Some(_)) => LifeChange::Same,
             (Some(_), None) => LifeChange::Untold,
-            // Every life tells it or none: this one is another.
+            // A run reports its start time always or never, so this is another run.
             (None, Some(_)) => LifeChange::Began,
             (None, None) if newer.sequence < self.sequence => LifeChange::Began,
             (None, None) => LifeChange::Same,
--- a/components/fleet/src/manifest.rs
+++ b/components/fleet/src/manifest.rs
@@ -5,35 +5,35 @@
 
 use crate::VersionId;
 
-/// The most chunks a version may have, so that a summary of them fits one datagram.
+/// The maximum number of chunks per version. It keeps a summary of the chunks within one datagram.
 pub const MAX_CHUNKS: u32 = 8192;
-/// The smallest chunk, in bytes.
+/// The minimum chunk size in bytes.
 pub const MIN_CHUNK_BYTES: u32 = 4 * 1024;
-/// The largest chunk, in bytes.
+/// The maximum chunk size in bytes.
 pub const MAX_CHUNK_BYTES: u32 = 64 * 1024 * 1024;
-/// How many chunks a file is cut into where the bounds allow it.
-const USUAL_CHUNKS: u64 = 512;
+/// The number of chunks a file is split into, unless a limit on the chunk size requires another number.
+const DEFAULT_CHUNK_COUNT: u64 = 512;
 
-/// Names every byte of a version: its length, its chunks and their digests.
+/// Describes the content of a version: its size, its chunks and their digests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// What people call the file, for example `tips-v7`.
+    /// The display name of the file, for example `tips-v7`.
     pub label: String,
-    /// The length of the whole file in bytes.
+    /// The size of the file in bytes.
     pub bytes: u64,
-    /// The length of each chunk but the last, in bytes.
+    /// The size of each chunk except the last, in bytes.
     pub chunk_bytes: u32,
     /// The BLAKE3 digest of each chunk.
     pub digests: Vec<VersionId>,
 }
 
 impl Manifest {
-    /// Cuts a file into chunks of the usual size and names them.
+    /// Creates a manifest with the default chunk size.
     pub fn describe(label: &str, content: &[u8]) -> Result<Self> {
-        Self::describe_with(label, content, usual_chunk_bytes(content.len() as u64))
+        Self::describe_with(label, content, default_chunk_bytes(content.len() as u64))
     }
 
-    /// Cuts a file into chunks of `chunk_bytes` and names them.
+    /// Creates a manifest with chunks of `chunk_bytes` bytes.
     pub fn describe_with(label: &str, content: &[u8], chunk_bytes: u32) -> Result<Self> {
         if content.is_empty() || chunk_bytes == 0 {
             return Err(Error::new(Code::BadIntent, "a file of weights cannot be empty"));
@@ -48,17 +48,17 @@
         Ok(manifest)
     }
 
-    /// The identity of the version: the digest of this manifest.
+    /// The ID of the version: the digest of this manifest.
     pub fn version(&self) -> VersionId {
         VersionId(*blake3::hash(&self.encode()).as_bytes())
     }
 
-    /// The bytes that the object store keeps.
+    /// The encoding that is kept in the object store.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a manifest has no type that cannot be encoded")
     }
 
-    /// Reads a manifest and checks that it is the one asked for.
+    /// Decodes a manifest and checks that its digest is `version`.
     pub fn decode(version: VersionId, bytes: &[u8]) -> Result<Self> {
         if blake3::hash(bytes).as_bytes() != &version.0 {
             return Err(Error::new(Code::ChunkCorrupt, "the manifest's digest differs"));
@@ -69,19 +69,19 @@
         Ok(manifest)
     }
 
-    /// How many chunks there are.
+    /// The number of chunks.
     pub fn chunks(&self) -> u32 {
         self.digests.len() as u32
     }
 
-    /// Where a chunk starts and how long it is, in bytes.
+    /// The offset and length of a chunk in bytes.
     pub fn range(&self, index: u32) -> (u64, u32) {
         let start = u64::from(index) * u64::from(self.chunk_bytes);
         let len = u64::from(self.chunk_bytes).min(self.bytes.saturating_sub(start));
         (start, len as u32)
     }
 
-    /// Whether these bytes are the chunk of this number.
+    /// Returns whether `bytes` is the content of a chunk.
     pub fn verify(&self, index: u32, bytes: &[u8]) -> bool {
         let Some(digest) = self.digests.get(index as usize) else {
             return false;
@@ -104,8 +104,8 @@
     }
 }
 
-fn usual_chunk_bytes(bytes: u64) -> u32 {
-    let wanted = (bytes / USUAL_CHUNKS).next_power_of_two();
+fn default_chunk_bytes(bytes: u64) -> u32 {
+    let wanted = (bytes / DEFAULT_CHUNK_COUNT).next_power_of_two();
     wanted.clamp(u64::from(MIN_CHUNK_BYTES), u64::from(MAX_CHUNK_BYTES)) as u32
 }
 
--- a/components/fleet/src/manifest/tests.rs
+++ b/components/fleet/src/manifest/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `manifest`.
+//! Unit tests for `manifest`.
 
 use super::*;
 
--- a/components/fleet/src/plan.rs
+++ b/components/fleet/src/plan.rs
@@ -1,4 +1,4 @@
-//! The reply to an intent.
+//! Plans: the replies to intents.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,15 @@
     Change, Hall, InstanceId, Intent, Millis, ModelName, PlanId, Revision, Role, VersionId,
 };
 
-/// Where the first copy of the weights comes from.
+/// The source of the first copy of the weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// It is there already.
+    /// The instance holds it already.
     Held,
-    /// From the origin, shared among the receivers of the hall.
+    /// The origin. The download is shared among the receivers in the hall.
     Origin,
-    /// From replicas that hold it or are getting it.
+    /// Replicas that hold the weights or are receiving them.
     Peers,
 }
 
@@ -22,61 +22,61 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum Step {
-    /// An instance gets a version and a role.
+    /// Assigns a version and a role to an instance.
     Place {
         /// The instance.
         instance: InstanceId,
         /// Its hall.
         hall: Hall,
-        /// What it will run.
+        /// The version to run.
         version: VersionId,
-        /// What it will do.
+        /// The role in the deployment.
         role: Role,
-        /// Where its copy comes from.
+        /// The source of its copy.
         source: Source,
-        /// Why this instance was chosen.
+        /// Why this instance was selected.
         reason: String,
     },
-    /// An instance stops running a model.
+    /// Stops a model on an instance.
     Withdraw {
         /// The instance.
         instance: InstanceId,
-        /// The model it stops running.
+        /// The model to stop.
         model: ModelName,
-        /// Why.
+        /// Why the model is stopped.
         reason: String,
     },
-    /// An instance finishes its requests and takes no new ones.
+    /// Drains an instance: it completes its requests and receives no new ones.
     Drain {
         /// The instance.
         instance: InstanceId,
     },
-    /// An instance takes requests again.
+    /// Ends the draining of an instance.
     Resume {
         /// The instance.
         instance: InstanceId,
     },
 }
 
-/// What will happen if the operator confirms.
+/// The effects of confirming the plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The identity; the same intent on the same revision gives the same plan.
+    /// The ID; the same intent on the same revision results in the same plan.
     pub id: PlanId,
-    /// The revision it is based on; it can only be confirmed on this one.
+    /// The revision the plan is based on. It can only be confirmed while this revision is current.
     pub base: Revision,
-    /// What the operator asked for.
+    /// The intent of the operator.
     pub intent: Intent,
-    /// What will be written.
+    /// The change to the configuration.
     pub change: Change,
-    /// What will happen, in order.
+    /// The steps, in order.
     pub steps: Vec<Step>,
-    /// What the change overrides, in words.
+    /// Descriptions of what the change overrides.
     pub overrides: Vec<String>,
     /// Estimated time until every replica is live, in seconds.
     pub live_seconds: f64,
-    /// The most bytes that may be drawn from the origin while nothing fails.
+    /// The maximum number of bytes fetched from the origin if nothing fails.
     pub origin_bytes: u64,
-    /// When it can no longer be confirmed, in milliseconds of the Unix epoch.
+    /// The time at which the plan expires, in milliseconds of the Unix epoch.
     pub expires: Millis,
 }
--- a/components/fleet/src/rate_limit.rs
+++ b/components/fleet/src/rate_limit.rs
@@ -1,93 +1,94 @@
-//! The rate of requests that an upstream takes from all processes together, as it says in its answers.
+//! The request rate limit of an upstream for all processes together, as advertised in its responses.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// How long after the end of a limit, or after somebody was heard who does not know of it, others are told of that, in
-/// milliseconds.
-const END_TOLD_FOR: u64 = 10_000;
-/// The lowest rate at which an upstream is still asked, in requests a second: only answers tell that its limit has ended.
-const LEAST_ASKED_PER_S: f64 = 0.2;
-/// The thousandths in a whole.
-const THOUSAND: f64 = 1000.0;
+/// How long the end of a limit is reported to other processes, in milliseconds: after the end, or after a
+/// report from a process that still has the limit.
+const END_REPORT_MS: u64 = 10_000;
+/// The minimum rate of requests sent to an upstream, in requests per second. Only responses show that a limit
+/// has ended.
+const MIN_PROBE_PER_S: f64 = 0.2;
+/// Number of thousandths in 1.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-/// A rate of requests, exact to a thousandth of a request a second.
+/// A request rate with a resolution of 0.001 requests per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate {
     thousandths: u64,
 }
 
 impl Rate {
-    /// What a limit is taken for that can't be read.
+    /// The rate assumed for a limit that cannot be parsed.
     pub const UNREADABLE: Self = Self { thousandths: 1000 };
 
-    /// Takes requests a second. `None` for what is no rate: a negative number, or none at all.
+    /// Converts requests per second. `None` if the number is negative or not finite.
     pub fn from_per_s(per_s: f64) -> Option<Self> {
-        let is_rate = per_s.is_finite() && per_s >= 0.0;
-        is_rate.then_some(Self { thousandths: (per_s * THOUSAND).round() as u64 })
+        let is_valid = per_s.is_finite() && per_s >= 0.0;
+        is_valid.then_some(Self { thousandths: (per_s * THOUSANDTHS_PER_UNIT).round() as u64 })
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_s(self) -> f64 {
-        self.thousandths as f64 / THOUSAND
+        self.thousandths as f64 / THOUSANDTHS_PER_UNIT
     }
 
-    /// Requests a second that are sent where only answers to them tell that the limit has ended.
+    /// The rate to send at, in requests per second, if only responses show the end of the limit.
     pub fn asked_per_s(self) -> f64 {
-        self.per_s().max(LEAST_ASKED_PER_S)
+        self.per_s().max(MIN_PROBE_PER_S)
     }
 }
 
-/// What one answer of an upstream says of its rate limit.
+/// What a response of an upstream says about its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateWord {
-    /// It names none.
+    /// The response contains no limit.
     Unlimited,
-    /// It names this one.
+    /// The response contains this limit.
     Limited(Rate),
-    /// It names one that can't be read.
+    /// The response contains a limit that cannot be parsed.
     Unreadable,
 }
 
 impl RateWord {
-    /// Reads a limit as requests a second: a decimal number.
+    /// Parses a limit: a decimal number of requests per second.
     pub fn read(text: &str) -> Self {
         let rate = text.trim().parse().ok().and_then(Rate::from_per_s);
         rate.map_or(Self::Unreadable, Self::Limited)
     }
 }
 
-/// What one process tells another of an upstream's rate limit.
+/// A report on an upstream's rate limit from one process to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldLimit {
-    /// When the life of the upstream began that it is of, in milliseconds of Unix time, where that is known.
+    /// Start time of the upstream's run that the limit belongs to, in milliseconds of Unix time, if known.
     pub born: Option<u64>,
-    /// The limit. `None` where there is none any more.
+    /// The limit. `None` if it has ended.
     pub rate: Option<Rate>,
-    /// How long ago that was heard, in milliseconds.
+    /// Time since this was learned, in milliseconds.
     pub age_ms: u32,
 }
 
-/// The rate limit of one life of an upstream, by the newest word on it.
+/// The rate limit of one run of an upstream, by the newest report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RateLimit {
     rate: Option<Rate>,
-    /// When that was so. `None` where no limit was ever named.
+    /// The time that `rate` refers to. `None` if the upstream never had a limit.
     known_at: Option<Millis>,
-    /// When somebody last told of a limit that has passed.
+    /// The time of the latest report by another process of a limit that has ended.
     contradicted_at: Option<Millis>,
 }
 
 impl RateLimit {
-    /// Takes in what an answer says to a request that was sent at `sent_at`. Gives whether it changes the limit.
+    /// Applies a response to a request sent at `sent_at`, and returns whether it changes the limit.
     ///
-    /// Answers may overtake each other, so the limit ends only with an answer to a request that was sent after the
-    /// limit was last heard of.
+    /// Responses may arrive out of order, so only a response to a request that was sent after the limit was
+    /// last seen ends the limit.
     pub fn hear(&mut self, now: Millis, sent_at: Millis, word: RateWord) -> bool {
         match word {
             RateWord::Limited(rate) => self.set(now, Some(rate)),
-            // Somebody who names a limit is in need of one, whatever it reads.
+            // An upstream that sends a limit needs one, even if the value cannot be parsed.
             RateWord::Unreadable => self.set(now, Some(self.rate.unwrap_or(Rate::UNREADABLE))),
             RateWord::Unlimited if self.known_at.is_some_and(|at| sent_at > at) => {
                 self.set(sent_at, None)
@@ -96,15 +97,16 @@
         }
     }
 
-    /// Takes in what another process tells of the life that began at `born`. Gives whether it changes the limit.
+    /// Applies a report from another process about the run that started at `born`, and returns whether it
+    /// changes the limit.
     pub fn learn(&mut self, now: Millis, born: Option<u64>, told: ToldLimit) -> bool {
-        let is_other_life = born.zip(told.born).is_some_and(|(known, told)| known != told);
-        if is_other_life {
+        let is_other_run = born.zip(told.born).is_some_and(|(known, reported)| known != reported);
+        if is_other_run {
             return false;
         }
         let at = now.minus(u64::from(told.age_ms));
         if told.rate == self.rate {
-            // What is known already gets no younger by being told to and fro.
+            // The age of a known limit must not decrease when processes report it back and forth.
             self.known_at = self.known_at.or(Some(at));
             return false;
         }
@@ -115,17 +117,17 @@
         self.set(at, told.rate)
     }
 
-    /// What others are told of it. `None` where they need not be.
+    /// The report to send to other processes. `None` if they need none.
     pub fn told(&self, now: Millis, born: Option<u64>) -> Option<ToldLimit> {
         let age = now.since(self.known_at?).0;
         let is_contradicted =
-            self.contradicted_at.is_some_and(|at| now.since(at).0 <= END_TOLD_FOR);
-        let is_wanted = self.rate.is_some() || age <= END_TOLD_FOR || is_contradicted;
+            self.contradicted_at.is_some_and(|at| now.since(at).0 <= END_REPORT_MS);
+        let is_reportable = self.rate.is_some() || age <= END_REPORT_MS || is_contradicted;
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-        is_wanted.then_some(ToldLimit { born, rate: self.rate, age_ms })
+        is_reportable.then_some(ToldLimit { born, rate: self.rate, age_ms })
     }
 
-    /// The limit, where there is one.
+    /// The limit, if there is one.
     pub fn rate(&self) -> Option<Rate> {
         self.rate
     }
--- a/components/fleet/src/report.rs
+++ b/components/fleet/src/report.rs
@@ -1,77 +1,77 @@
-//! What daemons tell operators.
+//! Replies to operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Hall, InstanceId, ModelName, Plan, Process, Revision};
 
-/// One daemon as another one sees it.
+/// The state of a daemon as seen by another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The instance.
     pub instance: InstanceId,
     /// Its hall.
     pub hall: Hall,
-    /// What runs there.
+    /// The silverdock process on the instance.
     pub process: Process,
     /// `alive`, `suspect`, `leaving` or `dead`.
     pub state: String,
-    /// The starts of the versions that its engine serves.
+    /// Prefixes of the version IDs that its engine serves.
     pub serving: Vec<String>,
 }
 
-/// One deployment and how far it has come.
+/// A deployment and the progress of its rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DeploymentStatus {
     /// The model.
     pub model: ModelName,
-    /// The label of the version wanted.
+    /// The label of the desired version.
     pub label: String,
-    /// The version wanted, in hex.
+    /// The ID of the desired version, in hex.
     pub version: String,
-    /// Replicas wanted.
+    /// The desired number of replicas.
     pub wanted: usize,
-    /// Replicas that serve the version.
+    /// The number of replicas that serve the version.
     pub live: usize,
 }
 
-/// What `silverdock status` shows.
+/// The output of `silverdock status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance that answers.
+    /// The instance that replies.
     pub instance: InstanceId,
-    /// The revision in force there.
+    /// The revision in effect on that instance.
     pub revision: Revision,
-    /// Whether it knows that this revision is not behind.
+    /// Whether the instance knows that this revision is current.
     pub current: bool,
     /// Every deployment.
     pub deployments: Vec<DeploymentStatus>,
-    /// Instances that operators told to leave.
+    /// Instances marked as leaving by an operator.
     pub leaving: Vec<InstanceId>,
-    /// Every other daemon.
+    /// All other daemons.
     pub members: Vec<MemberStatus>,
 }
 
-/// What `silverdock watch` shows.
+/// The output of `silverdock watch`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// The model.
     pub model: ModelName,
-    /// The label of the version wanted.
+    /// The label of the desired version.
     pub label: String,
-    /// Replicas wanted.
+    /// The desired number of replicas.
     pub wanted: usize,
-    /// Replicas that serve the version.
+    /// The number of replicas that serve the version.
     pub live: usize,
-    /// The share of chunks that a sample of the other replicas holds, from 0 to 1.
+    /// The fraction of chunks held by a sample of the other replicas, from 0 to 1.
     pub staged: f64,
 }
 
-/// The answer to a confirmation.
+/// The reply of a daemon to an intent or a confirmation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanReply {
-    /// The plan.
+    /// The plan for an intent.
     Planned(Box<Plan>),
-    /// The plan is in force as of this revision.
+    /// The plan was accepted and is in effect as of this revision.
     Accepted(Revision),
 }
--- a/components/fleet/src/rest.rs
+++ b/components/fleet/src/rest.rs
@@ -1,93 +1,95 @@
-//! The rest that an upstream asks for when it turns requests away.
+//! The pause that an upstream requests with `Retry-After` when it rejects requests.
 
 use crate::Millis;
 
-/// What a rest is taken for that can't be read, in milliseconds: a third of what shedding upstreams usually
-/// ask for.
+/// The pause to use if `Retry-After` cannot be parsed, in milliseconds: a third of what overloaded upstreams
+/// usually request.
 pub const UNREADABLE_REST_MS: u64 = 1000;
-/// The longest rest, in milliseconds: an hour. Longer ones are a mistake of the upstream.
+/// The longest pause, in milliseconds: one hour. Longer values are an error of the upstream.
 const MAX_REST_MS: u64 = 3_600_000;
 
-/// Reads the value of `Retry-After` as milliseconds: seconds, fractions too. `None` where it is anything else.
+/// Parses the value of `Retry-After`, a decimal number of seconds, as milliseconds. `None` for any other
+/// value.
 pub fn rest_ms(text: &str) -> Option<u64> {
     let seconds = text.trim().parse::<f64>().ok()?;
-    let is_span = seconds.is_finite() && seconds >= 0.0;
-    is_span.then(|| ((seconds * 1000.0).ceil() as u64).min(MAX_REST_MS))
+    let is_duration = seconds.is_finite() && seconds >= 0.0;
+    is_duration.then(|| ((seconds * 1000.0).ceil() as u64).min(MAX_REST_MS))
 }
 
-/// The request by which an upstream is tried after its rest.
+/// The state of the probe request that is sent to an upstream after a pause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Trial<K> {
-    /// It has run a request since it last asked for rest.
+enum Probe<K> {
+    /// The upstream has run a request since it last requested a pause.
     #[default]
-    Passed,
-    /// Nothing has been sent there since.
+    Done,
+    /// No request has been sent to the upstream since the pause was requested.
     Due,
-    /// This one is on its way, and others wait for how it ends.
-    UnderWay(K),
+    /// This request has been sent as the probe. Other requests wait for its result.
+    InFlight(K),
 }
 
-/// Whether an upstream wants to be left alone, and how it is tried again afterwards. `K` names requests.
+/// The pause requested by an upstream, and the probe request that follows it. `K` identifies requests.
 ///
-/// After a rest one request goes first: an upstream that turned everything away is the idlest of all, and every request
-/// would go there at once only to be turned away.
+/// After a pause a single request is sent first. An upstream that rejected all requests has the lowest load,
+/// so otherwise all requests would be routed to it at once and be rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rest<K> {
-    /// A request that the upstream runs meanwhile was there before and does not end this.
+    /// The end of the pause. A request that runs before then was sent before the pause and does not end it.
     until: Millis,
-    trial: Trial<K>,
+    probe: Probe<K>,
 }
 
 impl<K> Default for Rest<K> {
     fn default() -> Self {
-        Self { until: Millis(0), trial: Trial::Passed }
+        Self { until: Millis(0), probe: Probe::Done }
     }
 }
 
 impl<K: Copy + PartialEq> Rest<K> {
-    /// The upstream asks for so many milliseconds. Gives whether it did not rest already.
+    /// Starts a pause of `rest_ms` milliseconds. Returns whether the upstream was not paused already.
     pub fn begin(&mut self, now: Millis, rest_ms: u64) -> bool {
         if rest_ms == 0 {
             return false;
         }
-        let is_news = self.left_ms(now) == 0;
+        let was_inactive = self.left_ms(now) == 0;
         self.until = self.until.max(now.plus(rest_ms));
-        self.trial = Trial::Due;
-        is_news
+        self.probe = Probe::Due;
+        was_inactive
     }
 
-    /// How much longer it wants to be left alone, in milliseconds.
+    /// The remaining pause in milliseconds.
     pub fn left_ms(&self, now: Millis) -> u64 {
         self.until.since(now).0
     }
 
-    /// Whether a request may be sent there.
+    /// Returns whether a request may be sent to the upstream.
     pub fn admit(&self, now: Millis, request: K) -> bool {
-        let is_its_turn = match self.trial {
-            Trial::Passed | Trial::Due => true,
-            Trial::UnderWay(other) => other == request,
+        let may_send = match self.probe {
+            Probe::Done | Probe::Due => true,
+            Probe::InFlight(other) => other == request,
         };
-        self.left_ms(now) == 0 && is_its_turn
+        self.left_ms(now) == 0 && may_send
     }
 
-    /// A request is sent there.
+    /// Records that a request was sent to the upstream.
     pub fn note_sent(&mut self, request: K) {
-        if matches!(self.trial, Trial::Due) {
-            self.trial = Trial::UnderWay(request);
+        if matches!(self.probe, Probe::Due) {
+            self.probe = Probe::InFlight(request);
         }
     }
 
-    /// The upstream runs a request.
+    /// Records that the upstream runs a request.
     pub fn note_run(&mut self, request: K) {
-        if self.trial == Trial::UnderWay(request) {
-            self.trial = Trial::Passed;
+        if self.probe == Probe::InFlight(request) {
+            self.probe = Probe::Done;
         }
     }
 
-    /// A request is there no more. If it was the trial and was not run, the next one is.
+    /// Records that a request has ended at the upstream. If it was the probe and did not run, the next
+    /// request becomes the probe.
     pub fn note_end(&mut self, request: K) {
-        if self.trial == Trial::UnderWay(request) {
-            self.trial = Trial::Due;
+        if self.probe == Probe::InFlight(request) {
+            self.probe = Probe::Due;
         }
     }
 }
--- a/components/fleet/src/store_place.rs
+++ b/components/fleet/src/store_place.rs
@@ -1,29 +1,30 @@
-//! A place in the history of the platform's store.
+//! Positions in the history of the platform's store.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A place in the history of the platform's store: of two, the one of the higher era is later, and within an era the one of
-/// the higher revision. A store that came back from an older copy gives revisions out again, in a higher era.
+/// A position in the history of the platform's store. Positions are ordered by era, then by revision. A store
+/// that was restored from an older copy assigns revisions again, in a higher era.
 ///
-/// It is encoded as its revision alone: messages between processes have it so, and tell the era apart from it.
+/// It is serialized as the revision alone. Messages between processes rely on this and carry the era
+/// separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StorePlace {
-    /// How often the store has come back from a copy, by its own count. `None` where nobody told: from a store that has no
-    /// eras, or a process that does not know of them. That is older than any.
+    /// How often the store was restored from a copy, by its own count. `None` if not reported: by a store
+    /// without eras, or by a process that does not know them. `None` is older than any era.
     pub era: Option<u64>,
-    /// Counts transactions.
+    /// The number of transactions.
     pub revision: u64,
 }
 
 impl From<u64> for StorePlace {
-    /// A place of which no era is told.
+    /// A position without an era.
     fn from(revision: u64) -> Self {
         Self { era: None, revision }
     }
 }
 
 impl StorePlace {
-    /// Whether the store came back from a copy between an earlier place and this one.
+    /// Returns whether the store was restored from a copy between `earlier` and this position.
     pub fn is_of_later_era(self, earlier: Self) -> bool {
         matches!((earlier.era, self.era), (Some(before), Some(now)) if now > before)
     }
--- a/components/fleet/tests/rate_limit.rs
+++ b/components/fleet/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit of an upstream, by what its answers say.
+//! The rate limit of an upstream, as advertised in its responses.
 
 use fleet::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_limit_is_a_decimal_number_of_requests_a_second() {
+fn limit_is_parsed_as_a_decimal_number_of_requests_per_second() {
     for (text, per_s) in [("1.6", 1.6), (" 12 ", 12.0), ("0", 0.0), ("0.0004", 0.0), (".5", 0.5)] {
         assert_eq!(RateWord::read(text), limited(per_s), "{text}");
     }
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn the_newest_word_counts() {
+fn newest_response_determines_the_limit() {
     let mut limit = RateLimit::default();
     assert!(limit.hear(Millis(10), Millis(5), limited(1.6)));
-    assert!(!limit.hear(Millis(20), Millis(12), limited(1.6)), "no news");
+    assert!(!limit.hear(Millis(20), Millis(12), limited(1.6)), "the limit is unchanged");
     assert!(limit.hear(Millis(30), Millis(22), limited(0.4)));
     assert_eq!(limit.rate(), Some(rate(0.4)));
     assert!(limit.hear(Millis(40), Millis(32), RateWord::Unlimited));
@@ -32,18 +32,18 @@
 }
 
 #[test]
-fn an_answer_that_was_overtaken_does_not_end_a_limit() {
+fn response_to_an_earlier_request_does_not_end_a_limit() {
     let mut limit = RateLimit::default();
     limit.hear(Millis(100), Millis(80), limited(1.0));
     assert!(
         !limit.hear(Millis(101), Millis(90), RateWord::Unlimited),
-        "sent before the limit was heard of"
+        "sent before the limit was received"
     );
     assert_eq!(limit.rate(), Some(rate(1.0)));
 }
 
 #[test]
-fn a_limit_that_cannot_be_read_is_the_one_before_or_a_low_one() {
+fn unparsable_limit_keeps_the_previous_limit_or_uses_the_default() {
     let mut limit = RateLimit::default();
     limit.hear(Millis(10), Millis(5), RateWord::Unreadable);
     assert_eq!(limit.rate(), Some(Rate::UNREADABLE));
@@ -52,48 +52,51 @@
     assert_eq!(limit.rate(), Some(rate(7.5)));
 }
 
-fn told(per_s: Option<f64>, age_ms: u32) -> ToldLimit {
+fn report(per_s: Option<f64>, age_ms: u32) -> ToldLimit {
     ToldLimit { born: Some(9), rate: per_s.map(rate), age_ms }
 }
 
 #[test]
-fn what_others_tell_counts_where_it_is_newer_and_of_the_same_life() {
+fn reports_of_other_processes_apply_if_newer_and_of_the_same_run() {
     let mut limit = RateLimit::default();
-    assert!(limit.learn(Millis(1000), Some(9), told(Some(2.0), 100)));
-    assert!(!limit.learn(Millis(1000), Some(9), told(None, 200)), "an end from before");
-    assert!(!limit.learn(Millis(1000), Some(8), told(Some(1.0), 0)), "another life");
-    assert!(limit.learn(Millis(1000), None, told(Some(1.0), 50)));
-    assert!(limit.learn(Millis(2000), Some(9), told(None, 10)));
+    assert!(limit.learn(Millis(1000), Some(9), report(Some(2.0), 100)));
+    assert!(!limit.learn(Millis(1000), Some(9), report(None, 200)), "the reported end is older");
+    assert!(
+        !limit.learn(Millis(1000), Some(8), report(Some(1.0), 0)),
+        "the report is about another run"
+    );
+    assert!(limit.learn(Millis(1000), None, report(Some(1.0), 50)));
+    assert!(limit.learn(Millis(2000), Some(9), report(None, 10)));
 }
 
 #[test]
-fn the_end_of_a_limit_is_known_also_to_whoever_never_heard_of_the_limit() {
+fn end_of_a_limit_overrides_an_older_report_of_the_limit() {
     let mut limit = RateLimit::default();
-    limit.learn(Millis(1000), None, told(None, 100));
-    assert!(!limit.learn(Millis(1000), None, told(Some(2.0), 300)), "that had ended");
+    limit.learn(Millis(1000), None, report(None, 100));
+    assert!(!limit.learn(Millis(1000), None, report(Some(2.0), 300)), "that limit has ended");
     assert_eq!(limit.told(Millis(1000), None).map(|it| it.rate), Some(None));
 }
 
 #[test]
-fn a_limit_gets_no_younger_by_being_told_to_and_fro() {
-    let (mut near, mut far) = (RateLimit::default(), RateLimit::default());
-    near.hear(Millis(0), Millis(0), limited(2.0));
+fn mutual_reports_do_not_lower_the_age_of_a_limit() {
+    let (mut process_a, mut process_b) = (RateLimit::default(), RateLimit::default());
+    process_a.hear(Millis(0), Millis(0), limited(2.0));
     for second in 1..60 {
         let at = Millis(second * 1000);
-        far.learn(at.plus(40), None, near.told(at, None).unwrap());
-        near.learn(at.plus(80), None, far.told(at.plus(40), None).unwrap());
+        process_b.learn(at.plus(40), None, process_a.told(at, None).unwrap());
+        process_a.learn(at.plus(80), None, process_b.told(at.plus(40), None).unwrap());
     }
-    let age = near.told(Millis(60_000), None).unwrap().age_ms;
+    let age = process_a.told(Millis(60_000), None).unwrap().age_ms;
     assert!(age >= 59_900, "{age}");
 }
 
 #[test]
-fn the_end_of_a_limit_is_told_for_a_while_and_again_to_whoever_does_not_know_of_it() {
+fn end_of_a_limit_is_reported_for_a_while_and_again_after_an_outdated_report() {
     let mut limit = RateLimit::default();
     limit.hear(Millis(0), Millis(0), limited(2.0));
     limit.hear(Millis(1000), Millis(900), RateWord::Unlimited);
     assert_eq!(limit.told(Millis(2000), None).map(|it| it.rate), Some(None));
     assert_eq!(limit.told(Millis(30_000), None), None);
-    assert!(!limit.learn(Millis(30_000), None, told(Some(2.0), 29_500)));
+    assert!(!limit.learn(Millis(30_000), None, report(Some(2.0), 29_500)));
     assert_eq!(limit.told(Millis(31_000), None).map(|it| it.rate), Some(None));
 }
--- a/components/fleet/tests/version_names.rs
+++ b/components/fleet/tests/version_names.rs
@@ -1,4 +1,4 @@
-//! The versions of a model that were named, and which of them bind.
+//! The announced versions of a model and their deadlines.
 
 use fleet::{Millis, VersionName, VersionNames};
 
@@ -8,10 +8,10 @@
     VersionName { version, at: Millis(at), known, after_ms: None }
 }
 
-/// A version of unknown age is taken for old soon, and may turn out to be young: what was forgotten for it would bind
-/// first.
+/// A version of unknown age gets an early deadline and may turn out to be younger. If an older version was
+/// removed because of it, the removed version's earlier deadline would be lost.
 #[test]
-fn a_version_is_not_forgotten_for_one_whose_age_is_assumed() {
+fn version_is_not_removed_because_of_a_newer_one_of_assumed_age() {
     let mut names = VersionNames::default();
     names.take(name(2, 1000, true));
     names.take(name(3, 3000, false));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_version_is_forgotten_once_a_newer_one_binds() {
+fn version_is_removed_after_the_deadline_of_a_newer_one() {
     let mut names = VersionNames::default();
     for (version, at) in [(2, 1000), (3, 2000), (4, 3000)] {
         names.take(name(version, at, true));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_first_bound_of_all_newer_versions_counts_in_whatever_order_they_are_heard_of() {
+fn earliest_deadline_of_all_newer_versions_applies_in_any_order_of_reports() {
     let mut names = VersionNames::default();
     names.take(name(4, 5000, true));
     names.take(name(2, 1000, true));
@@ -43,16 +43,17 @@
     assert_eq!(bounds, [Some(9000), Some(9000), Some(11_000), Some(13_000), None]);
 }
 
-/// A word that was long on its way and one of a process that started amid a version tell less than the store's history;
-/// of two moments at which it had not been named the later one tells more.
+/// A delayed report, and a report from a process that started after the announcement, are less accurate than
+/// the store's history. Of two times at which the version had not been announced yet, the later one is more
+/// accurate.
 #[test]
-fn the_store_s_history_is_believed_before_other_words_and_the_latest_moment_by_it() {
+fn latest_time_from_the_store_history_takes_precedence_over_other_reports() {
     let dated = |at, after_ms| VersionName { after_ms: Some(after_ms), ..name(2, at, true) };
-    let words =
+    let reports =
         [name(2, 5000, false), name(2, 900, true), dated(2000, 52_000), dated(1500, 51_500)];
-    for first in 0..words.len() {
+    for first in 0..reports.len() {
         let mut names = VersionNames::default();
-        (0..words.len()).for_each(|it| names.take(words[(first + it) % words.len()]));
+        (0..reports.len()).for_each(|it| names.take(reports[(first + it) % reports.len()]));
         assert_eq!(names.get(2), Some(dated(2000, 52_000)));
     }
 }
