--- a/components/rollout/src/cold.rs
+++ b/components/rollout/src/cold.rs
@@ -1,65 +1,66 @@
-//! How cold the runner is, and the places that it gets while it is.
+//! The cold start of a runner, and the slots that it gets during that time.
 //!
-//! A runner that has just started, or has turned cold again, bears little and falls over at well above that. Every
-//! request to it has a place given here, so the sum over all gateways is bounded here.
+//! A runner that has just started, or has become cold again, has a low capacity and fails well above it.
+//! Every request to it needs a slot granted here, so the total over all gateways is limited here.
 
 use fleet::{Bucket, Millis};
 use serde::{Deserialize, Serialize};
 
-/// How long a change at the runner takes to be told by a gateway at the most, in milliseconds: the time
-/// between two writes of its entry, the one between two readings of the list, and the one between two words
-/// of a gateway.
-const ENTRY_LAG: u64 = 3000;
-/// The most places that are saved up: with fewer, places are lost between two reports.
-const BURST: f64 = 3.0;
-/// How much longer than a second the places of one second of sending were given over: an answer is waited
-/// for, and a place may be used for a while after it, for a connection may have to be opened first.
-const GRANT_STRETCH: f64 = 1.4;
-
-/// How a service's runners start cold.
+/// Maximum time until a gateway reports a change at the runner, in milliseconds: the interval between two
+/// writes of the runner's entry, plus the interval between two reads of the list, plus the interval between
+/// two messages of a gateway.
+const REPORT_LAG_MS: u64 = 3000;
+/// Maximum number of saved tokens. With fewer, slots are lost between two reports.
+const MAX_SAVED_TOKENS: f64 = 3.0;
+/// Ratio of the time in which slots are granted to the time in which the requests are sent. Requests that are
+/// sent within one second may have been granted over a longer time: the gateway waits for the reply, and it
+/// may use a slot a while later because a connection may have to be opened first.
+const GRANT_TIME_RATIO: f64 = 1.4;
+
+/// The cold start of a service's runners.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdPlan {
-    /// How long a start can be, in milliseconds.
+    /// Maximum duration of a cold start, in milliseconds.
     pub start_ms: u64,
-    /// Requests a second that a cold runner bears.
+    /// The capacity of a cold runner, in requests per second.
     pub requests_per_s: f64,
 }
 
-/// How many requests a cold runner gets at most: in any second `overrun` times what it bears, and `slack` on top.
+/// The request limit of a cold runner: in any second at most `overrun` times its capacity plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
-    /// The factor.
+    /// The factor for the capacity.
     pub overrun: f64,
-    /// Requests on top.
+    /// The additional number of requests.
     pub slack: f64,
 }
 
-/// The cold start of a runner. Does nothing without a plan and a limit.
+/// The cold start of a runner. Has no effect without a plan and a limit.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStart {
     limit: Option<ColdLimit>,
     plan: Option<ColdPlan>,
-    /// Until when it is cold, by what gateways told.
-    told_until: Millis,
-    /// Since when it may have started, where nobody has told otherwise.
-    assumed_at: Option<Millis>,
+    /// End of the cold start as reported by gateways.
+    reported_until: Millis,
+    /// The time at which the runner may have started, unless a gateway has reported otherwise since.
+    assumed_start: Option<Millis>,
     bucket: Bucket,
     was_cold: bool,
 }
 
 impl ColdStart {
-    /// Starts with nothing known.
+    /// Creates the state of a runner about which nothing is known.
     pub fn new(limit: Option<ColdLimit>) -> Self {
         Self { limit, ..Self::default() }
     }
 
-    /// Takes in how runners of the service start.
+    /// Sets how the service's runners start.
     pub fn set_plan(&mut self, now: Millis, plan: Option<ColdPlan>) {
         self.plan = plan;
         self.set_rate(now);
     }
 
-    /// Goes on with another limit.
+    /// Changes the limit.
     pub fn set_limit(&mut self, now: Millis, limit: Option<ColdLimit>) {
         self.limit = limit;
         self.set_rate(now);
@@ -67,56 +68,59 @@
 
     fn set_rate(&mut self, now: Millis) {
         if let (Some(plan), Some(limit)) = (self.plan, self.limit) {
-            let burst = BURST.min(limit.slack).max(1.0);
-            let bound = plan.requests_per_s * limit.overrun + limit.slack;
-            let rate = ((bound - burst) / GRANT_STRETCH).min(plan.requests_per_s);
+            let burst = MAX_SAVED_TOKENS.min(limit.slack).max(1.0);
+            let max_per_s = plan.requests_per_s * limit.overrun + limit.slack;
+            let rate = ((max_per_s - burst) / GRANT_TIME_RATIO).min(plan.requests_per_s);
             self.bucket.set(now, rate, burst);
         }
     }
 
-    /// Takes in that the runner may just have started.
-    pub fn assume(&mut self, now: Millis) {
-        self.assumed_at = Some(now);
+    /// Records that the runner may just have started.
+    pub fn assume_started(&mut self, now: Millis) {
+        self.assumed_start = Some(now);
     }
 
-    /// Takes in how much longer it is cold, by a gateway that knows its entry in the list.
-    pub fn take_word(&mut self, now: Millis, left_ms: u64) {
-        self.told_until = self.told_until.max(now.plus(left_ms));
-        // An earlier word may be of an earlier life.
-        let settled = self.assumed_at.is_some_and(|at| now.since(at).0 >= ENTRY_LAG);
-        if left_ms == 0 && settled {
-            self.assumed_at = None;
+    /// Applies the remaining duration of the cold start, as reported by a gateway that knows the runner's
+    /// entry in the list.
+    pub fn apply_report(&mut self, now: Millis, left_ms: u64) {
+        self.reported_until = self.reported_until.max(now.plus(left_ms));
+        // An earlier report may be about an earlier run of the runner.
+        let is_report_current =
+            self.assumed_start.is_some_and(|at| now.since(at).0 >= REPORT_LAG_MS);
+        if left_ms == 0 && is_report_current {
+            self.assumed_start = None;
         }
     }
 
-    /// How much longer the runner is cold, as far as known, in milliseconds.
+    /// Remaining duration of the cold start as far as known, in milliseconds.
     pub fn left_ms(&self, now: Millis) -> u64 {
         let (Some(plan), Some(_)) = (self.plan, self.limit) else {
             return 0;
         };
-        let assumed = self.assumed_at.map_or(0, |at| at.plus(plan.start_ms).since(now).0);
-        assumed.max(self.told_until.since(now).0)
+        let assumed_left_ms =
+            self.assumed_start.map_or(0, |at| at.plus(plan.start_ms).since(now).0);
+        assumed_left_ms.max(self.reported_until.since(now).0)
     }
 
-    /// Whether only its assumption holds the runner for cold.
+    /// Returns whether the runner counts as cold only because it may just have started.
     pub fn is_assumed(&self, now: Millis) -> bool {
-        self.left_ms(now) > 0 && self.told_until <= now
+        self.left_ms(now) > 0 && self.reported_until <= now
     }
 
-    /// Whether there is a place as far as the cold start goes.
-    pub fn has_place(&mut self, now: Millis) -> bool {
-        self.turn(now);
+    /// Returns whether the cold start allows another slot.
+    pub fn has_slot(&mut self, now: Millis) -> bool {
+        self.update_is_cold(now);
         !self.was_cold || self.bucket.has_one(now)
     }
 
-    /// Takes that place.
-    pub fn take_place(&mut self, now: Millis) {
+    /// Takes the slot.
+    pub fn take_slot(&mut self, now: Millis) {
         if self.was_cold {
             self.bucket.take(now);
         }
     }
 
-    /// After how many milliseconds there is a place, as far as the cold start goes.
+    /// Time until the cold start allows another slot, in milliseconds.
     pub fn place_in_ms(&self, now: Millis) -> u64 {
         let left = self.left_ms(now);
         if left == 0 {
@@ -125,8 +129,8 @@
         self.bucket.ready_in_ms(now).map_or(left, |it| it.min(left))
     }
 
-    /// What was saved up while it was warm does not count.
-    fn turn(&mut self, now: Millis) {
+    /// Updates whether the runner is cold. Tokens saved while it was warm are discarded.
+    fn update_is_cold(&mut self, now: Millis) {
         let is_cold = self.left_ms(now) > 0;
         if is_cold && !self.was_cold {
             self.bucket.empty(now);
--- a/components/rollout/src/directory.rs
+++ b/components/rollout/src/directory.rs
@@ -1,31 +1,32 @@
-//! When a sidecar asks gateways for the other sidecars, and when it reads the store instead.
+//! Decides when a sidecar requests the list of other sidecars from gateways, and when it reads the store
+//! instead.
 //!
-//! Gateways follow the store's list of runners anyway. Each call loads the store, and the list
-//! crosses the links between regions, so a sidecar reads it only when no gateway has answered for a while.
+//! Gateways follow the store's list of runners anyway. Each call puts load on the store, and the list crosses
+//! the links between regions, so a sidecar reads the store only when no gateway has answered for a while.
 
 use fleet::Millis;
 
-/// How often a sidecar that hears no gateway looks whether one has come, in milliseconds.
-const LOOK_EVERY: u64 = 40;
-/// How long no gateway may have answered before the store is read, in milliseconds. Gateways ask for
-/// reports every second, so four rounds were missed.
+/// Interval at which a sidecar without a known gateway checks for one, in milliseconds.
+const GATEWAY_CHECK_INTERVAL_MS: u64 = 40;
+/// How long no gateway may have answered before the store is read, in milliseconds. Gateways request reports
+/// every second, so four rounds were missed by then.
 pub const GATEWAY_PATIENCE: u64 = 4000;
-/// The pause between the first two questions, and after one that brought no list, in milliseconds. It
-/// doubles with each list, so that a fleet that starts is soon known.
-const FIRST_SPACING: u64 = 400;
-/// The pause between two questions later on, in milliseconds. The list is also asked for when a version is
-/// named.
-const SPACING: u64 = 20_000;
+/// Pause between the first two requests, and after one that returned no list, in milliseconds. It doubles
+/// with each list, so that a starting fleet is known soon.
+const FIRST_INTERVAL_MS: u64 = 400;
+/// Maximum pause between two requests, in milliseconds. The list is also requested when a version is
+/// announced.
+const MAX_INTERVAL_MS: u64 = 20_000;
 
-/// What came of a question for the other sidecars.
+/// The result of a request for the other sidecars.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryAnswer {
-    /// A list.
+    /// A gateway returned a list.
     List,
-    /// Gateways answered, but those asked do not hear the store, and an older list is here: the two may
-    /// differ, and nobody could tell which one is newer.
+    /// Gateways answered, but they do not receive data from the store, and this sidecar has an
+    /// older list. The two lists may differ, and it is unknown which one is newer.
     Stale,
-    /// Gateways answered that do not know the list yet.
+    /// Gateways answered, but they do not have the list yet.
     Pending,
     /// No gateway answered.
     Silent,
@@ -33,37 +34,37 @@
     NoGateway,
 }
 
-/// What follows.
+/// The next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DirectoryStep {
-    /// Whether the store's list is read now.
+    /// Whether to read the store's list now.
     pub read_store: bool,
-    /// When the next question is asked, in milliseconds from now.
+    /// Time until the next request, in milliseconds.
     pub pause_ms: u64,
 }
 
-/// The times at which a sidecar asks.
+/// The schedule of a sidecar's requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Directory {
-    spacing: u64,
-    /// When some gateway last answered or the store was last read.
+    interval_ms: u64,
+    /// When a gateway last answered or the store was last read.
     answered_at: Millis,
 }
 
 impl Directory {
-    /// A sidecar that starts now.
+    /// Creates the schedule of a sidecar that starts now.
     pub fn new(now: Millis) -> Self {
-        Self { spacing: FIRST_SPACING, answered_at: now }
+        Self { interval_ms: FIRST_INTERVAL_MS, answered_at: now }
     }
 
-    /// Takes in what came of a question.
+    /// Applies the result of a request and returns the next step.
     pub fn take_answer(&mut self, now: Millis, answer: DirectoryAnswer) -> DirectoryStep {
         let pause_ms = match answer {
-            DirectoryAnswer::List => self.next_spacing(),
+            DirectoryAnswer::List => self.next_interval_ms(),
             DirectoryAnswer::Stale | DirectoryAnswer::Pending | DirectoryAnswer::Silent => {
-                FIRST_SPACING
+                FIRST_INTERVAL_MS
             }
-            DirectoryAnswer::NoGateway => LOOK_EVERY,
+            DirectoryAnswer::NoGateway => GATEWAY_CHECK_INTERVAL_MS,
         };
         if matches!(answer, DirectoryAnswer::List | DirectoryAnswer::Stale) {
             self.answered_at = now;
@@ -75,9 +76,9 @@
         DirectoryStep { read_store, pause_ms }
     }
 
-    fn next_spacing(&mut self) -> u64 {
-        let spacing = self.spacing;
-        self.spacing = (spacing * 2).min(SPACING);
-        spacing
+    fn next_interval_ms(&mut self) -> u64 {
+        let interval_ms = self.interval_ms;
+        self.interval_ms = (interval_ms * 2).min(MAX_INTERVAL_MS);
+        interval_ms
     }
 }
--- a/components/rollout/src/event.rs
+++ b/components/rollout/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a sidecar and what it does.
+//! The events and effects of a sidecar.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,244 +14,247 @@
 use crate::cold::{ColdLimit, ColdPlan};
 use crate::questions::{Question, Verdict};
 
-/// Numbers that a sidecar works with.
+/// The settings of a sidecar.
 #[derive(Clone, Debug)]
 pub struct RolloutOptions {
-    /// The name of this sidecar among the others.
+    /// The ID of this sidecar.
     pub me: InstanceId,
-    /// Where it stands.
+    /// The location of this sidecar.
     pub place: Place,
-    /// Its link, in bytes a second.
+    /// The bandwidth of its link, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// What control messages may cost, in bytes a second.
+    /// The bandwidth for control messages, in bytes per second.
     pub control_bytes_per_s: u64,
-    /// Within how many milliseconds a named version must be served.
+    /// Time from the announcement of a version until it must be served, in milliseconds.
     pub version_ms: u64,
-    /// Within how many milliseconds nothing is sent to a hall that is evacuated. `None` where halls are not
-    /// evacuated.
+    /// Time from the acknowledgement of an evacuation until no more requests are sent to the hall, in
+    /// milliseconds. `None` if halls are not evacuated.
     pub evacuate_ms: Option<u64>,
-    /// How much a cold runner gets at most. `None` where runners do not start cold.
+    /// The request limit of a cold runner. `None` if runners do not start cold.
     pub cold: Option<ColdLimit>,
-    /// Mechanisms that are switched off for a measurement.
+    /// Mechanisms disabled for a measurement.
     pub ablation: Ablation,
 }
 
-/// What the configuration says of the weights of this runner's service.
+/// The configuration for the weights of this runner's service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightsPlan {
     /// The model.
     pub model: ModelName,
-    /// How long the runner takes to start a whole version, in milliseconds.
+    /// Time the runner takes to load a complete version, in milliseconds.
     pub warm_ms: u64,
-    /// The origin's link, in bytes a second.
+    /// The bandwidth of the origin's link, in bytes per second.
     pub origin_bytes_per_s: u64,
-    /// Requests that the runner works on at once.
+    /// Number of requests that the runner processes concurrently.
     pub slots: u32,
-    /// Prompt tokens that the runner reads in a millisecond.
+    /// Prompt tokens that the runner processes per millisecond.
     pub prompt_tokens_per_ms: f64,
-    /// How the runner starts cold, if it does.
+    /// The cold start of the runner, if it has one.
     pub cold: Option<ColdPlan>,
 }
 
-/// A sidecar beside a runner of the same service.
+/// A sidecar of another runner of the same service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Its name.
+    /// The ID of the sidecar.
     pub id: InstanceId,
-    /// Where it stands.
+    /// The location.
     pub place: Place,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// The version that its runner serves, by the list of runners.
+    /// The version that its runner serves, according to the list of runners.
     pub version: Option<u64>,
 }
 
-/// What the runner says of itself.
+/// A status report of the runner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerStatus {
-    /// When it started, in milliseconds of Unix time, where it tells that.
+    /// Start time of the runner, in milliseconds of Unix time, if it reports one.
     pub born: Option<u64>,
-    /// Orders that it has taken since it started.
+    /// Number of orders accepted since the start.
     pub sequence: u64,
-    /// Whether it is taking an order now.
+    /// Whether the runner is executing an order.
     pub busy: bool,
-    /// Requests that it works on, and those that wait there.
+    /// Number of requests at the runner, running or waiting.
     pub running: u32,
-    /// Those of them that wait.
+    /// Number of requests waiting at the runner.
     pub waiting: u32,
-    /// The version of which it holds every layer. `None` if it holds none or a mixture.
+    /// The version of which the runner holds every layer. `None` if it holds none or a mixture.
     pub version: Option<u64>,
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The runner took it, or holds the version already.
+    /// The runner accepted the order, or already holds the version.
     Taken,
-    /// The runner refused it, for its state is another one than thought.
+    /// The runner rejected the order because its state differs from the expected one.
     Refused,
-    /// No answer came: it may have been taken.
+    /// No response arrived. The order may have been accepted.
     Unanswered,
 }
 
-/// What happens to a sidecar.
+/// An event at a sidecar.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Bounds have changed.
+    /// The deadlines have changed.
     Bounded {
-        /// Within how many milliseconds a named version must be served.
+        /// Time from the announcement of a version until it must be served, in milliseconds.
         version_ms: u64,
-        /// Within how many nothing is sent to a hall that is evacuated.
+        /// Time from the acknowledgement of an evacuation until no more requests are sent to the hall, in
+        /// milliseconds.
         evacuate_ms: Option<u64>,
     },
-    /// How much a cold runner gets at most has changed.
+    /// The request limit of a cold runner has changed.
     ColdBounded(Option<ColdLimit>),
-    /// The configuration says this of the weights.
+    /// The configuration of the weights was received.
     Planned(WeightsPlan),
-    /// This version should be served.
+    /// A version was announced that runners should serve.
     Named {
         /// The version.
         version: u64,
-        /// The earliest moment that somebody knows it to have been named at. `None` where nobody told.
+        /// The earliest known time of the announcement. `None` if unknown.
         named_at: Option<Millis>,
-        /// What the store's clock showed, in milliseconds, when it had not been named yet, where that moment is by it.
+        /// The store's clock, in milliseconds, when the version had not been announced yet, if `named_at` is
+        /// derived from it.
         after_ms: Option<u64>,
     },
-    /// Every version that was named before now has been told of.
+    /// All versions announced before now have been reported.
     VersionsKnown,
-    /// The runner said this of itself.
+    /// The runner sent a status report.
     Status(RunnerStatus),
-    /// The process goes on after it stood still, for a while in which it heard nothing.
+    /// The process resumes after a suspension during which it received nothing.
     Woke,
-    /// Whether the runner says that it is leaving, where that has changed.
+    /// The runner has started or stopped reporting that it is leaving.
     RunnerLeaves(bool),
-    /// What the runner's report says of a rate limit, and when the report was asked for.
+    /// The rate limit in the runner's report, and the time at which the report was requested.
     LimitReported(Millis, RateWord),
-    /// What a gateway heard of the runner's rate limit.
+    /// A gateway reported the runner's rate limit.
     LimitTold(ToldLimit),
-    /// By the list of runners the runner is cold for so many milliseconds more.
+    /// According to the list of runners, the runner stays cold for this many milliseconds.
     ColdFor(u64),
-    /// The runner does not answer.
+    /// The runner does not respond.
     Silent,
-    /// The manifest of a version arrived.
+    /// The manifest of a version was received.
     Described(u64, Arc<Manifest>),
-    /// The manifest of a version did not arrive.
+    /// The manifest of a version could not be fetched.
     Undescribed(u64),
-    /// These chunks of a version lie at the runner, verified.
+    /// These chunks of a version are stored at the runner and were verified.
     Found(u64, Bitmap),
-    /// A chunk arrived; `verified` tells whether its digest is right.
+    /// A chunk was received.
     Arrived {
         /// The version.
         version: u64,
-        /// The chunk.
+        /// The index of the chunk.
         index: u32,
-        /// From where.
+        /// The source of the chunk.
         source: DrawSource,
-        /// Whether its digest is right.
+        /// Whether its digest matches the manifest.
         verified: bool,
     },
-    /// A chunk did not arrive.
+    /// A chunk could not be fetched.
     Missed {
         /// The version.
         version: u64,
-        /// The chunk.
+        /// The index of the chunk.
         index: u32,
-        /// From where.
+        /// The source of the chunk.
         source: DrawSource,
-        /// Why.
+        /// The error.
         code: Code,
     },
-    /// Every chunk of a version was put at the runner just now; or not.
+    /// Whether all chunks of a version were just written to the runner.
     Staged(u64, bool),
-    /// What became of an order for a version.
+    /// The result of an order for a version.
     Ordered(u64, OrderOutcome),
-    /// Who receives or holds weights of the same model.
+    /// The sidecars of all runners that receive or hold weights of the same model.
     Peers(Vec<Peer>),
-    /// A sidecar that a chunk came from holds these chunks.
+    /// The chunks held by a sidecar that a chunk was fetched from.
     Holdings {
-        /// Who.
+        /// The sidecar.
         of: InstanceId,
         /// The version.
         version: u64,
         /// The chunks.
         have: Bitmap,
     },
-    /// Another sidecar holds these chunks of a version.
+    /// A summary of the chunks of a version that another sidecar holds.
     Summary {
-        /// Who.
+        /// The sidecar.
         from: InstanceId,
-        /// Where it listens.
+        /// The address it listens on.
         address: SocketAddr,
-        /// Where it stands.
+        /// The location.
         place: Place,
         /// The version.
         version: u64,
         /// The chunks.
         have: Bitmap,
     },
-    /// Another sidecar gave its runner an order.
+    /// Another sidecar sent an order to its runner.
     PeerOrdered,
-    /// Another sidecar remembers that this one gave the last order, in an earlier life.
+    /// Another sidecar reports that this one sent the latest order before it restarted.
     GaveLastOrder,
-    /// These data halls are evacuated, as a gateway says.
+    /// A gateway reported the evacuated data halls.
     Evacuations(EvacuationList),
-    /// A gateway asks for a place at the runner.
+    /// A gateway requests a reservation at the runner.
     Asked(Question),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// Where a manifest is asked for.
+/// The source of a manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ManifestSource {
-    /// At the origin of weights, which takes few connections.
+    /// The origin of the weights, which accepts few connections.
     Origin,
-    /// At the sidecar that listens here.
+    /// The sidecar that listens on this address.
     Peer(SocketAddr),
 }
 
-/// What a sidecar does.
+/// An action requested by the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Ask for the manifest of a version.
+    /// Fetch the manifest of a version.
     Describe(u64, ManifestSource),
-    /// Read and verify what lies at the runner.
+    /// Read and verify the chunks stored at the runner.
     Find(u64),
-    /// Draw a chunk of a version.
+    /// Fetch a chunk of a version.
     Draw(u64, Draw),
-    /// Tell another sidecar which chunks of a version are held.
+    /// Send a summary of the held chunks of a version to another sidecar.
     Summarize {
-        /// Whom.
+        /// The address of the sidecar.
         to: SocketAddr,
         /// The version.
         version: u64,
         /// The chunks.
         have: Bitmap,
     },
-    /// Log that the runner has started anew, or that its word is not of the life that is known.
+    /// Log that the runner has restarted, or that its report is not about the known run.
     Life(LifeChange, LifeWord),
-    /// Log that the runner's rate limit has changed. `None`: it has ended.
+    /// Log a change of the runner's rate limit. `None` if it has ended.
     Limit(Option<Rate>),
-    /// Answer a gateway's question for a place.
+    /// Answer a gateway's reservation request.
     Answer(Question, Verdict),
-    /// Log that a data hall is evacuated or taken back, and tell gateways how the runner stands.
+    /// Log that the evacuation of a data hall has started or ended, and report the runner's state to
+    /// gateways.
     Evacuation(EvacuationChange),
-    /// Put every chunk of a version at the runner.
+    /// Write all chunks of a version to the runner.
     Stage(u64),
-    /// Order the runner to give up all but a part of a version, so that no request can begin on it.
+    /// Order the runner to drop a part of a version, so that no request can start on it.
     Retire {
-        /// The version that it holds.
+        /// The version that the runner holds.
         version: u64,
-        /// The number of orders that the runner is expected to have taken.
+        /// The expected number of orders accepted by the runner.
         sequence: u64,
     },
-    /// Order the runner to take a version.
+    /// Order the runner to load a version.
     Order {
         /// The version.
         version: u64,
-        /// The number of orders that the runner is expected to have taken.
+        /// The expected number of orders accepted by the runner.
         sequence: u64,
-        /// Whether what runs is cut off. Otherwise it ends first.
+        /// Whether to abort running requests. Otherwise the runner completes them first.
         cut: bool,
     },
 }
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -1,13 +1,13 @@
-//! Every decision of a sidecar as one pure reducer: which version its runner should hold, how the
-//! chunks get there, and when the runner is ordered to take them.
+//! The decisions of a sidecar as one pure reducer: which version its runner should hold, how the chunks are
+//! fetched, and when the runner is ordered to load them.
 //!
-//! The spread of chunks between sidecars is that of `reducer`; this package adds the runner.
+//! The distribution of chunks between sidecars is in the `reducer` crate; this crate adds the runner.
 
 mod cold;
 mod directory;
 mod event;
-mod first_tries;
-mod manifests;
+mod first_attempts;
+mod manifest_searches;
 mod places;
 mod precedence;
 mod questions;
@@ -24,7 +24,7 @@
 };
 pub use places::{Denial, Places};
 pub use questions::{Question, Verdict};
-pub use rate::RateGate;
+pub use rate::RateLimiter;
 pub use reducer::Rollout;
 pub use reports::{Audience, Followers, Reports};
 pub use turns::turn;
--- a/components/rollout/src/places.rs
+++ b/components/rollout/src/places.rs
@@ -1,189 +1,190 @@
-//! Which requests may be sent to the runner: a gateway asks right before it sends one.
+//! Decides which requests may be sent to the runner. A gateway requests a reservation right before it sends a
+//! request.
 //!
-//! The sidecar knows what all gateways send, so a place is given once. And only a machine that is
-//! awake answers: what is sent to one that stands still would lie there and start much later.
+//! The sidecar knows the reservations of all gateways, so each slot is granted once. An answer also shows
+//! that the machine is responsive: a request sent to a suspended machine would stay there and start much later.
 
 use std::collections::VecDeque;
 
 use fleet::Millis;
 
-/// How long a request is on its way to the runner, in milliseconds. A report that is younger than
-/// its reservation may not count it yet.
-const TRANSIT: u64 = 12;
-/// The part of the runner's time that it may read prompts.
-const READING_SHARE: f64 = 0.9;
-/// The most prompt tokens that are saved up. A runner that rested takes one prompt and then the next one
-/// after it: two at once would make each other late.
-const MAX_CREDIT: f64 = 400.0;
-/// The least rate of reading that is reckoned with, in tokens a millisecond.
-const MIN_RATE: f64 = 0.1;
-/// The shortest time after which to ask again, in milliseconds.
-pub(crate) const MIN_AGAIN: u64 = 5;
-/// The time after which to ask again where every place is taken, in milliseconds: within the time between
-/// two reports, in which some request usually ends.
-const FULL_AGAIN: u64 = 60;
-/// The time after which to ask again where the runner is being moved or its hall is evacuated, in milliseconds.
-const MOVE_AGAIN: u64 = 250;
-/// How long a report counts, in milliseconds.
-const REPORT_LIFE: u64 = 600;
-
-/// Why a place is not given.
+/// Time until a request arrives at the runner, in milliseconds. A report that is not older than this relative
+/// to a reservation may not include the request.
+const TRANSIT_MS: u64 = 12;
+/// Fraction of time in which the runner may process prompts.
+const PROMPT_TIME_FRACTION: f64 = 0.9;
+/// Maximum number of saved prompt tokens. An idle runner gets one prompt and then the next one after it; two
+/// at once would delay each other.
+const MAX_CREDIT_TOKENS: f64 = 400.0;
+/// Minimum prompt processing rate for calculations, in tokens per millisecond.
+const MIN_TOKENS_PER_MS: f64 = 0.1;
+/// Minimum retry delay, in milliseconds.
+pub(crate) const MIN_RETRY_MS: u64 = 5;
+/// Retry delay if all slots are in use, in milliseconds. It is within the interval of two reports, in which
+/// usually some request ends.
+const FULL_RETRY_MS: u64 = 60;
+/// Retry delay if the runner is switching versions or its hall is evacuated, in milliseconds.
+const SWITCH_RETRY_MS: u64 = 250;
+/// How long a report is valid, in milliseconds.
+const REPORT_VALID_MS: u64 = 600;
+
+/// The reason why a reservation is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// Its data hall is evacuated.
+    /// The runner's data hall is evacuated.
     Evacuated,
-    /// The runner says that it is leaving.
+    /// The runner reports that it is leaving.
     RunnerLeaves,
-    /// The runner is about to be ordered.
-    Leaving,
-    /// The version that it holds may hardly be used any more.
+    /// An order to the runner is due.
+    OrderDue,
+    /// The version at the runner is close to or past its deadline.
     TooOld,
-    /// This machine gave the last order of all, and the version that its runner holds is not the
-    /// newest: what waits at the runner must not start there much later.
+    /// This machine sent the latest order of all sidecars, and its runner does not hold the newest version. A
+    /// request that waits at the runner must not start much later.
     LastOrder,
-    /// It is cold, and has got as much as it bears.
+    /// The runner is cold and has reached its request limit.
     Cold,
-    /// It names a rate of requests that it takes, and has got as many.
+    /// The runner advertises a rate limit and has reached it.
     Limited,
-    /// Every place is taken.
+    /// All slots are in use.
     Full,
-    /// It still reads the prompts that came before.
-    Reading,
-    /// First tries of other callers go before this later one.
-    Later,
-    /// It was not heard lately.
-    Unheard,
-    /// It holds no whole version, or is taking one.
+    /// The runner is still processing earlier prompts.
+    ProcessingPrompts,
+    /// First attempts of other callers take precedence over this repeated attempt.
+    RepeatedAttempt,
+    /// There is no recent report from the runner.
+    NoRecentReport,
+    /// The runner holds no complete version, or is loading one.
     NotServing,
 }
 
 impl Denial {
-    /// Whether a place may come free within a fraction of a second.
+    /// Returns whether a slot may become free within a fraction of a second.
     pub(crate) fn is_short(self) -> bool {
-        matches!(self, Self::Cold | Self::Limited | Self::Full | Self::Reading)
+        matches!(self, Self::Cold | Self::Limited | Self::Full | Self::ProcessingPrompts)
     }
 
-    /// The word in logs.
+    /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Evacuated => "evacuated",
             Self::RunnerLeaves => "runner_leaves",
-            Self::Leaving => "leaving",
+            Self::OrderDue => "leaving",
             Self::TooOld => "too_old",
             Self::LastOrder => "last_order",
             Self::Cold => "cold",
             Self::Limited => "limited",
             Self::Full => "full",
-            Self::Reading => "reading",
-            Self::Later => "later",
-            Self::Unheard => "unheard",
+            Self::ProcessingPrompts => "reading",
+            Self::RepeatedAttempt => "later",
+            Self::NoRecentReport => "unheard",
             Self::NotServing => "not_serving",
         }
     }
 }
 
-/// The places of a runner.
+/// The slots of a runner.
 #[derive(Clone, Debug, Default)]
 pub struct Places {
     slots: u32,
     tokens_per_ms: f64,
-    /// Requests at the runner by its last report, and when that was.
+    /// Number of requests at the runner by its latest report, and the time of the report.
     reported: Option<(u32, Millis)>,
-    /// When places were given that the last report may not count.
-    given: VecDeque<Millis>,
-    /// Prompt tokens that may still come, and when that was counted.
+    /// Grant times of slots that the latest report may not include.
+    granted: VecDeque<Millis>,
+    /// Prompt tokens that may still be sent, and the time of this value.
     credit: (f64, Millis),
-    /// Whether prompts may come faster than the runner reads them.
-    unpaced: bool,
+    /// Whether prompts may be sent faster than the runner processes them.
+    pacing_disabled: bool,
 }
 
 impl Places {
-    /// Lets prompts come faster than the runner reads them.
-    pub fn stop_pacing(&mut self) {
-        self.unpaced = true;
+    /// Allows prompts to be sent faster than the runner processes them.
+    pub fn disable_pacing(&mut self) {
+        self.pacing_disabled = true;
     }
 
-    /// Takes in how many requests the runner works on at once, and how fast it reads prompts.
+    /// Sets the number of requests that the runner processes concurrently, and its prompt processing rate.
     pub fn set_profile(&mut self, slots: u32, tokens_per_ms: f64) {
         self.slots = slots;
         self.tokens_per_ms = tokens_per_ms;
     }
 
-    /// Forgets what is at the runner and on its way there: it has started anew.
-    pub fn forget(&mut self) {
+    /// Discards the requests at the runner and in transit, because the runner has restarted.
+    pub fn reset(&mut self) {
         self.reported = None;
-        self.given.clear();
+        self.granted.clear();
     }
 
-    /// Takes in how many requests are at the runner.
-    pub fn take_report(&mut self, now: Millis, requests: u32) {
+    /// Applies the number of requests at the runner.
+    pub fn apply_report(&mut self, now: Millis, requests: u32) {
         self.reported = Some((requests, now));
-        while self.given.front().is_some_and(|at| now.since(*at).0 > TRANSIT) {
-            self.given.pop_front();
+        while self.granted.front().is_some_and(|at| now.since(*at).0 > TRANSIT_MS) {
+            self.granted.pop_front();
         }
     }
 
-    /// After how many milliseconds it is worth asking again.
-    pub fn again_ms(&self, now: Millis, denial: Denial) -> u64 {
+    /// Delay after which a retry may succeed, in milliseconds.
+    pub fn retry_delay_ms(&self, now: Millis, denial: Denial) -> u64 {
         match denial {
-            Denial::Reading => self.reading_ms(now) + MIN_AGAIN,
-            Denial::Full | Denial::Cold | Denial::Limited => FULL_AGAIN,
-            Denial::Later => MIN_AGAIN,
-            Denial::Leaving | Denial::TooOld | Denial::LastOrder => MOVE_AGAIN,
-            Denial::Evacuated | Denial::RunnerLeaves => MOVE_AGAIN,
-            Denial::Unheard | Denial::NotServing => MOVE_AGAIN,
+            Denial::ProcessingPrompts => self.reading_ms(now) + MIN_RETRY_MS,
+            Denial::Full | Denial::Cold | Denial::Limited => FULL_RETRY_MS,
+            Denial::RepeatedAttempt => MIN_RETRY_MS,
+            Denial::OrderDue | Denial::TooOld | Denial::LastOrder => SWITCH_RETRY_MS,
+            Denial::Evacuated | Denial::RunnerLeaves => SWITCH_RETRY_MS,
+            Denial::NoRecentReport | Denial::NotServing => SWITCH_RETRY_MS,
         }
     }
 
-    /// How long the runner still reads the prompts that it was given, in milliseconds.
+    /// Time the runner needs for the prompts that it has received, in milliseconds.
     pub fn reading_ms(&self, now: Millis) -> u64 {
-        let missing = -self.credit(now);
-        let rate = (self.tokens_per_ms * READING_SHARE).max(MIN_RATE);
-        (missing / rate).max(0.0) as u64
+        let missing_tokens = -self.credit(now);
+        let prompt_rate = (self.tokens_per_ms * PROMPT_TIME_FRACTION).max(MIN_TOKENS_PER_MS);
+        (missing_tokens / prompt_rate).max(0.0) as u64
     }
 
-    /// Requests that the runner works on at once.
+    /// Number of requests that the runner processes concurrently.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Requests that are at the runner or on their way to it.
+    /// Number of requests at the runner or in transit to it.
     pub fn taken(&self) -> u32 {
-        self.reported.map_or(0, |(requests, _)| requests) + self.given.len() as u32
+        self.reported.map_or(0, |(requests, _)| requests) + self.granted.len() as u32
     }
 
-    /// Whether it has rested and another place stays free when one is given.
-    pub fn is_roomy(&self, now: Millis) -> bool {
-        self.taken() + 1 < self.slots && self.credit(now) >= MAX_CREDIT
+    /// Returns whether the runner has been idle and keeps a free slot if another one is granted.
+    pub fn has_spare_slot(&self, now: Millis) -> bool {
+        self.taken() + 1 < self.slots && self.credit(now) >= MAX_CREDIT_TOKENS
     }
 
-    /// Whether a request is still on its way.
-    pub fn awaits_arrival(&self, now: Millis) -> bool {
-        self.given.back().is_some_and(|at| now.since(*at).0 <= 2 * TRANSIT)
+    /// Returns whether a request may still be in transit.
+    pub fn has_request_in_transit(&self, now: Millis) -> bool {
+        self.granted.back().is_some_and(|at| now.since(*at).0 <= 2 * TRANSIT_MS)
     }
 
-    /// Gives a place to a request with a prompt of so many tokens, if there is one. Prompts that come
-    /// faster than the runner reads would only wait for each other.
-    pub fn give(&mut self, now: Millis, prompt_tokens: u32) -> Result<(), Denial> {
-        let fresh = self.reported.is_some_and(|(_, at)| now.since(at).0 <= REPORT_LIFE);
-        if !fresh {
-            return Err(Denial::Unheard);
+    /// Grants a slot to a request with a prompt of `prompt_tokens` tokens, if one is free. Prompts that are
+    /// sent faster than the runner processes them would only wait for each other.
+    pub fn grant(&mut self, now: Millis, prompt_tokens: u32) -> Result<(), Denial> {
+        let is_recent = self.reported.is_some_and(|(_, at)| now.since(at).0 <= REPORT_VALID_MS);
+        if !is_recent {
+            return Err(Denial::NoRecentReport);
         }
         if self.taken() >= self.slots {
             return Err(Denial::Full);
         }
         let credit = self.credit(now);
-        if credit <= 0.0 && !self.unpaced {
-            return Err(Denial::Reading);
+        if credit <= 0.0 && !self.pacing_disabled {
+            return Err(Denial::ProcessingPrompts);
         }
         self.credit = (credit - f64::from(prompt_tokens), now);
-        self.given.push_back(now);
+        self.granted.push_back(now);
         Ok(())
     }
 
     fn credit(&self, now: Millis) -> f64 {
         let (credit, at) = self.credit;
-        let gained = now.since(at).0 as f64 * self.tokens_per_ms * READING_SHARE;
-        (credit + gained).min(MAX_CREDIT)
+        let gained_tokens = now.since(at).0 as f64 * self.tokens_per_ms * PROMPT_TIME_FRACTION;
+        (credit + gained_tokens).min(MAX_CREDIT_TOKENS)
     }
 }
--- a/components/rollout/src/questions.rs
+++ b/components/rollout/src/questions.rs
@@ -1,7 +1,7 @@
-//! Questions of gateways for a place at the runner, and those that wait for one.
+//! Reservation requests of gateways, and the queue of those that wait for a slot.
 //!
-//! A gateway that is refused would only ask again, here or at another sidecar. One that may wait is
-//! answered as soon as a place comes free, in order of rank and of what is left of its aim.
+//! A rejected gateway would only retry, here or at another sidecar. A request that may wait is answered as
+//! soon as a slot is free, ordered by rank and by the time left of its latency target.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,118 +10,121 @@
 
 use crate::places::Denial;
 
-/// Questions that may wait. More would not be answered in time.
+/// Maximum number of waiting requests. More would not be answered in time.
 const MAX_WAITING: usize = 8;
 
-/// A gateway wants to send a request.
+/// A gateway's request for a slot at the runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
-    /// Where the gateway listens.
+    /// The address of the gateway.
     pub asker: SocketAddr,
-    /// The gateway's number for the question.
+    /// The gateway's number for this reservation request.
     pub number: u64,
-    /// The request, by the id that its caller gave it, for the log.
+    /// The ID that the caller gave to the request, for the log.
     pub request: String,
-    /// Tokens of the request's prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The rank of the request; zero goes first.
+    /// The rank of the request; 0 is served first.
     pub rank: u8,
-    /// What is left of its aim, in milliseconds. Zero for a later try of a caller that was refused.
+    /// Time left of the latency target, in milliseconds. Zero for a repeated attempt of a rejected caller.
     pub left_ms: u64,
-    /// How long it may wait for a place, in milliseconds.
+    /// How long the request may wait for a slot, in milliseconds.
     pub wait_ms: u64,
 }
 
 impl Question {
-    /// Whether it is for a later try of a caller that was refused.
-    pub(crate) fn is_later(&self) -> bool {
+    /// Returns whether this is a repeated attempt of a rejected caller.
+    pub(crate) fn is_repeated(&self) -> bool {
         self.left_ms == 0
     }
 }
 
-/// What a sidecar says to a question.
+/// The answer to a reservation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The request may be sent now.
+    /// The gateway may send the request now.
     Granted,
-    /// The question waits. Another answer follows.
+    /// The reservation request is queued. Another answer follows.
     Queued,
-    /// The request is not to be sent here.
+    /// The gateway must not send the request here.
     Denied {
-        /// Why.
+        /// The reason.
         denial: Denial,
-        /// After how many milliseconds it is worth asking again.
+        /// Delay after which a retry may succeed, in milliseconds.
         again_ms: u64,
-        /// How long places have been short here, in milliseconds.
+        /// Duration of the current shortage of slots, in milliseconds.
         short_ms: u64,
     },
 }
 
-/// A question's place in the order: rank, then first tries before later ones, then the end of its aim.
-type Order = (u8, bool, Millis);
+/// The position in the queue: by rank, then first attempts before repeated ones, then by the end of the
+/// latency target.
+type QueueOrder = (u8, bool, Millis);
 
-/// A question that waits, and until when.
+/// A queued reservation request.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedQuestion {
     pub(crate) question: Question,
     pub(crate) until: Millis,
-    order: Order,
+    order: QueueOrder,
 }
 
-fn order_of(now: Millis, question: &Question) -> Order {
-    (question.rank, question.is_later(), now.plus(question.left_ms))
+fn queue_order(now: Millis, question: &Question) -> QueueOrder {
+    (question.rank, question.is_repeated(), now.plus(question.left_ms))
 }
 
-/// The questions that wait, in the order in which they are answered.
+/// The queue of reservation requests, in the order in which they are answered.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Questions {
-    waiting: VecDeque<Waiting>,
+pub(crate) struct QuestionQueue {
+    waiting: VecDeque<QueuedQuestion>,
 }
 
-impl Questions {
-    /// How many wait.
+impl QuestionQueue {
+    /// The number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether another one may wait.
+    /// Returns whether the queue has room for another request.
     pub(crate) fn has_room(&self) -> bool {
         self.waiting.len() < MAX_WAITING
     }
 
-    /// Whether a question has to wait for others.
-    pub(crate) fn is_behind(&self, now: Millis, question: &Question) -> bool {
-        self.waiting.front().is_some_and(|it| it.order <= order_of(now, question))
+    /// Returns whether a request must wait because an earlier one has the same or a higher priority.
+    pub(crate) fn must_wait(&self, now: Millis, question: &Question) -> bool {
+        self.waiting.front().is_some_and(|it| it.order <= queue_order(now, question))
     }
 
-    /// Lets a question wait, behind those that are as urgent.
+    /// Queues a request, after those with the same or a higher priority.
     pub(crate) fn push(&mut self, now: Millis, question: Question) {
-        let order = order_of(now, &question);
-        let behind = self.waiting.iter().rposition(|it| it.order <= order);
+        let order = queue_order(now, &question);
+        let last_before = self.waiting.iter().rposition(|it| it.order <= order);
         let until = now.plus(question.wait_ms);
-        self.waiting.insert(behind.map_or(0, |it| it + 1), Waiting { question, until, order });
+        self.waiting
+            .insert(last_before.map_or(0, |it| it + 1), QueuedQuestion { question, until, order });
     }
 
-    /// The question that is answered next.
+    /// The request to answer next.
     pub(crate) fn first(&self) -> Option<&Question> {
         self.waiting.front().map(|it| &it.question)
     }
 
-    /// Takes that question out.
+    /// Removes the request to answer next.
     pub(crate) fn pop(&mut self) -> Option<Question> {
         self.waiting.pop_front().map(|it| it.question)
     }
 
-    /// Takes out the questions whose time is over.
-    pub(crate) fn take_late(&mut self, now: Millis) -> Vec<Question> {
-        let (late, waiting) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|it: &Waiting| it.until <= now);
+    /// Removes the requests whose waiting time has expired.
+    pub(crate) fn take_expired(&mut self, now: Millis) -> Vec<Question> {
+        let (expired, waiting) = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .partition(|it: &QueuedQuestion| it.until <= now);
         self.waiting = waiting;
-        let late: VecDeque<Waiting> = late;
-        late.into_iter().map(|it| it.question).collect()
+        let expired: VecDeque<QueuedQuestion> = expired;
+        expired.into_iter().map(|it| it.question).collect()
     }
 
-    /// Takes out every question.
+    /// Removes all requests.
     pub(crate) fn take_all(&mut self) -> Vec<Question> {
         self.waiting.drain(..).map(|it| it.question).collect()
     }
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -13,11 +13,11 @@
 use crate::event::{
     Effect, Event, ManifestSource, OrderOutcome, Peer, RolloutOptions, RunnerStatus, WeightsPlan,
 };
-use crate::first_tries::FirstTries;
-use crate::manifests::Manifests;
+use crate::first_attempts::FirstAttempts;
+use crate::manifest_searches::ManifestSearches;
 use crate::places::Places;
-use crate::questions::Questions;
-use crate::rate::RateGate;
+use crate::questions::QuestionQueue;
+use crate::rate::RateLimiter;
 use crate::target::{Step, Target};
 use fleet::{
     Bitmap, Evacuations, InstanceId, LifeWord, Mechanism, Millis, NamedVersion, VersionName,
@@ -25,83 +25,83 @@
 };
 use reducer::DrawSource;
 
-/// The version that runners hold before any was named.
+/// The version that runners hold before any version is announced.
 const FIRST_VERSION: u64 = 1;
-/// How long the runner may take to show that it took an order, in milliseconds.
-const ORDER_PATIENCE: u64 = 1500;
-/// How long to wait after an order was refused, in milliseconds.
-const ORDER_PAUSE: u64 = 250;
-/// How long before its bound the last runner is ordered to take a version, in milliseconds. A runner
-/// that was ordered begins nothing new.
-const TAKE_MARGIN: u64 = 1500;
+/// How long the runner may take to report that it accepted an order, in milliseconds.
+const ORDER_TIMEOUT_MS: u64 = 1500;
+/// Pause after a rejected order, in milliseconds.
+const ORDER_RETRY_MS: u64 = 250;
+/// How long before the deadline the last runner is ordered to load a version, in milliseconds. A runner with
+/// a pending order starts no new requests.
+const LAST_ORDER_MARGIN_MS: u64 = 1500;
 
-/// Requests that an order may cut off. Gateways go on with them at other runners, which costs less
-/// than a runner that waits for its last few.
-const MAX_CUT: u32 = 2;
-/// How long a runner has to come down to so few, in milliseconds.
-const DRAIN_PATIENCE: u64 = 1500;
-/// How long the chunks of a version take to be put at the runner, in milliseconds.
-const STAGING: u64 = 20;
+/// Maximum number of running requests that an order may abort. Gateways resume them at other runners, which
+/// costs less than a runner that waits for its last few requests.
+const MAX_ABORTED_REQUESTS: u32 = 2;
+/// How long a runner may take to drain to `MAX_ABORTED_REQUESTS`, in milliseconds.
+const DRAIN_TIMEOUT_MS: u64 = 1500;
+/// Time for writing the chunks of a version to the runner, in milliseconds.
+const STAGING_MS: u64 = 20;
 
-/// How long after its start a sidecar expects others that started with it to appear, in milliseconds.
-const SETTLING: u64 = 15_000;
-/// How close two orders may be so that nobody can tell which was the last, in milliseconds.
-const ORDER_ORDER: u64 = 40;
+/// How long after its start a sidecar expects other sidecars that started with it to appear, in milliseconds.
+const STARTUP_MS: u64 = 15_000;
+/// Orders that are closer than this cannot be put in sequence, in milliseconds.
+const SIMULTANEOUS_ORDERS_MS: u64 = 40;
 
-/// How long after a standstill datagrams may still be read that came during it, in milliseconds.
-const OLD_DATAGRAMS: u64 = 150;
+/// How long after a suspension datagrams may still be read that arrived during it, in milliseconds.
+const OLD_DATAGRAMS_MS: u64 = 150;
 
 /// The state of a sidecar.
 pub struct Rollout {
     options: RolloutOptions,
     plan: Option<WeightsPlan>,
-    /// Whether the versions that were named are known.
+    /// Whether all announced versions are known.
     versions_known: bool,
-    /// When the process went on after it stood still, until it is told again.
-    woke_at: Option<Millis>,
-    /// The versions that were named.
-    names: VersionNames,
-    /// Since when requests have waited at the runner, if some do.
+    /// When the process resumed after a suspension, until it has received the current state again.
+    resumed_at: Option<Millis>,
+    /// The announced versions.
+    announced: VersionNames,
+    /// Since when requests have been waiting at the runner, if any are.
     waiting_since: Option<Millis>,
     status: Option<RunnerStatus>,
-    /// The last word of the runner on its life. It stays while the runner is silent.
+    /// The run of the runner by its latest report. Kept while the runner does not respond.
     life: Option<LifeWord>,
-    /// When the runner last said that, and when it was last ordered: words from before an order do not
-    /// tell what it does now.
+    /// When the runner last reported its status, and when this sidecar last sent it an order. A status from
+    /// before an order does not describe what the runner does now.
     status_at: Millis,
     own_order_at: Millis,
-    /// When the runner was last ordered to give up a version.
+    /// When the runner was last ordered to drop a version.
     retired_at: Option<Millis>,
-    /// Whether the runner says that it is leaving.
+    /// Whether the runner reports that it is leaving.
     runner_leaves: bool,
     places: Places,
     cold: ColdStart,
-    rate: RateGate,
-    questions: Questions,
-    first_tries: FirstTries,
-    manifests: Manifests,
-    /// When this sidecar gave an order, if no other one is known to have given one since. Trouble
-    /// strikes that machine first.
+    rate: RateLimiter,
+    questions: QuestionQueue,
+    first_attempts: FirstAttempts,
+    manifest_searches: ManifestSearches,
+    /// When this sidecar sent an order, unless another sidecar is known to have sent one since. Faults affect
+    /// the machine with the latest order first.
     ordered_at: Option<Millis>,
     /// `None` until the list of runners has been read.
     peers: Option<Vec<Peer>>,
     /// When the list of runners was first read, and when it last grew while the fleet started.
-    peers_first: Millis,
-    peers_since: Millis,
-    /// The data halls that are evacuated.
+    peers_first_at: Millis,
+    peers_grown_at: Millis,
+    /// The evacuated data halls.
     evacuations: Evacuations,
-    /// The version that the runner is moved to, or serves.
+    /// The version that the runner serves or is switched to.
     current: Option<Target>,
-    /// A newer version whose chunks still come while the runner is moved to the current one.
+    /// A newer version whose chunks are still being fetched while the runner is switched to the current one.
     next: Option<Target>,
 }
 
 impl Rollout {
-    /// Starts with nothing known.
+    /// Creates the state of a sidecar that knows nothing yet.
     pub fn new(options: RolloutOptions) -> Self {
         let mut places = Places::default();
         if !options.ablation.keeps(Mechanism::ReadingCredit) {
-            places.stop_pacing();
+            places.disable_pacing();
         }
         Self {
             evacuations: Evacuations::new(options.evacuate_ms, &options.ablation),
@@ -109,8 +109,8 @@
             options,
             plan: None,
             versions_known: false,
-            woke_at: None,
-            names: VersionNames::default(),
+            resumed_at: None,
+            announced: VersionNames::default(),
             waiting_since: None,
             status: None,
             life: None,
@@ -119,59 +119,59 @@
             retired_at: None,
             runner_leaves: false,
             places,
-            rate: RateGate::default(),
-            questions: Questions::default(),
-            first_tries: FirstTries::default(),
-            manifests: Manifests::default(),
+            rate: RateLimiter::default(),
+            questions: QuestionQueue::default(),
+            first_attempts: FirstAttempts::default(),
+            manifest_searches: ManifestSearches::default(),
             ordered_at: None,
             peers: None,
-            peers_first: Millis(0),
-            peers_since: Millis(0),
+            peers_first_at: Millis(0),
+            peers_grown_at: Millis(0),
             current: None,
             next: None,
         }
     }
 
-    /// The plan in force.
+    /// The plan in effect.
     pub fn plan(&self) -> Option<&WeightsPlan> {
         self.plan.as_ref()
     }
 
-    /// What the runner last said of itself.
+    /// The latest status of the runner.
     pub fn status(&self) -> Option<&RunnerStatus> {
         self.status.as_ref()
     }
 
-    /// The other sidecars.
+    /// The addresses of the other sidecars.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let others = self.peers.iter().flatten().filter(|it| it.id != self.options.me);
         others.map(|it| it.address).collect()
     }
 
-    /// The version that the runner is moved to, or serves.
+    /// The version that the runner serves or is switched to.
     pub fn wanted(&self) -> Option<u64> {
         self.current.as_ref().map(|it| it.version)
     }
 
-    /// The chunks of a version that are here.
+    /// The chunks of a version that this sidecar holds.
     pub fn have(&self, version: u64) -> Option<&Bitmap> {
         let mut targets = self.current.iter().chain(&self.next);
         targets.find(|it| it.version == version)?.have()
     }
 
-    /// The versions whose chunks come, oldest first, and those that are here.
+    /// The versions that are being fetched, oldest first, with the chunks that this sidecar holds.
     pub fn drawn(&self) -> impl Iterator<Item = (u64, &Bitmap)> {
         let targets = self.current.iter().chain(&self.next);
         targets.filter_map(|it| Some((it.version, it.have()?)))
     }
 
-    /// Takes in an event.
+    /// Applies an event and returns the resulting effects.
     pub fn reduce(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         match event {
             Event::Bounded { version_ms, evacuate_ms } => {
                 self.options.evacuate_ms = evacuate_ms;
                 self.evacuations.set_bound(evacuate_ms, &self.options.ablation);
-                self.change_bound(now, version_ms);
+                self.change_deadline(now, version_ms);
             }
             Event::ColdBounded(limit) => self.cold.set_limit(now, limit),
             Event::Planned(plan) => {
@@ -181,52 +181,53 @@
             }
             Event::Named { version, named_at, after_ms } => {
                 let (at, known) = (named_at.unwrap_or(now), named_at.is_some());
-                self.name(now, VersionName { version, at, known, after_ms });
+                self.record_announcement(now, VersionName { version, at, known, after_ms });
             }
             Event::VersionsKnown => {
-                if self.woke_at.is_none_or(|at| now.since(at).0 >= OLD_DATAGRAMS) {
-                    self.woke_at = None;
+                if self.resumed_at.is_none_or(|at| now.since(at).0 >= OLD_DATAGRAMS_MS) {
+                    self.resumed_at = None;
                     self.versions_known = true;
                 }
             }
-            // What was named or evacuated meanwhile is not known: a gateway tells within a second.
+            // Announcements and evacuations during the suspension are unknown. A gateway reports them within
+            // a second.
             Event::Woke => {
                 self.versions_known = false;
-                self.woke_at = Some(now);
-                return self.settle_questions(now);
+                self.resumed_at = Some(now);
+                return self.answer_queued(now);
             }
             Event::Status(status) => {
-                let mut effects = self.take_status(now, status);
-                effects.extend(self.settle_questions(now));
+                let mut effects = self.apply_status(now, status);
+                effects.extend(self.answer_queued(now));
                 return effects;
             }
             Event::RunnerLeaves(leaves) => {
                 self.runner_leaves = leaves;
-                return self.settle_questions(now);
+                return self.answer_queued(now);
             }
             Event::LimitReported(asked_at, word) => {
-                let is_news = self.rate.take_report(now, asked_at, word);
-                return self.note_limit(now, is_news);
+                let is_changed = self.rate.apply_report(now, asked_at, word);
+                return self.apply_limit_change(now, is_changed);
             }
             Event::LimitTold(told) => {
-                let is_news = self.rate.learn(now, self.born(), told);
-                return self.note_limit(now, is_news);
+                let is_changed = self.rate.learn(now, self.born(), told);
+                return self.apply_limit_change(now, is_changed);
             }
-            Event::ColdFor(left_ms) => self.cold.take_word(now, left_ms),
+            Event::ColdFor(left_ms) => self.cold.apply_report(now, left_ms),
             Event::Silent => {
                 self.status = None;
-                return self.settle_questions(now);
+                return self.answer_queued(now);
             }
             Event::Evacuations(list) => {
                 let changes = self.evacuations.take(now, &list).into_iter();
                 let mut effects: Vec<Effect> = changes.map(Effect::Evacuation).collect();
                 if !effects.is_empty() {
-                    effects.extend(self.settle_questions(now));
+                    effects.extend(self.answer_queued(now));
                 }
                 return effects;
             }
-            Event::Asked(question) => return vec![self.take_question(now, question)],
-            Event::Peers(peers) => self.take_peers(now, peers),
+            Event::Asked(question) => return vec![self.handle_question(now, question)],
+            Event::Peers(peers) => self.update_peers(now, peers),
             Event::Described(version, manifest) => {
                 let (Some(plan), Some(all)) = (self.plan.clone(), self.peers.clone()) else {
                     return Vec::new();
@@ -237,17 +238,17 @@
                     return Vec::new();
                 };
                 target.start_spread(now, &options, &plan, &all, manifest, serves);
-                if target.step == Step::Finding {
+                if target.step == Step::ReadingRunner {
                     return vec![Effect::Find(version)];
                 }
             }
             Event::Undescribed(version) => {
                 let me = self.options.me.clone();
                 if let Some(target) = self.target(version) {
-                    target.wait_for_manifest(now, &me);
+                    target.schedule_manifest_retry(now, &me);
                 }
             }
-            Event::Found(version, found) => self.take_found(version, &found),
+            Event::Found(version, found) => self.apply_found(version, &found),
             Event::Arrived { version, index, source, verified } => {
                 let mut effects = self.take_chunk(now, version, index, &source, verified);
                 effects.extend(self.advance(now));
@@ -260,7 +261,7 @@
                 return self.advance(now);
             }
             Event::Summary { from, address, place, version, have } => {
-                self.manifests.note_holder(now, version, address);
+                self.manifest_searches.note_holder(now, version, address);
                 if let Some(spread) = self.target(version).and_then(Target::spread_mut) {
                     spread.take_summary(now, &from, address, &place, have);
                 }
@@ -270,11 +271,14 @@
                     spread.take_holdings(now, &of, have);
                 }
             }
-            Event::Staged(version, sound) => return self.take_staged(now, version, sound),
-            Event::Ordered(version, outcome) => self.take_order_outcome(now, version, outcome),
+            Event::Staged(version, is_complete) => {
+                return self.apply_staged(now, version, is_complete)
+            }
+            Event::Ordered(version, outcome) => self.apply_order_outcome(now, version, outcome),
             Event::PeerOrdered => {
-                let clear = self.ordered_at.is_some_and(|at| now.since(at).0 > ORDER_ORDER);
-                if clear {
+                let is_distinct =
+                    self.ordered_at.is_some_and(|at| now.since(at).0 > SIMULTANEOUS_ORDERS_MS);
+                if is_distinct {
                     self.ordered_at = None;
                 }
             }
@@ -285,15 +289,14 @@
                 let mut effects = self.advance(now);
                 let changes = self.evacuations.settle(now).into_iter();
                 effects.extend(changes.map(Effect::Evacuation));
-                effects.extend(self.settle_questions(now));
+                effects.extend(self.answer_queued(now));
                 return effects;
             }
         }
         Vec::new()
     }
 
-    /// Takes in a chunk that arrived. Where one never has the right digest, it may be the manifest that is
-    /// wrong.
+    /// Applies a received chunk. If a chunk never has the right digest, the manifest itself may be wrong.
     fn take_chunk(
         &mut self,
         now: Millis,
@@ -308,13 +311,13 @@
         if let Some(spread) = target.spread_mut() {
             spread.take_chunk(now, index, source, verified);
         }
-        if !verified && target.doubts_manifest(index) {
+        if !verified && target.note_digest_mismatch(index) {
             return vec![Effect::Describe(version, ManifestSource::Origin)];
         }
         Vec::new()
     }
 
-    /// Whether the runner serves some version.
+    /// Returns whether the runner serves any version.
     fn serves(&self) -> bool {
         self.status.as_ref().is_some_and(|it| it.version.is_some())
     }
@@ -324,59 +327,60 @@
         targets.find(|it| it.version == version)
     }
 
-    /// Takes in a version that was named. Where nobody knows when that was, it counts from now until
-    /// somebody does.
-    fn name(&mut self, now: Millis, heard: VersionName) {
-        self.names.take(heard);
-        let named = self.names.get(heard.version);
-        if let Some((target, named)) = self.target(heard.version).zip(named) {
+    /// Records an announced version. If the time of the announcement is unknown, the current time is used
+    /// until another process reports it.
+    fn record_announcement(&mut self, now: Millis, report: VersionName) {
+        self.announced.take(report);
+        let named = self.announced.get(report.version);
+        if let Some((target, named)) = self.target(report.version).zip(named) {
             target.named = named;
         }
-        self.names.forget_before(now, self.options.version_ms);
+        self.announced.forget_before(now, self.options.version_ms);
     }
 
-    /// The newest version that was named, or the one before any was.
+    /// The newest announced version, or the initial version if none was announced.
     pub fn newest_named(&self) -> u64 {
-        self.newest_name().version
+        self.newest_announcement().version
     }
 
-    /// The version that was named last.
-    fn newest_name(&self) -> VersionName {
+    /// The newest announced version.
+    fn newest_announcement(&self) -> VersionName {
         let first =
             VersionName { version: FIRST_VERSION, at: Millis(0), known: false, after_ms: None };
-        self.names.newest().unwrap_or(first)
+        self.announced.newest().unwrap_or(first)
     }
 
-    /// The versions that were named, as gateways are told of them, each until its bound is over. Oldest first.
+    /// The announced versions to report to gateways, each until its deadline, oldest first.
     pub fn named_versions(&self, now: Millis) -> Vec<NamedVersion> {
         let Some(plan) = &self.plan else {
             return Vec::new();
         };
         let version_ms = self.options.version_ms;
-        let binds = |it: &VersionName| it.known && now.since(it.at).0 <= version_ms;
-        let told = self.names.told(now, version_ms).filter(binds).map(|it| NamedVersion {
-            model: plan.model.clone(),
-            version: it.version,
-            age_ms: self.keeps(Mechanism::VersionAges).then(|| now.since(it.at).0),
-            after_ms: it.after_ms.filter(|_| self.keeps(Mechanism::VersionAges)),
-        });
-        told.collect()
+        let is_reportable = |it: &VersionName| it.known && now.since(it.at).0 <= version_ms;
+        let reports =
+            self.announced.told(now, version_ms).filter(is_reportable).map(|it| NamedVersion {
+                model: plan.model.clone(),
+                version: it.version,
+                age_ms: self.keeps(Mechanism::VersionAges).then(|| now.since(it.at).0),
+                after_ms: it.after_ms.filter(|_| self.keeps(Mechanism::VersionAges)),
+            });
+        reports.collect()
     }
 
-    /// Whether a mechanism is at work.
+    /// Returns whether a mechanism is enabled.
     fn keeps(&self, mechanism: Mechanism) -> bool {
         self.options.ablation.keeps(mechanism)
     }
 
-    /// Turns to the version that was named last, or finishes the one before it first.
-    fn follow_name(&mut self, now: Millis) {
-        let named = self.newest_name();
+    /// Starts to fetch the newest announced version, or completes the previous one first.
+    fn follow_announcement(&mut self, now: Millis) {
+        let named = self.newest_announcement();
         let newest = self.next.as_ref().or(self.current.as_ref()).map_or(0, |it| it.version);
         if named.version <= newest {
             return;
         }
         let target = Target::new(named);
-        if self.is_finished_before(now, &target) {
+        if self.is_completed_before(now, &target) {
             self.next = Some(target);
         } else {
             self.current = Some(target);
@@ -384,60 +388,60 @@
         }
     }
 
-    fn take_peers(&mut self, now: Millis, peers: Vec<Peer>) {
+    fn update_peers(&mut self, now: Millis, peers: Vec<Peer>) {
         let known: BTreeSet<&InstanceId> = peers.iter().map(|it| &it.id).collect();
         let before = self.peers.take().unwrap_or_default();
         let gone: Vec<Peer> = before.iter().filter(|it| !known.contains(&it.id)).cloned().collect();
         for target in self.current.iter_mut().chain(&mut self.next) {
-            target.take_peers(now, &peers, &gone);
+            target.update_peers(now, &peers, &gone);
         }
         let known: BTreeSet<&InstanceId> = before.iter().map(|it| &it.id).collect();
-        let grown = peers.iter().any(|it| !known.contains(&it.id));
-        let settling = now.since(self.peers_first).0 < SETTLING;
-        if self.peers_first == Millis(0) {
-            (self.peers_first, self.peers_since) = (now, now);
-        } else if grown && settling {
-            self.peers_since = now;
+        let has_grown = peers.iter().any(|it| !known.contains(&it.id));
+        let is_starting = now.since(self.peers_first_at).0 < STARTUP_MS;
+        if self.peers_first_at == Millis(0) {
+            (self.peers_first_at, self.peers_grown_at) = (now, now);
+        } else if has_grown && is_starting {
+            self.peers_grown_at = now;
         }
         self.peers = Some(peers);
     }
 
-    fn take_found(&mut self, version: u64, found: &Bitmap) {
+    fn apply_found(&mut self, version: u64, found: &Bitmap) {
         let Some(target) = self.target(version) else {
             return;
         };
         if let Some(spread) = target.spread_mut() {
             spread.adopt(found);
         }
-        if target.step == Step::Finding {
-            target.step = Step::Drawing;
+        if target.step == Step::ReadingRunner {
+            target.step = Step::Fetching;
         }
     }
 
-    fn take_staged(&mut self, now: Millis, version: u64, sound: bool) -> Vec<Effect> {
-        let (free, knows) = (self.is_runner_free(), self.versions_known);
+    fn apply_staged(&mut self, now: Millis, version: u64, is_complete: bool) -> Vec<Effect> {
+        let (is_ready, knows_versions) = (self.is_runner_ready_for_order(), self.versions_known);
         let status = self.status.clone();
         let Some(target) = self.target(version).filter(|it| it.step == Step::Staging) else {
             return Vec::new();
         };
-        let Some(status) = status.filter(|_| sound && free && knows) else {
-            target.step = Step::Waiting(now.plus(ORDER_PAUSE));
+        let Some(status) = status.filter(|_| is_complete && is_ready && knows_versions) else {
+            target.step = Step::Waiting(now.plus(ORDER_RETRY_MS));
             return Vec::new();
         };
         target.step = Step::Ordered(now, status.sequence);
         self.ordered_at = Some(now);
         self.own_order_at = now;
-        let cut = status.running > 0 && status.running <= MAX_CUT;
+        let cut = status.running > 0 && status.running <= MAX_ABORTED_REQUESTS;
         vec![Effect::Order { version, sequence: status.sequence, cut }]
     }
 
-    fn take_order_outcome(&mut self, now: Millis, version: u64, outcome: OrderOutcome) {
+    fn apply_order_outcome(&mut self, now: Millis, version: u64, outcome: OrderOutcome) {
         let Some(target) = self.target(version) else {
             return;
         };
-        // What was taken, or may have been, shows in the runner's next words of itself.
+        // An order that was accepted, or may have been, is visible in the runner's next status.
         if matches!(target.step, Step::Ordered(..)) && outcome == OrderOutcome::Refused {
-            target.step = Step::Waiting(now.plus(ORDER_PAUSE));
+            target.step = Step::Waiting(now.plus(ORDER_RETRY_MS));
         }
     }
 }
--- a/components/rollout/src/reducer/moves.rs
+++ b/components/rollout/src/reducer/moves.rs
@@ -1,37 +1,37 @@
-//! How the runner comes to hold a version: chunks are drawn, its turn is awaited, it is ordered.
+//! Switches the runner to a version: fetches the chunks, waits for the scheduled time and sends the order.
 
 use fleet::{Mechanism, Millis};
 use reducer::OriginShare;
 
-use super::admission::START_MARGIN;
-use super::{Rollout, DRAIN_PATIENCE, MAX_CUT, TAKE_MARGIN};
+use super::admission::START_MARGIN_MS;
+use super::{Rollout, DRAIN_TIMEOUT_MS, LAST_ORDER_MARGIN_MS, MAX_ABORTED_REQUESTS};
 use crate::event::Effect;
-use crate::precedence::{self, Remainder};
+use crate::precedence::{self, RemainingWork};
 use crate::target::{Step, Target};
 use crate::turns;
 
 impl Rollout {
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub(super) fn advance(&mut self, now: Millis) -> Vec<Effect> {
         let ready = self.plan.is_some() && self.versions_known && self.peers.is_some();
         if !ready || self.status.is_none() {
-            // What is held may be too old whoever else there is.
+            // The version at the runner may be outdated regardless of the other sidecars.
             return self.retire_when_due(now).into_iter().collect();
         }
-        self.follow_name(now);
+        self.follow_announcement(now);
         let mut effects = Vec::new();
-        self.give_way(now);
-        // The chunks of one version at a time: they share the link.
-        let comes = |it: &Target| it.is_drawn() && !it.stands_still(now);
-        let drawing = self.current.as_ref().is_some_and(comes);
+        self.switch_to_newer(now);
+        // Only one version is fetched at a time, because the versions share the link.
+        let is_progressing = |it: &Target| it.is_fetching() && !it.is_stalled(now);
+        let is_fetching_current = self.current.as_ref().is_some_and(is_progressing);
         for target in self.current.iter_mut() {
             effects.extend(target.exchange(now, false));
         }
         for target in self.next.iter_mut() {
-            effects.extend(target.exchange(now, drawing));
+            effects.extend(target.exchange(now, is_fetching_current));
         }
-        self.finish_drawing(now);
-        let known_for = now.since(self.peers_since).0;
+        self.finish_fetching(now);
+        let peers_known_ms = now.since(self.peers_grown_at).0;
         let held = self.status.as_ref().and_then(|it| it.version);
         let peers = self.peers.as_deref().unwrap_or_default();
         let keeps_shares = self.options.ablation.keeps(Mechanism::KeptShares);
@@ -39,12 +39,14 @@
             if target.step == Step::Served && !keeps_shares {
                 continue;
             }
-            if !target.wants_manifest(now, known_for, held) {
+            if !target.should_fetch_manifest(now, peers_known_ms, held) {
                 continue;
             }
             let version = target.version;
-            if let Some(source) = self.manifests.source(now, version, &self.options.me, peers) {
-                target.note_asked();
+            if let Some(source) =
+                self.manifest_searches.source(now, version, &self.options.me, peers)
+            {
+                target.note_manifest_requested();
                 effects.push(Effect::Describe(version, source));
             }
         }
@@ -53,87 +55,95 @@
         effects
     }
 
-    /// Whether the current version is finished before a newer one that has just been named.
-    pub(super) fn is_finished_before(&self, now: Millis, newer: &Target) -> bool {
+    /// Returns whether the current version is completed before a newer one that was just announced.
+    pub(super) fn is_completed_before(&self, now: Millis, newer: &Target) -> bool {
         if !self.keeps(Mechanism::FinishedVersions) {
             return false;
         }
         let Some(older) = &self.current else {
             return false;
         };
-        if older.is_being_taken() {
+        if older.is_awaiting_load() {
             return true;
         }
-        let (Some(scheduled), true) = (older.scheduled_origin_ms(now), older.is_drawn()) else {
+        let (Some(scheduled_ms), true) = (older.scheduled_origin_ms(now), older.is_fetching())
+        else {
             return false;
         };
-        let remainders = self.remainders(older, newer);
-        remainders.is_some_and(|(older, newer)| {
-            let older = Remainder { origin_ms: scheduled, ..older };
-            precedence::finishes_older(now, older, newer)
+        let remaining_work = self.remaining_work(older, newer);
+        remaining_work.is_some_and(|(older, newer)| {
+            let older = RemainingWork { origin_ms: scheduled_ms, ..older };
+            precedence::completes_older(now, older, newer)
         })
     }
 
-    /// What is left to draw of two versions. `None` where nothing is known of the older one.
-    fn remainders(&self, older: &Target, newer: &Target) -> Option<(Remainder, Remainder)> {
-        let of = |target: &Target, origin_ms: u64| Remainder {
-            bound: target.named.bound(self.options.version_ms).minus(START_MARGIN),
+    /// The remaining work for two versions. `None` if the manifest of the older one is missing.
+    fn remaining_work(
+        &self,
+        older: &Target,
+        newer: &Target,
+    ) -> Option<(RemainingWork, RemainingWork)> {
+        let with_origin_ms = |target: &Target, origin_ms: u64| RemainingWork {
+            deadline: target.named.bound(self.options.version_ms).minus(START_MARGIN_MS),
             origin_ms,
         };
         let copy_ms = older.copy_ms()?;
         let newer_ms = newer.origin_ms().unwrap_or(copy_ms);
-        Some((of(older, older.origin_ms()?), of(newer, newer_ms)))
+        Some((with_origin_ms(older, older.origin_ms()?), with_origin_ms(newer, newer_ms)))
     }
 
-    /// Turns to the newer version when the one before it does not come or is of no more use. Until then the
-    /// origin is left to the older one, as long as that needs it and comes.
-    fn give_way(&mut self, now: Millis) {
+    /// Switches to the newer version if the previous one makes no progress or has become useless. Until then
+    /// the origin is reserved for the older version, as long as that needs it and makes progress.
+    fn switch_to_newer(&mut self, now: Millis) {
         let (Some(older), Some(newer)) = (&self.current, &self.next) else {
             return;
         };
-        let remainders = self.remainders(older, newer);
-        let is_useless =
-            remainders.is_some_and(|(older, newer)| precedence::leaves_older(now, older, newer));
+        let remaining_work = self.remaining_work(older, newer);
+        let is_useless = remaining_work
+            .is_some_and(|(older, newer)| precedence::abandons_older(now, older, newer));
         let (Some(older), Some(newer)) = (&mut self.current, &mut self.next) else {
             return;
         };
-        let leaves = older.is_drawn() && (is_useless || newer.comes_alone(now, older));
-        let share = match older.is_drawn() && older.needs_origin() && !leaves {
+        let abandons = older.is_fetching() && (is_useless || newer.progresses_alone(now, older));
+        let share = match older.is_fetching() && older.needs_origin() && !abandons {
             false => OriginShare::Whole,
-            true if older.stands_still(now) => OriginShare::Probes,
+            true if older.is_stalled(now) => OriginShare::Probes,
             true => OriginShare::Nothing,
         };
         newer.use_origin(now, share);
-        if leaves {
+        if abandons {
             self.current = self.next.take();
         }
     }
 
-    /// Goes on with a version once every chunk is here.
-    fn finish_drawing(&mut self, now: Millis) {
-        if self.next.as_ref().is_some_and(Target::is_whole) && self.is_runner_free() {
+    /// Proceeds with a version once all its chunks are here.
+    fn finish_fetching(&mut self, now: Millis) {
+        if self.next.as_ref().is_some_and(Target::is_complete) && self.is_runner_ready_for_order() {
             self.current = self.next.take();
         }
         let order_at = self.current.as_ref().map(|it| self.order_at(now, it));
         let Some(target) = &mut self.current else {
             return;
         };
-        if target.step == Step::Drawing && target.is_whole() {
+        if target.step == Step::Fetching && target.is_complete() {
             target.step = Step::Waiting(order_at.unwrap_or(now));
         }
     }
 
-    /// When the runner is ordered. One that serves an older version goes on with it for a time that
-    /// differs between sidecars, so that not all of them stop at once.
+    /// The time at which the runner is ordered to load a version. A runner that serves an older version keeps
+    /// serving it until a time that differs between sidecars, so that they do not all stop at once.
     fn order_at(&self, now: Millis, target: &Target) -> Millis {
-        let serves = self.serves();
-        let bound = target.named.bound(self.options.version_ms);
-        let end = self.held_bound().map_or(bound, |it| it.min(bound)).minus(TAKE_MARGIN);
-        // One that takes nothing new has nothing to wait for.
-        if !serves || self.is_exposed() || self.is_evacuated(now) {
+        let is_serving = self.serves();
+        let deadline = target.named.bound(self.options.version_ms);
+        let last_order_at = self
+            .held_deadline()
+            .map_or(deadline, |it| it.min(deadline))
+            .minus(LAST_ORDER_MARGIN_MS);
+        // A runner that receives no new requests need not wait.
+        if !is_serving || self.holds_old_version_after_last_order() || self.is_evacuated(now) {
             return now;
         }
-        if now >= end || !self.keeps(Mechanism::Turns) {
+        if now >= last_order_at || !self.keeps(Mechanism::Turns) {
             return now;
         }
         let me = &self.options.me;
@@ -141,12 +151,12 @@
         let others = others.map(|it| (&it.place.region, &it.id));
         let all = others.chain([(&self.options.place.region, me)]);
         let (turn, count) = turns::turn(all, me, target.version);
-        now.plus(end.since(now).0 * turn / count)
+        now.plus(last_order_at.since(now).0 * turn / count)
     }
 
-    /// Goes on with another bound. A turn that lies later than the new bound allows is moved forward; none
-    /// is put off. Otherwise runners would take their order behind a bound that became shorter.
-    pub(super) fn change_bound(&mut self, now: Millis, version_ms: u64) {
+    /// Changes the deadline. A scheduled order that would be too late for the new deadline is moved forward;
+    /// none is postponed. Otherwise runners would receive their orders after a deadline that became shorter.
+    pub(super) fn change_deadline(&mut self, now: Millis, version_ms: u64) {
         self.options.version_ms = version_ms;
         let order_at = self.current.as_ref().map(|it| self.order_at(now, it));
         let (Some(target), Some(order_at)) = (&mut self.current, order_at) else {
@@ -157,32 +167,33 @@
         }
     }
 
-    /// Whether the runner is known to take no order now.
-    pub(super) fn is_runner_free(&self) -> bool {
-        let heard = self.status_at > self.own_order_at;
-        heard && self.status.as_ref().is_some_and(|it| !it.busy)
+    /// Returns whether the runner is known not to be executing an order.
+    pub(super) fn is_runner_ready_for_order(&self) -> bool {
+        let is_status_current = self.status_at > self.own_order_at;
+        is_status_current && self.status.as_ref().is_some_and(|it| !it.busy)
     }
 
     fn stage_when_due(&mut self, now: Millis) -> Option<Effect> {
-        let free = self.is_runner_free();
-        let drained = self.status.as_ref().is_some_and(|it| it.running <= MAX_CUT)
-            && !self.places.awaits_arrival(now);
+        let is_ready = self.is_runner_ready_for_order();
+        let is_drained = self.status.as_ref().is_some_and(|it| it.running <= MAX_ABORTED_REQUESTS)
+            && !self.places.has_request_in_transit(now);
         let is_evacuated = self.is_evacuated(now);
-        let is_last_call = self.must_give_up(now);
-        if self.current.as_ref().is_some_and(|it| self.is_past(now, it.version)) {
+        let is_deadline_near = self.is_deadline_near(now);
+        if self.current.as_ref().is_some_and(|it| self.is_expired(now, it.version)) {
             return None;
         }
         let target = self.current.as_mut()?;
         match target.step {
-            // Its turn was for a runner that others would miss.
+            // The scheduled time only exists to keep the runner in service, which does not apply during an
+            // evacuation.
             Step::Waiting(at) if is_evacuated && now < at => {
                 target.step = Step::Waiting(now);
                 None
             }
             Step::Waiting(at)
                 if now >= at
-                    && free
-                    && (drained || is_last_call || now >= at.plus(DRAIN_PATIENCE)) =>
+                    && is_ready
+                    && (is_drained || is_deadline_near || now >= at.plus(DRAIN_TIMEOUT_MS)) =>
             {
                 target.step = Step::Staging;
                 Some(Effect::Stage(target.version))
--- a/components/rollout/src/reducer/status.rs
+++ b/components/rollout/src/reducer/status.rs
@@ -1,60 +1,61 @@
-//! What the runner says of itself.
+//! Processes status reports of the runner.
 
 use fleet::{LifeChange, LifeWord, Millis};
 
-use super::{Rollout, ORDER_PATIENCE};
+use super::{Rollout, ORDER_TIMEOUT_MS};
 use crate::event::{Effect, RunnerStatus};
-use crate::rate::RateGate;
+use crate::rate::RateLimiter;
 use crate::target::Step;
 
 impl Rollout {
-    pub(super) fn take_status(&mut self, now: Millis, status: RunnerStatus) -> Vec<Effect> {
-        let told = LifeWord { born: status.born, sequence: status.sequence };
-        let change = self.life.map_or(LifeChange::Same, |known| known.compare(told));
+    pub(super) fn apply_status(&mut self, now: Millis, status: RunnerStatus) -> Vec<Effect> {
+        let reported = LifeWord { born: status.born, sequence: status.sequence };
+        let change = self.life.map_or(LifeChange::Same, |known| known.compare(reported));
         let effects = match change {
             LifeChange::Same => Vec::new(),
-            change => vec![Effect::Life(change, told)],
+            change => vec![Effect::Life(change, reported)],
         };
         if matches!(change, LifeChange::Earlier | LifeChange::Untold) {
             return effects;
         }
-        self.life = Some(told);
-        let has_begun = change == LifeChange::Began;
-        if has_begun {
-            self.places.forget();
-            self.rate = RateGate::default();
+        self.life = Some(reported);
+        let has_restarted = change == LifeChange::Began;
+        if has_restarted {
+            self.places.reset();
+            self.rate = RateLimiter::default();
             self.waiting_since = None;
         }
-        self.places.take_report(now, status.running);
+        self.places.apply_report(now, status.running);
         self.status_at = now;
         self.waiting_since = match status.waiting {
             0 => None,
             _ => self.waiting_since.or(Some(now)),
         };
-        let was_heard = self.status.replace(status.clone()).is_some();
-        if has_begun || !was_heard {
-            self.cold.assume(now);
+        let had_status = self.status.replace(status.clone()).is_some();
+        if has_restarted || !had_status {
+            self.cold.assume_started(now);
         }
         let Some(target) = &mut self.current else {
             return effects;
         };
-        let holds = status.version.is_some_and(|it| it >= target.version);
+        let holds_target = status.version.is_some_and(|it| it >= target.version);
         match target.step {
-            // What was put there is put again: an order to this life is given by what is known of it.
-            Step::Staging if has_begun => target.step = Step::Waiting(now),
-            Step::Served if !holds && !status.busy => {
-                target.step = if target.is_whole() {
+            // Chunks that were written to the previous run are written again: the order must refer to the
+            // state of the new run.
+            Step::Staging if has_restarted => target.step = Step::Waiting(now),
+            Step::Served if !holds_target && !status.busy => {
+                target.step = if target.is_complete() {
                     Step::Waiting(now)
                 } else {
-                    Step::Describing { not_before: now, asked: false }
+                    Step::FetchingManifest { not_before: now, is_requested: false }
                 };
             }
             Step::Served => {}
-            _ if holds && !status.busy => target.step = Step::Served,
+            _ if holds_target && !status.busy => target.step = Step::Served,
             Step::Ordered(at, sequence) => {
-                let late = now.since(at).0 > ORDER_PATIENCE && !status.busy;
-                let settled = status.sequence > sequence && !status.busy;
-                if late || settled || has_begun {
+                let has_timed_out = now.since(at).0 > ORDER_TIMEOUT_MS && !status.busy;
+                let has_completed = status.sequence > sequence && !status.busy;
+                if has_timed_out || has_completed || has_restarted {
                     target.step = Step::Waiting(now);
                 }
             }
--- a/components/rollout/src/reports.rs
+++ b/components/rollout/src/reports.rs
@@ -1,73 +1,75 @@
-//! When gateways are told of the load of the runner.
+//! The schedule of load reports to gateways.
 
 use fleet::Millis;
 
-/// How often gateways of this data hall are told of a load that stays much the same, in milliseconds.
-const TELL_EVERY: u64 = 140;
-/// How often those of other data halls are, in milliseconds. They send most requests to runners near them,
-/// hear of the load with each answer to a question for a place, and take a report for a second. Reports are
-/// what grows with gateways times sidecars, so they come less often to those who need them least.
-const TELL_FAR_EVERY: u64 = 420;
-/// The time that each gateway of a kind takes in a round of reports, in milliseconds. Rounds become longer with the number of
-/// gateways, as long as reports still count.
-const PER_NEAR: u64 = 25;
-const PER_FAR: u64 = 37;
-/// The longest time between two reports to one gateway, in milliseconds: it takes them for a second.
-const LONGEST: u64 = 800;
+/// Interval of reports to gateways in the same data hall while the load stays about the same, in
+/// milliseconds.
+const NEAR_INTERVAL_MS: u64 = 140;
+/// Interval of reports to gateways in other data halls, in milliseconds. These gateways send most requests to
+/// runners nearby, receive the load with each answer to a reservation request, and use a report for a second.
+/// The number of reports grows with gateways times sidecars, so they are sent less often to the gateways that
+/// need them least.
+const FAR_INTERVAL_MS: u64 = 420;
+/// Time per gateway in a round of reports, in milliseconds, for gateways in the same data hall and in other
+/// halls. Rounds get longer with the number of gateways, as long as reports stay valid.
+const PER_NEAR_GATEWAY_MS: u64 = 25;
+const PER_FAR_GATEWAY_MS: u64 = 37;
+/// Maximum interval between two reports to a gateway, in milliseconds. A gateway uses a report for a second.
+const MAX_INTERVAL_MS: u64 = 800;
 
-/// How many gateways follow a sidecar.
+/// The number of gateways that receive reports of a sidecar.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Followers {
-    /// Those of its data hall.
+    /// Gateways in the same data hall.
     pub near: usize,
-    /// The others.
+    /// Gateways in other data halls.
     pub far: usize,
 }
 
 impl Followers {
-    fn near_every(self) -> u64 {
-        (self.near as u64 * PER_NEAR).clamp(TELL_EVERY, LONGEST)
+    fn near_interval_ms(self) -> u64 {
+        (self.near as u64 * PER_NEAR_GATEWAY_MS).clamp(NEAR_INTERVAL_MS, MAX_INTERVAL_MS)
     }
 
-    fn far_every(self) -> u64 {
-        (self.far as u64 * PER_FAR).clamp(TELL_FAR_EVERY, LONGEST)
+    fn far_interval_ms(self) -> u64 {
+        (self.far as u64 * PER_FAR_GATEWAY_MS).clamp(FAR_INTERVAL_MS, MAX_INTERVAL_MS)
     }
 }
 
-/// Which gateways are told.
+/// The gateways that receive a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// None.
+    /// No gateway.
     Nobody,
-    /// Those of this data hall.
+    /// The gateways in the same data hall.
     Hall,
-    /// All.
+    /// All gateways.
     Everyone,
 }
 
-/// When gateways were last told.
+/// When the latest reports were sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reports {
-    hall_at: Option<Millis>,
-    everyone_at: Option<Millis>,
+    hall_sent_at: Option<Millis>,
+    everyone_sent_at: Option<Millis>,
 }
 
 impl Reports {
-    /// Who is told now. `changed` tells whether the runner has begun or ceased to take requests since the
-    /// last report: everyone hears of that at once.
+    /// The gateways to send a report to now. `changed` tells whether the runner has started or stopped
+    /// accepting requests since the last report; that is reported to all gateways at once.
     pub fn audience(&mut self, now: Millis, changed: bool, followers: Followers) -> Audience {
-        if changed || is_due(now, self.everyone_at, followers.far_every()) {
-            (self.hall_at, self.everyone_at) = (Some(now), Some(now));
+        if changed || is_due(now, self.everyone_sent_at, followers.far_interval_ms()) {
+            (self.hall_sent_at, self.everyone_sent_at) = (Some(now), Some(now));
             return Audience::Everyone;
         }
-        if is_due(now, self.hall_at, followers.near_every()) {
-            self.hall_at = Some(now);
+        if is_due(now, self.hall_sent_at, followers.near_interval_ms()) {
+            self.hall_sent_at = Some(now);
             return Audience::Hall;
         }
         Audience::Nobody
     }
 }
 
-fn is_due(now: Millis, last: Option<Millis>, every: u64) -> bool {
-    last.is_none_or(|at| now.since(at).0 >= every)
+fn is_due(now: Millis, last_sent_at: Option<Millis>, interval_ms: u64) -> bool {
+    last_sent_at.is_none_or(|at| now.since(at).0 >= interval_ms)
 }
--- a/components/rollout/src/target.rs
+++ b/components/rollout/src/target.rs
@@ -1,4 +1,4 @@
-//! One version on its way to the runner.
+//! The transfer of one version to the runner.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,283 +10,287 @@
 
 use crate::event::{Effect, Peer, RolloutOptions, WeightsPlan};
 
-/// Neighbours that a sidecar chooses by itself, and how many of them in its own hall.
-const CHOSEN_NEIGHBOURS: usize = 16;
-const NEAR_NEIGHBOURS: usize = 10;
-/// Neighbours at most. Those that chose a sidecar with full hands would never hear of its chunks.
-const MOST_NEIGHBOURS: usize = 96;
-/// Copies that are drawn from the origin.
+/// Number of neighbours that a sidecar selects itself, and how many of them in its own hall.
+const SELECTED_NEIGHBOURS: usize = 16;
+const SELECTED_NEAR_NEIGHBOURS: usize = 10;
+/// Maximum number of neighbours. A sidecar that selects one which has reached this limit would never learn of
+/// its chunks.
+const MAX_NEIGHBOURS: usize = 96;
+/// Number of copies fetched from the origin.
 const ORIGIN_COPIES: u32 = 1;
-/// How chunks come to a runner that serves an older version. Its answers leave by the same link, and
-/// links between halls are dear, so chunks come few at a time and enter a hall once.
-const GENTLE: Pace = Pace { window: 5, patience_ms: 700, hall_patience_ms: 700 };
-/// How chunks come to a runner that serves nothing: every second of it is lost, so it does not wait long for
-/// the others in its hall.
-const URGENT: Pace = Pace { window: 6, patience_ms: 900, hall_patience_ms: 200 };
-
-/// Chunks that take longer than this come one at a time: the link is narrow, and requests wait behind
-/// them. In milliseconds.
-const NARROW_CHUNK_MS: f64 = 300.0;
-
-/// How chunks come to a runner.
+/// The pace for a runner that serves an older version. Its responses use the same link, and links between
+/// halls are expensive, so few chunks are fetched at a time and each enters a hall once.
+const PACE_WHILE_SERVING: Pace = Pace { window: 5, rank_delay_ms: 700, hall_rank_delay_ms: 700 };
+/// The pace for a runner that serves nothing. Its time is lost, so the sidecar waits only briefly for the
+/// others in its hall.
+const PACE_WHILE_IDLE: Pace = Pace { window: 6, rank_delay_ms: 900, hall_rank_delay_ms: 200 };
+
+/// Chunks that take longer than this are fetched one at a time, in milliseconds. The link is slow then, and
+/// requests queue behind the chunks.
+const SLOW_CHUNK_MS: f64 = 300.0;
+
+/// The pace at which chunks are fetched.
 #[derive(Clone, Copy, Debug)]
 struct Pace {
-    /// Chunks in flight from other sidecars.
+    /// Maximum number of concurrent fetches from other sidecars.
     window: usize,
     /// How long a receiver waits for the one before it in rank, in milliseconds.
-    patience_ms: u64,
-    /// How long a receiver waits for the one before it in rank in its hall, in milliseconds.
-    hall_patience_ms: u64,
+    rank_delay_ms: u64,
+    /// How long a receiver waits for the one before it in rank in its own hall, in milliseconds.
+    hall_rank_delay_ms: u64,
 }
-/// Chunks of one index with a wrong digest after which the manifest itself is doubted.
-const DOUBTS: u32 = 3;
-/// Chunks that nobody is known to hold while the next version may already use the origin, whose link would
-/// stand idle otherwise: about as many arrive there before everyone knows of them.
-const LAST_CHUNKS: usize = 8;
-/// How long to wait at least after a manifest did not arrive, in milliseconds.
-const DESCRIBE_PAUSE: u64 = 80;
-/// How much longer some sidecars wait than others, in milliseconds.
-const DESCRIBE_SPREAD: u64 = 300;
-/// How long the others must be known before a share of the chunks is taken, in milliseconds. Those
-/// that start together get to know each other first.
-const SHARE_DELAY: u64 = 4000;
-/// How long after the last chunk nobody can tell when the next one comes, in milliseconds: many times the
-/// usual time between two.
-const STANDSTILL: u64 = 800;
-/// How long after its naming the first chunk of a version leaves the origin, in milliseconds: until its
-/// name and its manifest are known and what lies at the runners is told.
-const START_DELAY: u64 = 300;
-/// The part of the link that chunks may take.
-const LINK_SHARE: f64 = 0.9;
-
-/// How far a version has come.
+/// Number of digest mismatches of the same chunk after which the manifest itself is fetched again.
+const MAX_DIGEST_MISMATCHES: u32 = 3;
+/// Number of chunks without a known holder at which the next version may already use the origin, whose link
+/// would otherwise be idle. About as many chunks have arrived by then without all sidecars knowing of them.
+const MAX_LAST_CHUNKS: usize = 8;
+/// Minimum pause after a failed fetch of the manifest, in milliseconds.
+const MANIFEST_RETRY_MS: u64 = 80;
+/// Range of the additional pause, which differs between sidecars, in milliseconds.
+const MANIFEST_RETRY_JITTER_MS: u64 = 300;
+/// How long the other sidecars must be known before this one keeps a share of the chunks, in milliseconds.
+/// Sidecars that start together discover each other first.
+const SHARE_DELAY_MS: u64 = 4000;
+/// Time without a new chunk after which a transfer counts as stalled, in milliseconds: many times the usual
+/// interval between two chunks.
+const STALL_MS: u64 = 800;
+/// Time from the announcement of a version until its first chunk leaves the origin, in milliseconds: until
+/// the announcement and the manifest have been received and the chunks at the runners have been reported.
+const START_DELAY_MS: u64 = 300;
+/// Fraction of the link's bandwidth for chunks.
+const LINK_FRACTION: f64 = 0.9;
+
+/// The progress of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// The manifest is asked for, or will be at the given moment.
-    Describing {
-        /// Not before this moment.
+    /// The manifest is being fetched, or will be at the given time.
+    FetchingManifest {
+        /// The earliest time to fetch it.
         not_before: Millis,
-        /// Whether it is asked for now.
-        asked: bool,
+        /// Whether it is being fetched.
+        is_requested: bool,
     },
-    /// What lies at the runner is read.
-    Finding,
-    /// Chunks are missing.
-    Drawing,
-    /// Every chunk is here. The order goes out at the given moment.
+    /// The chunks stored at the runner are being read.
+    ReadingRunner,
+    /// Chunks are being fetched.
+    Fetching,
+    /// All chunks are here. The runner is ordered at the given time.
     Waiting(Millis),
-    /// The chunks are put at the runner.
+    /// The chunks are being written to the runner.
     Staging,
-    /// The runner was ordered at the given moment, when it had taken so many orders.
+    /// The runner was ordered at the given time, when it had accepted the given number of orders.
     Ordered(Millis, u64),
     /// The runner holds the version.
     Served,
 }
 
-/// A version on its way.
+/// A version that is transferred to the runner.
 pub(crate) struct Target {
     /// The version.
     pub(crate) version: u64,
-    /// Its name.
+    /// Its announcement.
     pub(crate) named: VersionName,
-    /// How far it has come.
+    /// The progress.
     pub(crate) step: Step,
     spread: Option<Spread>,
-    /// Whether the manifest was asked for to keep a share of the chunks of a version that is served.
-    asked_for_share: bool,
-    /// Not to ask for the manifest before this moment.
-    describe_at: Millis,
-    /// How often each chunk arrived with a digest that is not the manifest's.
-    corrupt: BTreeMap<u32, u32>,
+    /// Whether the manifest was requested in order to keep a share of the chunks of a version that is served.
+    requested_for_share: bool,
+    /// The earliest time to request the manifest.
+    manifest_retry_at: Millis,
+    /// Number of digest mismatches per chunk.
+    digest_mismatches: BTreeMap<u32, u32>,
     pace: Pace,
-    /// Since when chunks of this version have come while those of the one before it did not.
-    alone_since: Option<Millis>,
+    /// Since when chunks of this version have been arriving while the previous version was stalled.
+    progress_alone_since: Option<Millis>,
 }
 
 impl Target {
-    /// A version that was just named.
+    /// Creates the target for a version that was just announced.
     pub(crate) fn new(named: VersionName) -> Self {
-        let step = Step::Describing { not_before: named.at, asked: false };
+        let step = Step::FetchingManifest { not_before: named.at, is_requested: false };
         Self {
             version: named.version,
             named,
             step,
             spread: None,
-            asked_for_share: false,
-            describe_at: Millis(0),
-            corrupt: BTreeMap::new(),
-            pace: URGENT,
-            alone_since: None,
+            requested_for_share: false,
+            manifest_retry_at: Millis(0),
+            digest_mismatches: BTreeMap::new(),
+            pace: PACE_WHILE_IDLE,
+            progress_alone_since: None,
         }
     }
 
-    /// Whether every chunk is here.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Returns whether all chunks are here.
+    pub(crate) fn is_complete(&self) -> bool {
         self.spread.as_ref().is_some_and(|it| it.phase() == SpreadPhase::Whole)
     }
 
-    /// Whether every chunk is here and the runner has yet to take them.
-    pub(crate) fn is_being_taken(&self) -> bool {
+    /// Returns whether all chunks are here and the runner has not loaded them yet.
+    pub(crate) fn is_awaiting_load(&self) -> bool {
         matches!(self.step, Step::Waiting(_) | Step::Staging | Step::Ordered(..))
     }
 
-    /// Whether chunks are drawn.
-    pub(crate) fn is_drawn(&self) -> bool {
-        self.step == Step::Drawing
+    /// Returns whether chunks are being fetched.
+    pub(crate) fn is_fetching(&self) -> bool {
+        self.step == Step::Fetching
     }
 
-    /// How long the origin's link still takes for the chunks that nobody is known to hold, in milliseconds. `None`
-    /// without a manifest.
+    /// Time the origin's link needs for the chunks without a known holder, in milliseconds. `None` without a
+    /// manifest.
     pub(crate) fn origin_ms(&self) -> Option<u64> {
         let spread = self.spread.as_ref()?;
         Some((spread.held_nowhere().len() as f64 * spread.origin_chunk_ms()) as u64)
     }
 
-    /// The same for an origin that has not failed: its link needs no longer than it has had too little time for.
-    /// What others hold is known late, and by the time all sidecars reckon alike.
+    /// Like `origin_ms`, but assumes that the origin has not failed: then its link needs at most the rest of
+    /// the time that a whole copy takes. Sidecars learn late which chunks others hold, but all of them derive
+    /// the same schedule.
     pub(crate) fn scheduled_origin_ms(&self, now: Millis) -> Option<u64> {
-        let end = self.named.at.plus(START_DELAY + self.copy_ms()?);
+        let end = self.named.at.plus(START_DELAY_MS + self.copy_ms()?);
         Some(self.origin_ms()?.min(end.since(now).0))
     }
 
-    /// How long the origin's link takes for every chunk, in milliseconds. `None` without a manifest.
+    /// Time the origin's link needs for all chunks, in milliseconds. `None` without a manifest.
     pub(crate) fn copy_ms(&self) -> Option<u64> {
         let spread = self.spread.as_ref()?;
         Some((f64::from(spread.have().capacity()) * spread.origin_chunk_ms()) as u64)
     }
 
-    /// Whether the origin is needed for more than the last few chunks.
+    /// Returns whether more than the last few chunks have to come from the origin.
     pub(crate) fn needs_origin(&self) -> bool {
         let spread = self.spread.as_ref();
-        spread.is_some_and(|it| it.held_nowhere().len() > LAST_CHUNKS)
+        spread.is_some_and(|it| it.held_nowhere().len() > MAX_LAST_CHUNKS)
     }
 
-    /// Whether no chunk has come for a while, here or anywhere.
-    pub(crate) fn stands_still(&self, now: Millis) -> bool {
+    /// Returns whether no chunk has arrived for a while, at this or any other sidecar.
+    pub(crate) fn is_stalled(&self, now: Millis) -> bool {
         let progress = self.spread.as_ref().map(|it| it.news_at().max(it.last_chunk_at()));
-        progress.is_some_and(|it| now.since(it).0 > STANDSTILL)
+        progress.is_some_and(|it| now.since(it).0 > STALL_MS)
     }
 
-    /// Sets how much of the origin this version may use.
+    /// Sets the share of the origin that this version may use.
     pub(crate) fn use_origin(&mut self, now: Millis, share: OriginShare) {
         if let Some(spread) = &mut self.spread {
             spread.use_origin(now, share);
         }
     }
 
-    /// Whether chunks of this version have come for a while since the one before it stands still: that one is
-    /// not to be had, for the origin works.
-    pub(crate) fn comes_alone(&mut self, now: Millis, older: &Self) -> bool {
-        if !older.stands_still(now) || !self.came_after_standstill_of(older) {
-            self.alone_since = None;
+    /// Returns whether chunks of this version have been arriving for a while since the previous version
+    /// stalled. The previous version is then unavailable, because the origin works.
+    pub(crate) fn progresses_alone(&mut self, now: Millis, older: &Self) -> bool {
+        if !older.is_stalled(now) || !self.progressed_after_stall_of(older) {
+            self.progress_alone_since = None;
             return false;
         }
-        let since = *self.alone_since.get_or_insert(now);
-        now.since(since).0 > STANDSTILL
+        let since = *self.progress_alone_since.get_or_insert(now);
+        now.since(since).0 > STALL_MS
     }
 
-    /// Whether a chunk was heard of when the version before had stood still for a while.
-    fn came_after_standstill_of(&self, older: &Self) -> bool {
+    /// Returns whether this sidecar learned of a chunk after the previous version had been stalled for a
+    /// while.
+    fn progressed_after_stall_of(&self, older: &Self) -> bool {
         let (Some(newer), Some(older)) = (&self.spread, &older.spread) else {
             return false;
         };
-        let standstill = older.last_chunk_at().max(older.news_at()).plus(STANDSTILL);
+        let stalled_at = older.last_chunk_at().max(older.news_at()).plus(STALL_MS);
         newer.held_nowhere().len() < newer.have().capacity() as usize
-            && newer.news_at() > standstill
+            && newer.news_at() > stalled_at
     }
 
-    /// The chunks that are here.
+    /// The chunks that this sidecar holds.
     pub(crate) fn have(&self) -> Option<&Bitmap> {
         self.spread.as_ref().map(Spread::have)
     }
 
-    /// The exchange of chunks, once the manifest is here.
+    /// The distribution of the chunks, once the manifest is known.
     pub(crate) fn spread_mut(&mut self) -> Option<&mut Spread> {
         self.spread.as_mut()
     }
 
-    /// Whether the manifest should be asked for now: to draw the version, or to keep a share of the
-    /// chunks of the version that is served for others. `held` is the version that the runner holds.
-    pub(crate) fn wants_manifest(
+    /// Returns whether to fetch the manifest now: to fetch the version, or to keep a share of its chunks for
+    /// others if the version is served. `held` is the version that the runner holds.
+    pub(crate) fn should_fetch_manifest(
         &mut self,
         now: Millis,
-        known_for: u64,
+        peers_known_ms: u64,
         held: Option<u64>,
     ) -> bool {
-        if let Step::Describing { asked: false, .. } = self.step {
+        if let Step::FetchingManifest { is_requested: false, .. } = self.step {
             if held.is_some_and(|it| it >= self.version) {
                 // A runner that serves the version needs no chunks.
                 self.step = Step::Served;
             }
         }
-        let due = now >= self.describe_at;
+        let is_due = now >= self.manifest_retry_at;
         match self.step {
-            Step::Describing { not_before, asked } => !asked && due && now >= not_before,
+            Step::FetchingManifest { not_before, is_requested } => {
+                !is_requested && is_due && now >= not_before
+            }
             Step::Served => {
-                let known = self.has_manifest() || self.asked_for_share;
-                !known && due && known_for >= SHARE_DELAY
+                let is_known_or_requested = self.has_manifest() || self.requested_for_share;
+                !is_known_or_requested && is_due && peers_known_ms >= SHARE_DELAY_MS
             }
             _ => false,
         }
     }
 
-    /// The manifest is asked for now.
-    pub(crate) fn note_asked(&mut self) {
+    /// Records that the manifest is being fetched.
+    pub(crate) fn note_manifest_requested(&mut self) {
         match &mut self.step {
-            Step::Describing { asked, .. } => *asked = true,
-            _ => self.asked_for_share = true,
+            Step::FetchingManifest { is_requested, .. } => *is_requested = true,
+            _ => self.requested_for_share = true,
         }
     }
 
-    /// Whether a manifest that arrives starts the exchange of chunks. Otherwise it only takes the place of
-    /// one that was doubted.
+    /// Returns whether a received manifest starts the distribution. Otherwise it only replaces one that may
+    /// be wrong.
     pub(crate) fn awaits_manifest(&self) -> bool {
-        !self.has_manifest() || matches!(self.step, Step::Describing { .. })
+        !self.has_manifest() || matches!(self.step, Step::FetchingManifest { .. })
     }
 
-    /// Whether the manifest is here.
+    /// Returns whether the manifest is known.
     fn has_manifest(&self) -> bool {
         self.spread.is_some()
     }
 
-    /// Counts a chunk whose digest is not the manifest's, and tells whether the manifest should be read
-    /// again from its origin.
-    pub(crate) fn doubts_manifest(&mut self, index: u32) -> bool {
-        let count = self.corrupt.entry(index).or_default();
+    /// Counts a digest mismatch of a chunk, and returns whether to fetch the manifest again from the origin.
+    pub(crate) fn note_digest_mismatch(&mut self, index: u32) -> bool {
+        let count = self.digest_mismatches.entry(index).or_default();
         *count += 1;
-        if *count < DOUBTS {
+        if *count < MAX_DIGEST_MISMATCHES {
             return false;
         }
-        self.corrupt.clear();
+        self.digest_mismatches.clear();
         true
     }
 
-    /// The manifest did not arrive.
-    pub(crate) fn wait_for_manifest(&mut self, now: Millis, me: &InstanceId) {
-        // Sidecars that failed together come back at different times.
-        let spread = me.0.bytes().fold(0, |sum: u64, byte| sum * 31 % 1009 + u64::from(byte));
-        let pause = DESCRIBE_PAUSE + (spread + now.0) % DESCRIBE_SPREAD;
-        self.describe_at = now.plus(pause);
-        self.asked_for_share = false;
-        if let Step::Describing { asked, .. } = &mut self.step {
-            *asked = false;
+    /// Schedules the next fetch of the manifest after a failed one.
+    pub(crate) fn schedule_manifest_retry(&mut self, now: Millis, me: &InstanceId) {
+        // Sidecars that failed at the same time retry at different times.
+        let id_hash = me.0.bytes().fold(0, |sum: u64, byte| sum * 31 % 1009 + u64::from(byte));
+        let pause = MANIFEST_RETRY_MS + (id_hash + now.0) % MANIFEST_RETRY_JITTER_MS;
+        self.manifest_retry_at = now.plus(pause);
+        self.requested_for_share = false;
+        if let Step::FetchingManifest { is_requested, .. } = &mut self.step {
+            *is_requested = false;
         }
     }
 
-    /// How long the missing chunks take over a link of `link_bytes_per_s`, in milliseconds. `None` while none
-    /// comes.
-    pub(crate) fn until_whole_ms(&self, now: Millis, link_bytes_per_s: u64) -> Option<u64> {
+    /// Time to fetch the missing chunks over a link of `link_bytes_per_s`, in milliseconds. `None` while no
+    /// chunk arrives.
+    pub(crate) fn until_complete_ms(&self, now: Millis, link_bytes_per_s: u64) -> Option<u64> {
         let spread = self.spread.as_ref()?;
-        if now.since(spread.last_chunk_at()).0 > STANDSTILL {
+        if now.since(spread.last_chunk_at()).0 > STALL_MS {
             return None;
         }
         let missing = u64::from(spread.have().capacity() - spread.have().count());
         let bytes = missing * u64::from(spread.manifest.chunk_bytes);
-        let bytes_per_ms = link_bytes_per_s as f64 * LINK_SHARE / 1000.0;
+        let bytes_per_ms = link_bytes_per_s as f64 * LINK_FRACTION / 1000.0;
         Some((bytes as f64 / bytes_per_ms.max(1.0)) as u64)
     }
 
-    /// Starts the exchange of chunks.
+    /// Starts the distribution of the chunks.
     pub(crate) fn start_spread(
         &mut self,
         now: Millis,
@@ -294,24 +298,24 @@
         plan: &WeightsPlan,
         peers: &[Peer],
         manifest: Arc<Manifest>,
-        serves: bool,
+        is_serving: bool,
     ) {
-        self.pace = if serves { GENTLE } else { URGENT };
-        let gated = options.ablation.keeps(Mechanism::HallGates);
+        self.pace = if is_serving { PACE_WHILE_SERVING } else { PACE_WHILE_IDLE };
+        let has_hall_limit = options.ablation.keeps(Mechanism::HallGates);
         let reach = Reach {
-            chosen: CHOSEN_NEIGHBOURS,
-            near: NEAR_NEIGHBOURS,
-            most: MOST_NEIGHBOURS,
-            hall_patience_ms: gated.then_some(self.pace.hall_patience_ms),
+            chosen: SELECTED_NEIGHBOURS,
+            near: SELECTED_NEAR_NEIGHBOURS,
+            most: MAX_NEIGHBOURS,
+            hall_patience_ms: has_hall_limit.then_some(self.pace.hall_rank_delay_ms),
         };
-        let keeps = self.step == Step::Served;
+        let keeps_share = self.step == Step::Served;
         let receivers = self.receivers(peers);
         let spread_options = SpreadOptions {
             copies: ORIGIN_COPIES,
             origin_bytes_per_s: plan.origin_bytes_per_s,
-            download_bytes_per_s: (options.link_bytes_per_s as f64 * LINK_SHARE) as u64,
+            download_bytes_per_s: (options.link_bytes_per_s as f64 * LINK_FRACTION) as u64,
             control_bytes_per_s: options.control_bytes_per_s,
-            patience_ms: Some(self.pace.patience_ms),
+            patience_ms: Some(self.pace.rank_delay_ms),
             reach,
             choice: Choice::Rarest,
         };
@@ -319,20 +323,21 @@
             Spread::new(now, &options.me, &options.place, manifest, &receivers, spread_options);
         spread.set_participants(now, &participants(self.version, peers));
         self.spread = Some(spread);
-        if !keeps {
-            self.step = Step::Finding;
+        if !keeps_share {
+            self.step = Step::ReadingRunner;
         }
     }
 
-    /// Takes in who else there is, and who is no more.
-    pub(crate) fn take_peers(&mut self, now: Millis, peers: &[Peer], gone: &[Peer]) {
+    /// Updates the list of other sidecars, and marks those in `gone` as down.
+    pub(crate) fn update_peers(&mut self, now: Millis, peers: &[Peer], gone: &[Peer]) {
         let receivers = self.receivers(peers);
-        let (version, keeps) = (self.version, self.step == Step::Served);
+        let (version, keeps_share) = (self.version, self.step == Step::Served);
         let Some(spread) = &mut self.spread else {
             return;
         };
-        // Shares that are kept stay as they are: with each newcomer they would all be dealt anew.
-        if !keeps {
+        // Shares that are kept are not changed, because each new sidecar would cause all of them to be
+        // reassigned.
+        if !keeps_share {
             spread.add_receivers(&receivers);
         }
         let mut all = participants(version, peers);
@@ -341,38 +346,39 @@
         spread.set_participants(now, &all);
     }
 
-    /// Who draws chunks. Those that serve the version already need none, but each keeps its share of
-    /// them.
+    /// The sidecars that fetch chunks. Those that already serve the version need none, but each keeps its
+    /// share.
     fn receivers(&self, peers: &[Peer]) -> Vec<(InstanceId, Hall)> {
-        let keeps = self.step == Step::Served;
-        let wanting = peers.iter().filter(|it| keeps || it.version != Some(self.version));
-        wanting.map(|it| (it.id.clone(), it.place.hall.clone())).collect()
+        let keeps_share = self.step == Step::Served;
+        let fetching = peers.iter().filter(|it| keeps_share || it.version != Some(self.version));
+        fetching.map(|it| (it.id.clone(), it.place.hall.clone())).collect()
     }
 
-    /// Draws and summaries that are due. While another version comes, this one draws only the chunks that
-    /// it owes the others, for the origin may go out.
-    pub(crate) fn exchange(&mut self, now: Millis, other_comes: bool) -> Vec<Effect> {
+    /// Returns the fetches and summaries that are due. While another version is being fetched, this one only
+    /// fetches the chunks that this sidecar provides to the others, because the origin may become
+    /// unavailable.
+    pub(crate) fn exchange(&mut self, now: Millis, other_is_fetched: bool) -> Vec<Effect> {
         let version = self.version;
         let Some(spread) = &mut self.spread else {
             return Vec::new();
         };
         let mut effects = Vec::new();
         match self.step {
-            Step::Drawing if other_comes => effects.extend(spread.draw_own(now)),
-            Step::Drawing => {
-                let narrow = spread.usual_chunk_ms() > NARROW_CHUNK_MS;
-                let window = if narrow { 1 } else { self.pace.window };
+            Step::Fetching if other_is_fetched => effects.extend(spread.draw_own(now)),
+            Step::Fetching => {
+                let is_slow = spread.usual_chunk_ms() > SLOW_CHUNK_MS;
+                let window = if is_slow { 1 } else { self.pace.window };
                 effects.extend(spread.draw(now, window));
             }
             Step::Served => effects.extend(spread.draw_kept(now)),
             _ => {}
         }
         effects.extend(spread.summarize(now));
-        effects.into_iter().map(|it| translate(version, it)).collect()
+        effects.into_iter().map(|it| to_effect(version, it)).collect()
     }
 }
 
-/// The other sidecars as the spread sees them.
+/// The other sidecars as participants of the distribution.
 fn participants(version: u64, peers: &[Peer]) -> Vec<Participant> {
     let as_participant = |peer: &Peer| Participant {
         id: peer.id.clone(),
@@ -384,7 +390,7 @@
     peers.iter().map(as_participant).collect()
 }
 
-fn translate(version: u64, effect: SpreadEffect) -> Effect {
+fn to_effect(version: u64, effect: SpreadEffect) -> Effect {
     match effect {
         SpreadEffect::Draw(draw) => Effect::Draw(version, draw),
         SpreadEffect::Summarize { to, have } => Effect::Summarize { to, version, have },
--- a/components/rollout/tests/places.rs
+++ b/components/rollout/tests/places.rs
@@ -6,25 +6,25 @@
 fn places(slots: u32) -> Places {
     let mut places = Places::default();
     places.set_profile(slots, 20.0);
-    places.take_report(Millis(1_000_000), 0);
+    places.apply_report(Millis(1_000_000), 0);
     places
 }
 
 #[test]
 fn a_place_is_given_once() {
     let mut places = places(3);
-    let given = (0..10).filter(|_| places.give(Millis(1_000_000), 10).is_ok()).count();
+    let given = (0..10).filter(|_| places.grant(Millis(1_000_000), 10).is_ok()).count();
     assert_eq!(given, 3);
 }
 
 #[test]
 fn a_request_on_its_way_counts_until_a_report_can_hold_it() {
     let mut places = places(1);
-    assert!(places.give(Millis(1_000_100), 10).is_ok());
-    places.take_report(Millis(1_000_105), 0);
-    assert!(places.give(Millis(1_000_106), 10).is_err(), "the report is too young to count it");
-    places.take_report(Millis(1_000_200), 0);
-    assert!(places.give(Millis(1_000_201), 10).is_ok(), "it has ended");
+    assert!(places.grant(Millis(1_000_100), 10).is_ok());
+    places.apply_report(Millis(1_000_105), 0);
+    assert!(places.grant(Millis(1_000_106), 10).is_err(), "the report is too young to count it");
+    places.apply_report(Millis(1_000_200), 0);
+    assert!(places.grant(Millis(1_000_201), 10).is_ok(), "it has ended");
 }
 
 #[test]
@@ -32,8 +32,8 @@
     let mut places = places(16);
     let mut tokens = 0;
     for at in 0..1000 {
-        places.take_report(Millis(1_000_000 + at), 0);
-        if places.give(Millis(1_000_000 + at), 1000).is_ok() {
+        places.apply_report(Millis(1_000_000 + at), 0);
+        if places.grant(Millis(1_000_000 + at), 1000).is_ok() {
             tokens += 1000;
         }
     }
@@ -44,8 +44,8 @@
 fn nothing_is_given_for_a_runner_that_was_not_heard() {
     let mut places = Places::default();
     places.set_profile(4, 20.0);
-    assert!(places.give(Millis(1_000_000), 10).is_err());
-    places.take_report(Millis(1_000_000), 0);
-    assert!(places.give(Millis(1_000_100), 10).is_ok());
-    assert!(places.give(Millis(1_002_000), 10).is_err());
+    assert!(places.grant(Millis(1_000_000), 10).is_err());
+    places.apply_report(Millis(1_000_000), 0);
+    assert!(places.grant(Millis(1_000_100), 10).is_ok());
+    assert!(places.grant(Millis(1_002_000), 10).is_err());
 }
--- a/components/rollout/tests/questions.rs
+++ b/components/rollout/tests/questions.rs
@@ -289,7 +289,10 @@
 fn a_later_try_leaves_the_last_place_to_first_ones() {
     let mut sidecar = short_sidecar(1);
     let verdict = ask(&mut sidecar, 1031, later(1, 1));
-    assert!(matches!(verdict, Verdict::Denied { denial: Denial::Later, .. }), "{verdict:?}");
+    assert!(
+        matches!(verdict, Verdict::Denied { denial: Denial::RepeatedAttempt, .. }),
+        "{verdict:?}"
+    );
     assert_eq!(ask(&mut sidecar, 1032, question(2, 1, 0)), Verdict::Granted);
 }
 
