--- a/components/rollout/tests/bounds.rs
+++ b/components/rollout/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! From when on nothing starts on a version that is too old.
+//! No request starts on a version after its deadline.
 
 mod support;
 
@@ -6,86 +6,88 @@
 use rollout::Denial;
 use support::*;
 
-/// How long before a bound no place is given on an older version any more, in milliseconds.
-const MARGIN: u64 = 900;
+/// How long before a deadline no more slots are granted on an older version, in milliseconds.
+const START_MARGIN_MS: u64 = 900;
 
-/// Two versions were named two seconds apart, and the second one was whole first. Runners that still held the version
-/// before both were ordered to take the second one in turns that ended with its bound, up to 0.4 s behind that of the
-/// first, and until then their sidecars gave places: a request could begin on a version that had been too old for a
-/// while. The bound of a version was kept with the chunks that were drawn for it, and went when these were left.
-/// Shown by the logs of such a day: four runners went from version 1 to version 3 behind the bound of version 2.
+/// Guards against requests that start on a version after its deadline. Two versions were announced two
+/// seconds apart, and the second one was complete first. Runners that still held the version before both were
+/// ordered to load the second one on a schedule that ended with its deadline, up to 0.4 s after the deadline
+/// of the first, and their sidecars granted slots until then. The deadline of a version was kept with its
+/// chunks and was lost when the version was abandoned. Four runners switched from version 1 to version 3
+/// after the deadline of version 2.
 #[test]
-fn a_version_binds_although_a_newer_one_is_taken_in_its_place() {
+fn deadline_of_a_version_applies_although_a_newer_one_is_loaded_instead() {
     let mut fleet = Fleet::new(20, Some(1), 0);
     fleet.run(3000);
-    fleet.name(2);
-    let bound = fleet.now + VERSION_MS;
+    fleet.announce(2);
+    let deadline = fleet.now + VERSION_MS;
     fleet.run(1800);
-    fleet.stalls = Some(2);
-    fleet.name(3);
-    fleet.run(bound - MARGIN - fleet.now);
-    let turned = (0..20).filter(|it| fleet.sidecars[*it].wanted() == Some(3)).count();
-    assert!(turned > 0, "some sidecar has turned to version 3");
-    while fleet.now < bound + 2000 {
+    fleet.stalled_version = Some(2);
+    fleet.announce(3);
+    fleet.run(deadline - START_MARGIN_MS - fleet.now);
+    let switching = (0..20).filter(|it| fleet.sidecars[*it].wanted() == Some(3)).count();
+    assert!(switching > 0, "some sidecar fetches version 3");
+    while fleet.now < deadline + 2000 {
         fleet.run(STEP_MS);
         for index in 0..fleet.sidecars.len() {
             if fleet.runners[index].version != Some(1) {
                 continue;
             }
-            let given = fleet.sidecars[index].reserve(Millis(fleet.now), 10);
-            let late = fleet.now.saturating_sub(bound);
-            assert_ne!(given, Ok(()), "a place on version 1, {late} ms behind the bound");
-            assert_ne!(given, Err(Denial::Full), "the version is looked at before the room");
+            let result = fleet.sidecars[index].reserve(Millis(fleet.now), 10);
+            let late_ms = fleet.now.saturating_sub(deadline);
+            assert_ne!(result, Ok(()), "a slot on version 1, {late_ms} ms after the deadline");
+            assert_ne!(result, Err(Denial::Full), "the version is checked before the free slots");
         }
     }
 }
 
-/// The same through a word that comes late: a gateway knows that the first of two versions was named earlier than this
-/// sidecar believes. Only the newest version's age was taken over.
+/// The same failure caused by a late report: a gateway knows that the first of two versions was announced
+/// earlier than this sidecar assumes. Only the age of the newest version was updated.
 #[test]
-fn the_earliest_word_on_an_older_version_counts_after_a_newer_one_was_named() {
+fn earliest_report_on_an_older_version_applies_after_a_newer_one_was_announced() {
     let mut fleet = Fleet::new(1, Some(1), 0);
-    fleet.origin_out_until = u64::MAX;
+    fleet.origin_unavailable_until = u64::MAX;
     fleet.run(3000);
-    let named = fleet.now;
+    let announced_at = fleet.now;
     fleet.run(2000);
-    fleet.name(2);
+    fleet.announce(2);
     fleet.run(500);
-    fleet.name(3);
-    let event = rollout::Event::Named { version: 2, named_at: Some(Millis(named)), after_ms: None };
-    fleet.feed(0, event);
-    fleet.run(named + VERSION_MS - MARGIN - fleet.now);
-    let given = fleet.sidecars[0].reserve(Millis(fleet.now), 10);
-    assert_ne!(given, Ok(()), "a place on version 1 behind the bound of version 2");
+    fleet.announce(3);
+    let event =
+        rollout::Event::Named { version: 2, named_at: Some(Millis(announced_at)), after_ms: None };
+    fleet.deliver(0, event);
+    fleet.run(announced_at + VERSION_MS - START_MARGIN_MS - fleet.now);
+    let result = fleet.sidecars[0].reserve(Millis(fleet.now), 10);
+    assert_ne!(result, Ok(()), "a slot on version 1 after the deadline of version 2");
 }
 
-/// A sidecar whose runner holds version 1, and that can't get any newer one.
+/// A sidecar whose runner holds version 1, and that cannot fetch any newer version.
 fn sidecar_without_chunks() -> Fleet {
     let mut fleet = Fleet::new(1, Some(1), 0);
-    fleet.origin_out_until = u64::MAX;
+    fleet.origin_unavailable_until = u64::MAX;
     fleet.run(500);
     fleet
 }
 
 #[test]
-fn a_runner_gives_up_a_version_shortly_before_its_bound() {
+fn runner_drops_a_version_shortly_before_the_deadline() {
     let mut fleet = sidecar_without_chunks();
-    fleet.name(2);
-    let bound = fleet.now + VERSION_MS;
+    fleet.announce(2);
+    let deadline = fleet.now + VERSION_MS;
     fleet.run(VERSION_MS - 500);
-    assert!(fleet.retired.is_empty(), "requests with a place begin until then");
+    assert!(fleet.retired.is_empty(), "requests with a slot may start until then");
     fleet.run(1000);
     let [(0, 1, at)] = fleet.retired[..] else {
         panic!("{:?}", fleet.retired);
     };
-    assert!(at <= bound - 200, "{at}, the bound is at {bound}");
+    assert!(at <= deadline - 200, "dropped at {at}, the deadline is {deadline}");
 }
 
 #[test]
-fn a_version_that_was_given_up_is_replaced_once_the_newer_one_is_whole() {
+fn dropped_version_is_replaced_once_the_newer_one_is_complete() {
     let mut fleet = sidecar_without_chunks();
-    fleet.origin_out_until = fleet.now + VERSION_MS + 1000;
-    fleet.name(2);
+    fleet.origin_unavailable_until = fleet.now + VERSION_MS + 1000;
+    fleet.announce(2);
     fleet.run(VERSION_MS);
     assert_eq!(fleet.versions().get(&None), Some(&1), "it holds a part of version 1");
     fleet.run(9000);
@@ -93,66 +95,70 @@
 }
 
 #[test]
-fn a_runner_that_takes_the_newer_version_in_time_gives_up_nothing() {
+fn runner_that_loads_the_newer_version_in_time_drops_nothing() {
     let mut fleet = Fleet::new(20, Some(1), 0);
     fleet.run(3000);
-    fleet.name(2);
+    fleet.announce(2);
     fleet.run(VERSION_MS + 2000);
     assert_eq!(fleet.versions().get(&Some(2)), Some(&20));
     assert_eq!(fleet.retired, []);
 }
 
 #[test]
-fn nothing_is_given_up_for_a_bound_that_nobody_knows() {
+fn nothing_is_dropped_for_a_version_of_unknown_age() {
     let mut fleet = sidecar_without_chunks();
-    fleet.feed(0, rollout::Event::Named { version: 2, named_at: None, after_ms: None });
+    fleet.deliver(0, rollout::Event::Named { version: 2, named_at: None, after_ms: None });
     fleet.run(VERSION_MS * 2);
     assert_eq!(fleet.retired, []);
-    let given = fleet.sidecars[0].reserve(Millis(fleet.now), 10);
-    assert_eq!(given, Err(Denial::TooOld), "but it gets nothing");
+    let result = fleet.sidecars[0].reserve(Millis(fleet.now), 10);
+    assert_eq!(result, Err(Denial::TooOld), "but no slots are granted");
 }
 
-/// The first of two versions binds although the second one is drawn.
+/// The deadline of the first of two versions applies although the second one is being fetched.
 #[test]
-fn a_runner_gives_up_a_version_by_the_first_bound_of_all_newer_ones() {
+fn runner_drops_a_version_by_the_earliest_deadline_of_all_newer_ones() {
     let mut fleet = sidecar_without_chunks();
-    fleet.name(2);
-    let bound = fleet.now + VERSION_MS;
+    fleet.announce(2);
+    let deadline = fleet.now + VERSION_MS;
     fleet.run(2000);
-    fleet.name(3);
+    fleet.announce(3);
     fleet.run(VERSION_MS - 2000);
     assert_eq!(fleet.retired.len(), 1);
-    assert!(fleet.retired[0].2 <= bound - 200, "{:?}, the bound is at {bound}", fleet.retired);
+    assert!(
+        fleet.retired[0].2 <= deadline - 200,
+        "{:?}, the deadline is {deadline}",
+        fleet.retired
+    );
 }
 
-/// Seen on a day with two versions in a row, after runners gave up versions for the first time: a sidecar that had every
-/// chunk of the version that was given up ordered it again, gave it up again, and so on, eleven orders in four seconds.
+/// Guards against loading a version that was dropped. A sidecar that had all chunks of the dropped version
+/// ordered it again, dropped it again, and so on: eleven orders in four seconds.
 #[test]
-fn a_version_that_was_given_up_is_not_taken_again() {
+fn dropped_version_is_not_loaded_again() {
     let mut fleet = Fleet::new(3, Some(1), 0);
     fleet.run(3000);
-    fleet.name(2);
+    fleet.announce(2);
     fleet.run(2000);
-    fleet.stalls = Some(3);
-    fleet.name(3);
+    fleet.stalled_version = Some(3);
+    fleet.announce(3);
     fleet.run(VERSION_MS + 6000);
     let orders: Vec<u64> = fleet.orders.iter().map(|it| it.1).collect();
-    assert_eq!(orders, [2, 2, 2], "each runner took version 2 once");
+    assert_eq!(orders, [2, 2, 2], "each runner loaded version 2 once");
     let retired: Vec<u64> = fleet.retired.iter().map(|it| it.1).collect();
-    assert_eq!(retired, [2, 2, 2], "and gave it up once");
+    assert_eq!(retired, [2, 2, 2], "and dropped it once");
 }
 
-/// Every chunk of the newer version is here, and what is put at the runner never arrives whole: an order is intended for
-/// any time, and none is given.
+/// All chunks of the newer version are here, but writing them to the runner always fails. So an order stays
+/// pending indefinitely and is never sent.
 #[test]
-fn a_version_is_given_up_although_an_order_for_the_newer_one_is_intended() {
+fn version_is_dropped_although_an_order_for_the_newer_one_is_pending() {
     let mut fleet = Fleet::new(3, Some(1), 0);
-    fleet.spoils_staging = true;
+    fleet.staging_fails = true;
     fleet.run(3000);
-    fleet.name(2);
-    let bound = fleet.now + VERSION_MS;
+    fleet.announce(2);
+    let deadline = fleet.now + VERSION_MS;
     fleet.run(VERSION_MS + 1000);
     assert_eq!(fleet.orders, []);
     assert_eq!(fleet.retired.len(), 3, "{:?}", fleet.retired);
-    assert!(fleet.retired.iter().all(|it| it.2 < bound), "{:?} {bound}", fleet.retired);
+    assert!(fleet.retired.iter().all(|it| it.2 < deadline), "{:?} {deadline}", fleet.retired);
 }
--- a/components/rollout/tests/places.rs
+++ b/components/rollout/tests/places.rs
@@ -1,4 +1,4 @@
-//! Places at a runner.
+//! The slots of a runner.
 
 use fleet::Millis;
 use rollout::Places;
@@ -11,24 +11,24 @@
 }
 
 #[test]
-fn a_place_is_given_once() {
+fn each_slot_is_granted_once() {
     let mut places = places(3);
-    let given = (0..10).filter(|_| places.grant(Millis(1_000_000), 10).is_ok()).count();
-    assert_eq!(given, 3);
+    let granted = (0..10).filter(|_| places.grant(Millis(1_000_000), 10).is_ok()).count();
+    assert_eq!(granted, 3);
 }
 
 #[test]
-fn a_request_on_its_way_counts_until_a_report_can_hold_it() {
+fn request_in_transit_counts_until_a_report_can_include_it() {
     let mut places = places(1);
     assert!(places.grant(Millis(1_000_100), 10).is_ok());
     places.apply_report(Millis(1_000_105), 0);
-    assert!(places.grant(Millis(1_000_106), 10).is_err(), "the report is too young to count it");
+    assert!(places.grant(Millis(1_000_106), 10).is_err(), "the report is too recent to include it");
     places.apply_report(Millis(1_000_200), 0);
     assert!(places.grant(Millis(1_000_201), 10).is_ok(), "it has ended");
 }
 
 #[test]
-fn prompts_come_no_faster_than_the_runner_reads_them() {
+fn prompts_are_sent_no_faster_than_the_runner_processes_them() {
     let mut places = places(16);
     let mut tokens = 0;
     for at in 0..1000 {
@@ -37,11 +37,14 @@
             tokens += 1000;
         }
     }
-    assert!((17_000..=22_000).contains(&tokens), "{tokens} tokens in a second at 20 a millisecond");
+    assert!(
+        (17_000..=22_000).contains(&tokens),
+        "{tokens} tokens in a second at a limit of 20 per millisecond"
+    );
 }
 
 #[test]
-fn nothing_is_given_for_a_runner_that_was_not_heard() {
+fn nothing_is_granted_without_a_recent_report() {
     let mut places = Places::default();
     places.set_profile(4, 20.0);
     assert!(places.grant(Millis(1_000_000), 10).is_err());
--- a/components/rollout/tests/questions.rs
+++ b/components/rollout/tests/questions.rs
@@ -1,4 +1,4 @@
-//! Questions of gateways for a place at the runner, and those that wait for one.
+//! Reservation requests of gateways, and the queue of those that wait for a slot.
 
 use std::collections::BTreeMap;
 
@@ -38,13 +38,13 @@
     Question { asker, number, request, prompt_tokens: 10, rank, left_ms: 400, wait_ms }
 }
 
-/// A question for a later try of a caller that was refused.
-fn later(number: u64, rank: u8) -> Question {
+/// A reservation request for a repeated attempt of a rejected caller.
+fn repeated(number: u64, rank: u8) -> Question {
     Question { left_ms: 0, ..question(number, rank, 100) }
 }
 
-/// A sidecar whose runner has one place left, and where a first try of this rank has found none.
-fn short_sidecar(rank: u8) -> Rollout {
+/// A sidecar whose runner has one free slot, and which has rejected a first attempt of this rank.
+fn sidecar_short_of_slots(rank: u8) -> Rollout {
     let mut sidecar = sidecar(1000, SLOTS);
     ask(&mut sidecar, 1000, question(900, rank, 0));
     report(&mut sidecar, 1030, SLOTS - 1);
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn a_question_that_may_not_wait_is_denied_when_every_place_is_taken() {
+fn request_that_may_not_wait_is_denied_without_free_slots() {
     let mut sidecar = sidecar(1000, SLOTS);
     assert!(is_denied(ask(&mut sidecar, 1001, question(1, 1, 0))));
     assert_eq!(sidecar.waiting(), 0);
 }
 
 #[test]
-fn a_question_waits_until_a_place_comes_free() {
+fn request_waits_until_a_slot_is_free() {
     let mut sidecar = sidecar(1000, SLOTS);
     assert_eq!(ask(&mut sidecar, 1001, question(1, 1, 100)), Verdict::Queued);
     assert_eq!(report(&mut sidecar, 1025, SLOTS), vec![]);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_question_whose_time_is_over_is_denied() {
+fn request_is_denied_when_its_waiting_time_expires() {
     let mut sidecar = sidecar(1000, SLOTS);
     ask(&mut sidecar, 1001, question(1, 1, 50));
     let answers = report(&mut sidecar, 1060, SLOTS);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn the_more_urgent_rank_is_answered_first_and_equals_in_turn() {
+fn requests_are_answered_by_rank_and_then_in_order_of_arrival() {
     let mut sidecar = sidecar(1000, SLOTS);
     for (number, rank) in [(1, 2), (2, 1), (3, 2), (4, 1)] {
         ask(&mut sidecar, 1001, question(number, rank, 100));
@@ -126,16 +126,16 @@
 }
 
 #[test]
-fn a_question_does_not_overtake_those_that_wait() {
+fn request_does_not_overtake_queued_ones() {
     let mut sidecar = sidecar(1000, SLOTS);
     ask(&mut sidecar, 1001, question(1, 1, 200));
-    // The place that came free goes to the one that waits.
+    // The slot that becomes free goes to the queued request.
     assert_eq!(report(&mut sidecar, 1030, SLOTS - 1), vec![(1, Verdict::Granted)]);
     assert_eq!(ask(&mut sidecar, 1031, question(2, 1, 100)), Verdict::Queued);
 }
 
 #[test]
-fn questions_that_wait_at_a_runner_that_falls_silent_go_elsewhere_at_once() {
+fn queued_requests_are_denied_at_once_when_the_runner_stops_responding() {
     let mut sidecar = sidecar(1000, SLOTS);
     ask(&mut sidecar, 1001, question(1, 1, 100));
     let answers = answers(sidecar.reduce(Millis(1030), Event::Silent));
@@ -144,12 +144,12 @@
 }
 
 #[test]
-fn few_questions_wait_at_once() {
+fn length_of_the_queue_is_limited() {
     let mut sidecar = sidecar(1000, SLOTS);
     let verdicts: Vec<Verdict> =
         (0..30).map(|number| ask(&mut sidecar, 1001, question(number, 1, 100))).collect();
     let queued = verdicts.iter().filter(|it| **it == Verdict::Queued).count();
-    assert!(queued <= 8, "{queued} wait");
+    assert!(queued <= 8, "{queued} requests are queued");
     assert!(verdicts[20..].iter().all(|it| is_denied(*it)));
 }
 
@@ -172,16 +172,16 @@
 }
 
 proptest! {
-    /// Each question gets one final answer, no later than its time and the next report, and between two
-    /// reports no more places are given than there are.
+    /// Each request gets exactly one final answer, at the latest with the next report after its waiting time,
+    /// and no more slots are granted between two reports than are free.
     #[test]
-    fn each_question_is_answered_once_and_in_time(
+    fn each_request_is_answered_once_and_in_time(
         steps in proptest::collection::vec((step(), 1..40u64), 1..80),
     ) {
         let mut sidecar = sidecar(1000, 0);
         let (mut now, mut next) = (1000, 0);
         let mut open: BTreeMap<u64, u64> = BTreeMap::new();
-        let (mut running, mut given) = (0, 0);
+        let (mut running, mut granted_count) = (0, 0);
         for (step, pause) in steps {
             now += pause;
             let effects = match step {
@@ -191,7 +191,7 @@
                     sidecar.reduce(Millis(now), Event::Asked(question(next, rank, wait_ms)))
                 }
                 Step::Report { running: reported } => {
-                    (running, given) = (reported, 0);
+                    (running, granted_count) = (reported, 0);
                     let status =
                         RunnerStatus { born: None, sequence: 0, busy: false, running, waiting: 0, version: Some(1) };
                     sidecar.reduce(Millis(now), Event::Status(status))
@@ -199,13 +199,13 @@
                 Step::Silent => sidecar.reduce(Millis(now), Event::Silent),
                 Step::Tick => sidecar.reduce(Millis(now), Event::Tick),
             };
-            let may_settle = !matches!(step, Step::Ask { .. });
+            let answers_expired = !matches!(step, Step::Ask { .. });
             for (number, verdict) in answers(effects) {
                 match verdict {
                     Verdict::Queued => prop_assert!(open.contains_key(&number)),
                     Verdict::Granted => {
-                        given += 1;
-                        prop_assert!(running + given <= SLOTS, "{running} + {given} places");
+                        granted_count += 1;
+                        prop_assert!(running + granted_count <= SLOTS, "{running} running and {granted_count} granted");
                         prop_assert!(open.remove(&number).is_some(), "answered twice");
                     }
                     Verdict::Denied { .. } => {
@@ -213,51 +213,51 @@
                     }
                 }
             }
-            if may_settle {
+            if answers_expired {
                 let late = open.values().any(|until| *until <= now);
-                prop_assert!(!late, "a question is late at {now}: {open:?}");
+                prop_assert!(!late, "an answer is late at {now}: {open:?}");
             }
         }
     }
 }
 
-/// The moment at which a version was named, and by when requests may not start on the one before.
-const NAMED_AT: u64 = 10_000;
-const BOUND: u64 = NAMED_AT + 8000;
+/// The time of an announcement, and the deadline of the version before, in milliseconds.
+const ANNOUNCED_AT_MS: u64 = 10_000;
+const DEADLINE_MS: u64 = ANNOUNCED_AT_MS + 8000;
 
-fn name(sidecar: &mut Rollout, now: u64, named_at: Option<Millis>) {
+fn announce(sidecar: &mut Rollout, now: u64, named_at: Option<Millis>) {
     sidecar.reduce(Millis(now), Event::Named { version: 2, named_at, after_ms: None });
     sidecar.reduce(Millis(now), Event::Peers(Vec::new()));
     sidecar.reduce(Millis(now), Event::Tick);
 }
 
-/// A sidecar that was killed while a version moved took the version for newly named when it was back,
-/// and gave places on the old one past its bound.
+/// Guards against slots granted after the deadline. A sidecar that was killed during a rollout assumed after
+/// its restart that the version had just been announced.
 #[test]
-fn a_sidecar_that_starts_again_keeps_to_the_bound_that_others_know() {
-    let started = NAMED_AT + 2000;
+fn restarted_sidecar_uses_the_deadline_reported_by_others() {
+    let started = ANNOUNCED_AT_MS + 2000;
     let mut sidecar = sidecar(started, 0);
-    name(&mut sidecar, started, None);
-    name(&mut sidecar, started + 100, Some(Millis(NAMED_AT)));
-    report(&mut sidecar, BOUND - 500, 0);
-    assert!(is_denied(ask(&mut sidecar, BOUND - 499, question(1, 1, 0))));
+    announce(&mut sidecar, started, None);
+    announce(&mut sidecar, started + 100, Some(Millis(ANNOUNCED_AT_MS)));
+    report(&mut sidecar, DEADLINE_MS - 500, 0);
+    assert!(is_denied(ask(&mut sidecar, DEADLINE_MS - 499, question(1, 1, 0))));
 }
 
 #[test]
-fn a_later_word_on_when_a_version_was_named_changes_nothing() {
-    let mut sidecar = sidecar(NAMED_AT, 0);
-    name(&mut sidecar, NAMED_AT, Some(Millis(NAMED_AT)));
-    name(&mut sidecar, NAMED_AT + 3000, Some(Millis(NAMED_AT + 2000)));
-    report(&mut sidecar, BOUND - 500, 0);
-    assert!(is_denied(ask(&mut sidecar, BOUND - 499, question(1, 1, 0))));
+fn report_with_a_later_announcement_time_changes_nothing() {
+    let mut sidecar = sidecar(ANNOUNCED_AT_MS, 0);
+    announce(&mut sidecar, ANNOUNCED_AT_MS, Some(Millis(ANNOUNCED_AT_MS)));
+    announce(&mut sidecar, ANNOUNCED_AT_MS + 3000, Some(Millis(ANNOUNCED_AT_MS + 2000)));
+    report(&mut sidecar, DEADLINE_MS - 500, 0);
+    assert!(is_denied(ask(&mut sidecar, DEADLINE_MS - 499, question(1, 1, 0))));
 }
 
 #[test]
-fn no_place_is_given_on_an_old_version_where_requests_wait_to_start() {
+fn no_slot_is_granted_on_an_old_version_if_requests_wait_at_the_runner() {
     for (waiting, denied) in [(0, false), (2, true)] {
-        let mut sidecar = sidecar(NAMED_AT, 0);
-        name(&mut sidecar, NAMED_AT, Some(Millis(NAMED_AT)));
-        for now in [BOUND - 1800, BOUND - 1400, BOUND - 1000] {
+        let mut sidecar = sidecar(ANNOUNCED_AT_MS, 0);
+        announce(&mut sidecar, ANNOUNCED_AT_MS, Some(Millis(ANNOUNCED_AT_MS)));
+        for now in [DEADLINE_MS - 1800, DEADLINE_MS - 1400, DEADLINE_MS - 1000] {
             let status = RunnerStatus {
                 born: None,
                 sequence: 0,
@@ -268,27 +268,27 @@
             };
             sidecar.reduce(Millis(now), Event::Status(status));
         }
-        assert_eq!(is_denied(ask(&mut sidecar, BOUND - 990, question(1, 1, 0))), denied);
+        assert_eq!(is_denied(ask(&mut sidecar, DEADLINE_MS - 990, question(1, 1, 0))), denied);
     }
 }
 
 #[test]
-fn a_bound_that_becomes_shorter_holds_for_the_next_question() {
-    let mut sidecar = sidecar(NAMED_AT, 0);
-    name(&mut sidecar, NAMED_AT, Some(Millis(NAMED_AT)));
-    report(&mut sidecar, NAMED_AT + 4000, 0);
-    assert!(!is_denied(ask(&mut sidecar, NAMED_AT + 4001, question(1, 1, 0))));
+fn shorter_deadline_applies_to_the_next_request() {
+    let mut sidecar = sidecar(ANNOUNCED_AT_MS, 0);
+    announce(&mut sidecar, ANNOUNCED_AT_MS, Some(Millis(ANNOUNCED_AT_MS)));
+    report(&mut sidecar, ANNOUNCED_AT_MS + 4000, 0);
+    assert!(!is_denied(ask(&mut sidecar, ANNOUNCED_AT_MS + 4001, question(1, 1, 0))));
     sidecar.reduce(
-        Millis(NAMED_AT + 4002),
+        Millis(ANNOUNCED_AT_MS + 4002),
         Event::Bounded { version_ms: 4100, evacuate_ms: Some(5000) },
     );
-    assert!(is_denied(ask(&mut sidecar, NAMED_AT + 4003, question(2, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, ANNOUNCED_AT_MS + 4003, question(2, 1, 0))));
 }
 
 #[test]
-fn a_later_try_leaves_the_last_place_to_first_ones() {
-    let mut sidecar = short_sidecar(1);
-    let verdict = ask(&mut sidecar, 1031, later(1, 1));
+fn repeated_attempt_leaves_the_last_slot_to_first_attempts() {
+    let mut sidecar = sidecar_short_of_slots(1);
+    let verdict = ask(&mut sidecar, 1031, repeated(1, 1));
     assert!(
         matches!(verdict, Verdict::Denied { denial: Denial::RepeatedAttempt, .. }),
         "{verdict:?}"
@@ -297,34 +297,34 @@
 }
 
 #[test]
-fn a_later_try_gets_a_place_where_another_one_stays_free() {
-    let mut sidecar = short_sidecar(1);
+fn repeated_attempt_gets_a_slot_if_another_one_stays_free() {
+    let mut sidecar = sidecar_short_of_slots(1);
     report(&mut sidecar, 1060, SLOTS - 2);
-    assert_eq!(ask(&mut sidecar, 1061, later(1, 1)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 1061, repeated(1, 1)), Verdict::Granted);
 }
 
 #[test]
-fn a_later_try_gets_the_last_place_where_no_first_try_was_denied_lately() {
-    let mut sidecar = short_sidecar(1);
+fn repeated_attempt_gets_the_last_slot_if_no_first_attempt_was_denied_recently() {
+    let mut sidecar = sidecar_short_of_slots(1);
     report(&mut sidecar, 1400, SLOTS - 1);
-    assert_eq!(ask(&mut sidecar, 1401, later(1, 1)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 1401, repeated(1, 1)), Verdict::Granted);
 }
 
 #[test]
-fn a_later_try_is_not_held_back_by_first_tries_that_are_less_urgent() {
-    let mut sidecar = short_sidecar(2);
-    assert_eq!(ask(&mut sidecar, 1031, later(1, 1)), Verdict::Granted);
+fn repeated_attempt_does_not_yield_to_less_urgent_first_attempts() {
+    let mut sidecar = sidecar_short_of_slots(2);
+    assert_eq!(ask(&mut sidecar, 1031, repeated(1, 1)), Verdict::Granted);
 }
 
-/// Callers whose deadlines are unusual look like later tries.
+/// Callers with unusual deadlines look like repeated attempts.
 #[test]
-fn one_place_in_twenty_five_goes_to_later_tries_however_short_places_are() {
-    let mut sidecar = short_sidecar(1);
+fn one_slot_in_twenty_five_goes_to_repeated_attempts_during_a_shortage() {
+    let mut sidecar = sidecar_short_of_slots(1);
     let mut granted = 0;
     for turn in 0..250 {
         let now = 1100 + turn * 100;
         report(&mut sidecar, now, SLOTS - 1);
-        if ask(&mut sidecar, now, later(2 * turn, 1)) == Verdict::Granted {
+        if ask(&mut sidecar, now, repeated(2 * turn, 1)) == Verdict::Granted {
             granted += 1;
         } else {
             assert_eq!(ask(&mut sidecar, now, question(2 * turn + 1, 1, 0)), Verdict::Granted);
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn places_given_while_there_was_room_bring_no_later_try_before_first_ones() {
+fn slots_granted_before_a_shortage_do_not_count_for_repeated_attempts() {
     let mut sidecar = sidecar(1000, 0);
     for turn in 0..60 {
         report(&mut sidecar, 1000 + turn * 100, 0);
@@ -344,11 +344,11 @@
     report(&mut sidecar, 7100, SLOTS);
     assert!(is_denied(ask(&mut sidecar, 7101, question(100, 1, 0))));
     report(&mut sidecar, 7130, SLOTS - 1);
-    assert!(is_denied(ask(&mut sidecar, 7131, later(101, 1))));
+    assert!(is_denied(ask(&mut sidecar, 7131, repeated(101, 1))));
 }
 
 #[test]
-fn a_denial_tells_for_how_long_places_have_been_short() {
+fn denial_contains_the_duration_of_the_shortage() {
     let mut sidecar = sidecar(1000, SLOTS);
     let mut short_ms = |now, number| {
         report(&mut sidecar, now, SLOTS);
@@ -360,18 +360,18 @@
     assert_eq!(short_ms(1000, 1), 0);
     assert_eq!(short_ms(2500, 2), 1500);
     assert_eq!(short_ms(4000, 3), 3000);
-    assert_eq!(short_ms(6500, 4), 0, "nobody found it full for more than two seconds");
+    assert_eq!(short_ms(6500, 4), 0, "no first attempt was denied for more than two seconds");
 }
 
 #[test]
-fn what_has_least_left_of_its_aim_goes_first_among_equal_ranks() {
+fn request_with_the_least_time_left_is_answered_first_within_a_rank() {
     let mut sidecar = sidecar(1000, SLOTS);
     ask(&mut sidecar, 1001, question(1, 1, 100));
     ask(&mut sidecar, 1002, Question { left_ms: 320, ..question(2, 1, 100) });
     ask(&mut sidecar, 1003, Question { left_ms: 0, ..question(3, 0, 100) });
     let order: Vec<u64> = (0..3)
         .flat_map(|turn| {
-            // One place comes free with each report, and what was granted takes it.
+            // One slot becomes free with each report, and the granted request uses it.
             report(&mut sidecar, 1030 + turn * 30, SLOTS - 1)
         })
         .map(|(number, _)| number)
@@ -380,13 +380,13 @@
 }
 
 #[test]
-fn a_sidecar_that_stood_still_gives_no_place_until_a_gateway_has_told_it_again() {
+fn resumed_sidecar_grants_no_slot_until_a_gateway_has_reported_again() {
     let mut sidecar = sidecar(1000, 0);
     assert_eq!(ask(&mut sidecar, 1001, question(1, 1, 0)), Verdict::Granted);
     sidecar.reduce(Millis(5000), Event::Woke);
     report(&mut sidecar, 5010, 0);
     assert!(is_denied(ask(&mut sidecar, 5011, question(2, 1, 0))));
-    // What a gateway said meanwhile waits in the socket.
+    // Messages that a gateway sent during the suspension are still in the socket buffer.
     sidecar.reduce(Millis(5020), Event::VersionsKnown);
     assert!(is_denied(ask(&mut sidecar, 5021, question(3, 1, 0))));
     sidecar.reduce(Millis(5400), Event::VersionsKnown);
@@ -395,13 +395,13 @@
 }
 
 #[test]
-fn a_runner_that_leaves_gives_no_place_and_those_who_wait_are_told() {
+fn leaving_runner_gets_no_requests_and_queued_ones_are_denied() {
     let mut sidecar = sidecar(1000, SLOTS);
     assert_eq!(ask(&mut sidecar, 1001, question(1, 1, 400)), Verdict::Queued);
-    let told = answers(sidecar.reduce(Millis(1010), Event::RunnerLeaves(true)));
+    let denied_answers = answers(sidecar.reduce(Millis(1010), Event::RunnerLeaves(true)));
     assert!(
-        matches!(told[..], [(1, Verdict::Denied { denial: Denial::RunnerLeaves, .. })]),
-        "{told:?}"
+        matches!(denied_answers[..], [(1, Verdict::Denied { denial: Denial::RunnerLeaves, .. })]),
+        "{denied_answers:?}"
     );
     report(&mut sidecar, 1020, 0);
     assert!(is_denied(ask(&mut sidecar, 1021, question(2, 1, 400))));
--- a/components/rollout/tests/support/effects.rs
+++ b/components/rollout/tests/support/effects.rs
@@ -1,4 +1,4 @@
-//! What the fleet does about the effects of its sidecars.
+//! Execution of the effects of the simulated sidecars.
 
 use std::net::SocketAddr;
 
@@ -10,27 +10,36 @@
 use super::{address, id, manifest, place, Fleet, CHUNKS};
 
 impl Fleet {
-    /// Carries an effect of a sidecar out, after a delay.
-    pub fn perform(&mut self, index: usize, effect: Effect) {
+    /// Executes an effect of a sidecar after a delay.
+    pub fn execute(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Life(..) => {}
-            Effect::Describe(version, source) => self.describe(index, version, source),
+            Effect::Describe(version, source) => self.deliver_manifest(index, version, source),
             Effect::Find(version) => {
                 let none = Bitmap::new(CHUNKS);
-                self.after(10, index, Event::Found(version, none));
+                self.schedule(10, index, Event::Found(version, none));
+            }
+            Effect::Draw(version, draw) => self.deliver_chunk(index, version, draw),
+            Effect::Summarize { to, version, have } => {
+                self.deliver_summary(index, to, version, have)
             }
-            Effect::Draw(version, draw) => self.draw(index, version, draw),
-            Effect::Summarize { to, version, have } => self.summarize(index, to, version, have),
             Effect::Answer(..) | Effect::Evacuation(_) | Effect::Limit(_) => {}
             Effect::Stage(version) => {
-                let whole = self.sidecars[index].have(version).is_some_and(|it| it.is_full());
-                assert!(whole, "staged before every chunk was here");
-                self.after(20, index, Event::Staged(version, !self.spoils_staging));
+                let is_complete = self.sidecars[index].have(version).is_some_and(|it| it.is_full());
+                assert!(is_complete, "staged before all chunks were here");
+                self.schedule(20, index, Event::Staged(version, !self.staging_fails));
             }
             Effect::Retire { version, sequence } => {
                 let runner = &mut self.runners[index];
-                assert_eq!(runner.sequence, sequence, "ordered on an old view of the runner");
-                assert_eq!(runner.version, Some(version), "gives up what the runner does not hold");
+                assert_eq!(
+                    runner.sequence, sequence,
+                    "the order is based on an outdated state of the runner"
+                );
+                assert_eq!(
+                    runner.version,
+                    Some(version),
+                    "drops a version that the runner does not hold"
+                );
                 runner.sequence += 1;
                 runner.version = None;
                 self.retired.push((index, version, self.now));
@@ -39,42 +48,45 @@
         }
     }
 
-    /// Has another sidecar hear which chunks one holds.
-    fn summarize(&mut self, index: usize, to: SocketAddr, version: u64, have: Bitmap) {
-        let Some(other) = self.listening_at(to) else {
+    /// Delivers a summary of the held chunks to another sidecar.
+    fn deliver_summary(&mut self, index: usize, to: SocketAddr, version: u64, have: Bitmap) {
+        let Some(other) = self.index_at(to) else {
             return;
         };
-        if !self.are_joined(index, other) {
+        if !self.can_reach(index, other) {
             return;
         }
         self.summaries += 1;
         let (from, address, place) = (id(index), address(index), place(index));
-        self.after(3, other, Event::Summary { from, address, place, version, have });
+        self.schedule(3, other, Event::Summary { from, address, place, version, have });
     }
 
-    /// Orders a runner to take a version.
+    /// Orders a runner to load a version.
     fn order(&mut self, index: usize, version: u64, sequence: u64) {
         let runner = &mut self.runners[index];
-        assert_eq!(runner.sequence, sequence, "ordered on an old view of the runner");
-        assert!(runner.taking.is_none(), "ordered while it takes another order");
+        assert_eq!(
+            runner.sequence, sequence,
+            "the order is based on an outdated state of the runner"
+        );
+        assert!(runner.taking.is_none(), "ordered while another order is pending");
         runner.sequence += 1;
         runner.taking = Some((self.now + 500, version));
         self.orders.push((index, version, self.now));
-        self.after(5, index, Event::Ordered(version, OrderOutcome::Taken));
+        self.schedule(5, index, Event::Ordered(version, OrderOutcome::Taken));
         for other in (0..self.sidecars.len()).filter(|it| *it != index) {
-            self.after(3, other, Event::PeerOrdered);
+            self.schedule(3, other, Event::PeerOrdered);
         }
     }
 
-    /// Has a sidecar get the manifest of a version, or not.
-    pub fn describe(&mut self, index: usize, version: u64, source: ManifestSource) {
+    /// Delivers the manifest of a version to a sidecar, or an error.
+    pub fn deliver_manifest(&mut self, index: usize, version: u64, source: ManifestSource) {
         let known = match source {
             ManifestSource::Origin => {
                 self.origin_manifests += 1;
-                self.now >= self.origin_out_until
+                self.now >= self.origin_unavailable_until
             }
             ManifestSource::Peer(peer) => {
-                let other = self.listening_at(peer);
+                let other = self.index_at(peer);
                 other.is_some_and(|it| self.sidecars[it].have(version).is_some())
             }
         };
@@ -83,78 +95,82 @@
         } else {
             Event::Undescribed(version)
         };
-        self.after(if known { 60 } else { 20 }, index, event);
+        self.schedule(if known { 60 } else { 20 }, index, event);
     }
 
-    /// Has a chunk arrive that a sidecar draws, or not.
-    pub fn draw(&mut self, index: usize, version: u64, draw: Draw) {
+    /// Delivers a chunk to a sidecar, or an error.
+    pub fn deliver_chunk(&mut self, index: usize, version: u64, draw: Draw) {
         let Draw { index: chunk, source, deadline, .. } = draw;
-        self.draws += 1;
-        let lost = self.loses > 0 && self.draws.is_multiple_of(self.loses);
-        if !self.reaches(index, &source) {
+        self.fetches += 1;
+        let is_lost = self.lose_every > 0 && self.fetches.is_multiple_of(self.lose_every);
+        if !self.can_fetch_from(index, &source) {
             let code = Code::Unreachable;
-            let delay = self.dead_ms.min(deadline.since(Millis(self.now)).0);
-            self.after(delay, index, Event::Missed { version, index: chunk, source, code });
+            let delay = self.failure_detection_ms.min(deadline.since(Millis(self.now)).0);
+            self.schedule(delay, index, Event::Missed { version, index: chunk, source, code });
             return;
         }
         let holds = self.holds(&source, version, chunk);
-        self.note_way(index, &source);
-        let out = source == DrawSource::Origin && self.now < self.origin_out_until;
+        self.count_hall_crossing(index, &source);
+        let is_unavailable =
+            source == DrawSource::Origin && self.now < self.origin_unavailable_until;
         let mut delay = self.chunk_ms;
-        if source == DrawSource::Origin && !out {
+        if source == DrawSource::Origin && !is_unavailable {
             self.origin_chunks += 1;
             self.origin_busy_until = self.origin_busy_until.max(self.now) + self.origin_chunk_ms;
             delay += self.origin_busy_until - self.now;
         }
-        let lost = lost || out || self.stalls == Some(version);
-        let event = if lost || !holds {
-            let code = if lost { Code::PeerStalled } else { Code::ChunkMissing };
+        let is_lost = is_lost || is_unavailable || self.stalled_version == Some(version);
+        let event = if is_lost || !holds {
+            let code = if is_lost { Code::PeerStalled } else { Code::ChunkMissing };
             Event::Missed { version, index: chunk, source, code }
         } else {
             Event::Arrived { version, index: chunk, source, verified: true }
         };
-        self.after(delay, index, event);
+        self.schedule(delay, index, event);
     }
 
-    /// Whether a sidecar reaches a source.
-    fn reaches(&self, index: usize, source: &DrawSource) -> bool {
+    /// Returns whether a sidecar can reach a source.
+    fn can_fetch_from(&self, index: usize, source: &DrawSource) -> bool {
         match source {
-            DrawSource::Origin => !self.cut_off.contains(&index),
+            DrawSource::Origin => !self.disconnected.contains(&index),
             DrawSource::Peer(peer, _) => {
-                let is_there = |it: usize| !self.dead.contains(&it) && self.are_joined(it, index);
-                self.named(peer).is_some_and(is_there)
+                let is_reachable =
+                    |it: usize| !self.stopped_sidecars.contains(&it) && self.can_reach(it, index);
+                self.index_of(peer).is_some_and(is_reachable)
             }
         }
     }
 
-    /// Whether a source has a chunk of a version.
+    /// Returns whether a source holds a chunk of a version.
     fn holds(&self, source: &DrawSource, version: u64, chunk: u32) -> bool {
         let DrawSource::Peer(peer, _) = source else {
             return true;
         };
-        let have = self.named(peer).and_then(|it| self.sidecars[it].have(version));
+        let have = self.index_of(peer).and_then(|it| self.sidecars[it].have(version));
         have.is_some_and(|it| it.contains(chunk))
     }
 
-    /// Counts a draw that goes from one hall to another.
-    fn note_way(&mut self, index: usize, source: &DrawSource) {
+    /// Counts a fetch from another hall.
+    fn count_hall_crossing(&mut self, index: usize, source: &DrawSource) {
         if let DrawSource::Peer(peer, _) = source {
-            let is_far = |it: usize| place(it).hall != place(index).hall;
-            self.between_halls += u32::from(self.named(peer).is_some_and(is_far));
+            let is_in_other_hall = |it: usize| place(it).hall != place(index).hall;
+            self.fetches_between_halls +=
+                u32::from(self.index_of(peer).is_some_and(is_in_other_hall));
         }
     }
 
-    /// What comes from the origin has left it, or is lost where it went out meanwhile.
-    pub(super) fn leave_origin(&mut self, event: Event) -> Event {
+    /// Records that a chunk has left the origin, or replaces its arrival by an error if the origin has become
+    /// unavailable.
+    pub(super) fn record_origin_departure(&mut self, event: Event) -> Event {
         let Event::Arrived { version, index, source: DrawSource::Origin, .. } = event else {
             return event;
         };
-        if self.now < self.origin_out_until {
+        if self.now < self.origin_unavailable_until {
             let (source, code) = (DrawSource::Origin, Code::Unreachable);
             self.origin_busy_until = 0;
             return Event::Missed { version, index, source, code };
         }
-        self.left_origin.entry(version).or_default().insert(index);
+        self.sent_by_origin.entry(version).or_default().insert(index);
         event
     }
 }
--- a/components/rollout/tests/support/mod.rs
+++ b/components/rollout/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of sidecars that exchange chunks, without I/O: every effect is carried out after a delay,
+//! A simulated fleet of sidecars that exchange chunks, without I/O: every effect is executed after a delay,
 //! or lost.
 
-// Each test file uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod effects;
@@ -19,19 +19,19 @@
 pub const STEP_MS: u64 = 10;
 pub const VERSION_MS: u64 = 8000;
 
-/// A runner beside a sidecar.
+/// The runner of a sidecar.
 #[derive(Clone, Debug, Default)]
 pub struct Runner {
     pub version: Option<u64>,
     pub sequence: u64,
     pub running: u32,
-    /// When an order under way is done, and its version.
+    /// When the pending order completes, and its version.
     pub taking: Option<(u64, u64)>,
 }
 
-/// Something that happens later at one sidecar.
+/// An event that is delivered to a sidecar later.
 #[derive(Debug)]
-pub struct Later {
+pub struct PendingEvent {
     pub at: u64,
     pub to: usize,
     pub event: Event,
@@ -41,41 +41,42 @@
     pub now: u64,
     pub sidecars: Vec<Rollout>,
     pub runners: Vec<Runner>,
-    pub later: Vec<Later>,
+    pub pending: Vec<PendingEvent>,
     pub origin_chunks: u32,
     pub orders: Vec<(usize, u64, u64)>,
-    /// Whether what is put at runners never arrives whole.
-    pub spoils_staging: bool,
-    /// Runners that gave up a version, the version, and when.
+    /// Whether writing chunks to runners always fails.
+    pub staging_fails: bool,
+    /// Runners that dropped a version, the version, and the time.
     pub retired: Vec<(usize, u64, u64)>,
-    /// One in so many draws is lost.
-    pub loses: u64,
-    /// The origin is out until then.
-    pub origin_out_until: u64,
-    pub draws: u64,
-    /// How long a chunk takes.
+    /// One of this many fetches is lost. Zero: none.
+    pub lose_every: u64,
+    /// The origin is unavailable until this time.
+    pub origin_unavailable_until: u64,
+    pub fetches: u64,
+    /// How long a chunk takes, in milliseconds.
     pub chunk_ms: u64,
-    /// How long the origin's link takes for a chunk. Zero: it carries any number at once.
+    /// Time the origin's link needs per chunk, in milliseconds. Zero: unlimited bandwidth.
     pub origin_chunk_ms: u64,
     /// Until when the origin's link is busy.
     pub origin_busy_until: u64,
-    /// Chunks that have left the origin, of each version.
-    pub left_origin: BTreeMap<u64, BTreeSet<u32>>,
-    /// No chunk of this version arrives any more.
-    pub stalls: Option<u64>,
+    /// The chunks of each version that have left the origin.
+    pub sent_by_origin: BTreeMap<u64, BTreeSet<u32>>,
+    /// Chunks of this version no longer arrive.
+    pub stalled_version: Option<u64>,
     pub summaries: u64,
-    /// Manifests asked of the origin.
+    /// Number of manifest requests to the origin.
     pub origin_manifests: u32,
-    /// Chunks that one sidecar drew from another one in another hall.
-    pub between_halls: u32,
-    /// Sidecars that are gone, although the list that the others know still has them.
-    pub dead: BTreeSet<usize>,
-    /// Sidecars that reach each other only, and not the origin.
-    pub cut_off: BTreeSet<usize>,
-    /// A sidecar that stands still: what it is told waits.
-    pub frozen: Option<usize>,
-    /// How long it takes to find that a sidecar is gone: a machine without power does not refuse connections.
-    pub dead_ms: u64,
+    /// Number of chunks fetched from a sidecar in another hall.
+    pub fetches_between_halls: u32,
+    /// Sidecars that are lost but still in the list that the others know.
+    pub stopped_sidecars: BTreeSet<usize>,
+    /// Sidecars that can only reach each other, and not the origin.
+    pub disconnected: BTreeSet<usize>,
+    /// A suspended sidecar. Its events are delivered later.
+    pub suspended: Option<usize>,
+    /// Time until the loss of a sidecar is noticed, in milliseconds. A machine without power does not refuse
+    /// connections.
+    pub failure_detection_ms: u64,
 }
 
 pub fn id(index: usize) -> InstanceId {
@@ -132,154 +133,154 @@
 }
 
 impl Fleet {
-    pub fn new(count: usize, version: Option<u64>, loses: u64) -> Self {
+    pub fn new(count: usize, version: Option<u64>, lose_every: u64) -> Self {
         let mut fleet = Self {
             now: 1_000_000,
             sidecars: (0..count).map(|index| Rollout::new(options(index))).collect(),
             runners: vec![Runner { version, ..Runner::default() }; count],
-            later: Vec::new(),
+            pending: Vec::new(),
             origin_chunks: 0,
             orders: Vec::new(),
             retired: Vec::new(),
-            spoils_staging: false,
-            loses,
-            origin_out_until: 0,
-            draws: 0,
+            staging_fails: false,
+            lose_every,
+            origin_unavailable_until: 0,
+            fetches: 0,
             chunk_ms: 45,
             origin_chunk_ms: 0,
             origin_busy_until: 0,
-            left_origin: BTreeMap::new(),
-            stalls: None,
+            sent_by_origin: BTreeMap::new(),
+            stalled_version: None,
             summaries: 0,
             origin_manifests: 0,
-            between_halls: 0,
-            dead: BTreeSet::new(),
-            cut_off: BTreeSet::new(),
-            frozen: None,
-            dead_ms: 5,
+            fetches_between_halls: 0,
+            stopped_sidecars: BTreeSet::new(),
+            disconnected: BTreeSet::new(),
+            suspended: None,
+            failure_detection_ms: 5,
         };
-        (0..count).for_each(|index| fleet.introduce(index));
-        fleet.tell_peers();
+        (0..count).for_each(|index| fleet.configure(index));
+        fleet.update_peers();
         fleet
     }
 
-    pub fn introduce(&mut self, index: usize) {
-        self.feed(index, Event::Planned(plan()));
-        self.feed(index, Event::VersionsKnown);
+    pub fn configure(&mut self, index: usize) {
+        self.deliver(index, Event::Planned(plan()));
+        self.deliver(index, Event::VersionsKnown);
     }
 
-    /// A fleet whose origin has a link that carries one chunk after the other.
+    /// A fleet whose origin has a link that carries one chunk at a time.
     pub fn with_narrow_origin(count: usize, origin_bytes_per_s: u64) -> Self {
         let mut fleet = Self::new(count, Some(1), 0);
         let options = |index| RolloutOptions { control_bytes_per_s: 40_000, ..options(index) };
         fleet.sidecars = (0..count).map(|index| Rollout::new(options(index))).collect();
-        (0..count).for_each(|index| fleet.introduce(index));
-        fleet.tell_peers();
+        (0..count).for_each(|index| fleet.configure(index));
+        fleet.update_peers();
         fleet.origin_chunk_ms = 32_768 * 1000 / origin_bytes_per_s;
         for index in 0..count {
-            fleet.feed(index, Event::Planned(WeightsPlan { origin_bytes_per_s, ..plan() }));
+            fleet.deliver(index, Event::Planned(WeightsPlan { origin_bytes_per_s, ..plan() }));
         }
         fleet
     }
 
-    /// How many runners hold at least a version.
-    pub fn holders(&self, version: u64) -> usize {
+    /// Number of runners that hold this version or a newer one.
+    pub fn runners_with(&self, version: u64) -> usize {
         self.runners.iter().filter(|it| it.version >= Some(version)).count()
     }
 
-    /// Chunks of a version that have left the origin.
-    pub fn chunks_left_origin(&self, version: u64) -> usize {
-        self.left_origin.get(&version).map_or(0, BTreeSet::len)
+    /// Number of chunks of a version that have left the origin.
+    pub fn chunks_sent_by_origin(&self, version: u64) -> usize {
+        self.sent_by_origin.get(&version).map_or(0, BTreeSet::len)
     }
 
-    /// Adds a sidecar and its runner. The others read the new list before its runner answers.
-    pub fn join(&mut self, version: Option<u64>) {
+    /// Adds a sidecar and its runner. The other sidecars read the new list before the runner responds.
+    pub fn add(&mut self, version: Option<u64>) {
         let index = self.sidecars.len();
         self.sidecars.push(Rollout::new(options(index)));
         self.runners.push(Runner { version, ..Runner::default() });
-        self.introduce(index);
-        self.tell_peers();
+        self.configure(index);
+        self.update_peers();
         self.run(100);
     }
 
-    /// A sidecar as the others know it.
+    /// A sidecar as listed for the others.
     fn peer(&self, index: usize) -> Peer {
         let version = self.runners[index].version;
         Peer { id: id(index), place: place(index), address: address(index), version }
     }
 
-    /// The sidecar that goes by a name.
-    fn named(&self, name: &InstanceId) -> Option<usize> {
-        (0..self.sidecars.len()).find(|it| &id(*it) == name)
+    /// The index of the sidecar with this ID.
+    fn index_of(&self, wanted: &InstanceId) -> Option<usize> {
+        (0..self.sidecars.len()).find(|it| &id(*it) == wanted)
     }
 
-    /// The sidecar that listens at an address.
-    fn listening_at(&self, peer: SocketAddr) -> Option<usize> {
+    /// The index of the sidecar that listens on an address.
+    fn index_at(&self, peer: SocketAddr) -> Option<usize> {
         (0..self.sidecars.len()).find(|it| address(*it) == peer)
     }
 
-    /// Whether two sidecars stand on the same side of a cut.
-    fn are_joined(&self, one: usize, other: usize) -> bool {
-        self.cut_off.contains(&one) == self.cut_off.contains(&other)
+    /// Returns whether two sidecars can reach each other.
+    fn can_reach(&self, one: usize, other: usize) -> bool {
+        self.disconnected.contains(&one) == self.disconnected.contains(&other)
     }
 
-    pub fn tell_peers(&mut self) {
+    pub fn update_peers(&mut self) {
         let peers: Vec<Peer> = (0..self.runners.len()).map(|it| self.peer(it)).collect();
         for index in 0..self.sidecars.len() {
-            self.feed(index, Event::Peers(peers.clone()));
+            self.deliver(index, Event::Peers(peers.clone()));
         }
     }
 
-    pub fn name(&mut self, version: u64) {
+    pub fn announce(&mut self, version: u64) {
         for index in 0..self.sidecars.len() {
-            self.feed(
+            self.deliver(
                 index,
                 Event::Named { version, named_at: Some(Millis(self.now)), after_ms: None },
             );
         }
     }
 
-    pub fn feed(&mut self, index: usize, event: Event) {
-        if self.dead.contains(&index) {
+    pub fn deliver(&mut self, index: usize, event: Event) {
+        if self.stopped_sidecars.contains(&index) {
             return;
         }
-        if self.frozen == Some(index) {
+        if self.suspended == Some(index) {
             if !matches!(event, Event::Tick | Event::Status(_)) {
-                self.after(0, index, event);
+                self.schedule(0, index, event);
             }
             return;
         }
         let effects = self.sidecars[index].reduce(Millis(self.now), event);
         for effect in effects {
-            self.perform(index, effect);
+            self.execute(index, effect);
         }
     }
 
-    /// Ends a sidecar. What it was sending does not arrive.
-    pub fn kill(&mut self, index: usize) {
-        self.dead.insert(index);
-        for later in &mut self.later {
-            let Event::Arrived { version, index: chunk, source, .. } = &later.event else {
+    /// Stops a sidecar. Chunks that it is sending do not arrive.
+    pub fn stop(&mut self, index: usize) {
+        self.stopped_sidecars.insert(index);
+        for pending in &mut self.pending {
+            let Event::Arrived { version, index: chunk, source, .. } = &pending.event else {
                 continue;
             };
             if matches!(source, DrawSource::Peer(peer, _) if peer == &id(index)) {
                 let (version, index, source) = (*version, *chunk, source.clone());
-                later.event = Event::Missed { version, index, source, code: Code::Unreachable };
+                pending.event = Event::Missed { version, index, source, code: Code::Unreachable };
             }
         }
     }
 
-    /// Takes sidecars away, from the list too.
-    pub fn lose(&mut self, lost: &[usize]) {
-        lost.iter().for_each(|it| self.kill(*it));
-        let alive = |it: &usize| !self.dead.contains(it);
-        let alive: Vec<usize> = (0..self.sidecars.len()).filter(alive).collect();
-        let peers: Vec<Peer> = alive.iter().map(|it| self.peer(*it)).collect();
-        alive.iter().for_each(|it| self.feed(*it, Event::Peers(peers.clone())));
+    /// Stops sidecars and removes them from the list.
+    pub fn remove(&mut self, removed: &[usize]) {
+        removed.iter().for_each(|it| self.stop(*it));
+        let remaining = |it: &usize| !self.stopped_sidecars.contains(it);
+        let remaining: Vec<usize> = (0..self.sidecars.len()).filter(remaining).collect();
+        let peers: Vec<Peer> = remaining.iter().map(|it| self.peer(*it)).collect();
+        remaining.iter().for_each(|it| self.deliver(*it, Event::Peers(peers.clone())));
     }
 
-    pub fn after(&mut self, delay: u64, to: usize, event: Event) {
-        self.later.push(Later { at: self.now + delay, to, event });
+    pub fn schedule(&mut self, delay: u64, to: usize, event: Event) {
+        self.pending.push(PendingEvent { at: self.now + delay, to, event });
     }
 
     pub fn run(&mut self, span: u64) {
@@ -287,19 +288,19 @@
         while self.now < end {
             self.now += STEP_MS;
             let now = self.now;
-            let (due, later) =
-                std::mem::take(&mut self.later).into_iter().partition(|it| it.at <= now);
-            self.later = later;
-            let due: Vec<Later> = due;
-            for later in due {
-                let event = self.leave_origin(later.event);
-                self.feed(later.to, event);
+            let (due, pending) =
+                std::mem::take(&mut self.pending).into_iter().partition(|it| it.at <= now);
+            self.pending = pending;
+            let due: Vec<PendingEvent> = due;
+            for pending in due {
+                let event = self.record_origin_departure(pending.event);
+                self.deliver(pending.to, event);
             }
             if self.now.is_multiple_of(100) {
                 self.report();
             }
             if self.now.is_multiple_of(40) {
-                (0..self.sidecars.len()).for_each(|index| self.feed(index, Event::Tick));
+                (0..self.sidecars.len()).for_each(|index| self.deliver(index, Event::Tick));
             }
         }
     }
@@ -319,7 +320,7 @@
                 running: runner.running,
                 version: runner.version,
             };
-            self.feed(index, Event::Status(status));
+            self.deliver(index, Event::Status(status));
         }
     }
 
