--- a/components/fleet/src/rate_limit.rs
+++ b/components/fleet/src/rate_limit.rs
@@ -85,8 +85,8 @@
     ///
     /// Responses may arrive out of order, so only a response to a request that was sent after the limit was
     /// last seen ends the limit.
-    pub fn hear(&mut self, now: Millis, sent_at: Millis, word: RateWord) -> bool {
-        match word {
+    pub fn hear(&mut self, now: Millis, sent_at: Millis, reported: RateWord) -> bool {
+        match reported {
             RateWord::Limited(rate) => self.set(now, Some(rate)),
             // An upstream that sends a limit needs one, even if the value cannot be parsed.
             RateWord::Unreadable => self.set(now, Some(self.rate.unwrap_or(Rate::UNREADABLE))),
@@ -99,13 +99,13 @@
 
     /// Applies a report from another process about the run that started at `born`, and returns whether it
     /// changes the limit.
-    pub fn learn(&mut self, now: Millis, born: Option<u64>, told: ToldLimit) -> bool {
-        let is_other_run = born.zip(told.born).is_some_and(|(known, reported)| known != reported);
+    pub fn learn(&mut self, now: Millis, born: Option<u64>, report: ToldLimit) -> bool {
+        let is_other_run = born.zip(report.born).is_some_and(|(known, reported)| known != reported);
         if is_other_run {
             return false;
         }
-        let at = now.minus(u64::from(told.age_ms));
-        if told.rate == self.rate {
+        let at = now.minus(u64::from(report.age_ms));
+        if report.rate == self.rate {
             // The age of a known limit must not decrease when processes report it back and forth.
             self.known_at = self.known_at.or(Some(at));
             return false;
@@ -114,7 +114,7 @@
             self.contradicted_at = Some(now);
             return false;
         }
-        self.set(at, told.rate)
+        self.set(at, report.rate)
     }
 
     /// The report to send to other processes. `None` if they need none.
--- a/components/rollout/src/cold.rs
+++ b/components/rollout/src/cold.rs
@@ -122,11 +122,11 @@
 
     /// Time until the cold start allows another slot, in milliseconds.
     pub fn place_in_ms(&self, now: Millis) -> u64 {
-        let left = self.left_ms(now);
-        if left == 0 {
+        let left_ms = self.left_ms(now);
+        if left_ms == 0 {
             return 0;
         }
-        self.bucket.ready_in_ms(now).map_or(left, |it| it.min(left))
+        self.bucket.ready_in_ms(now).map_or(left_ms, |it| it.min(left_ms))
     }
 
     /// Updates whether the runner is cold. Tokens saved while it was warm are discarded.
--- a/components/rollout/src/rate.rs
+++ b/components/rollout/src/rate.rs
@@ -19,26 +19,31 @@
 }
 
 impl RateLimiter {
-    /// Applies a report that was requested at `asked_at`, and returns whether it changes the limit.
-    pub(crate) fn apply_report(&mut self, now: Millis, asked_at: Millis, word: RateWord) -> bool {
-        self.is_reported |= word != RateWord::Unlimited;
+    /// Applies a report that was requested at `requested_at`, and returns whether it changes the limit.
+    pub(crate) fn apply_report(
+        &mut self,
+        now: Millis,
+        requested_at: Millis,
+        reported: RateWord,
+    ) -> bool {
+        self.is_reported |= reported != RateWord::Unlimited;
         if !self.is_reported {
             return false;
         }
-        let before = self.limit.rate();
-        let is_changed = self.limit.hear(now, asked_at, word);
+        let previous = self.limit.rate();
+        let is_changed = self.limit.hear(now, requested_at, reported);
         self.is_reported = self.limit.rate().is_some();
-        self.set_rate(now, before);
+        self.set_rate(now, previous);
         is_changed
     }
 
     /// Applies what a gateway received from the run of the runner that started at `born`, and returns whether
     /// it changes the limit.
-    pub(crate) fn learn(&mut self, now: Millis, born: Option<u64>, told: ToldLimit) -> bool {
-        let before = self.limit.rate();
-        let is_changed = self.limit.learn(now, born, told);
+    pub(crate) fn learn(&mut self, now: Millis, born: Option<u64>, report: ToldLimit) -> bool {
+        let previous = self.limit.rate();
+        let is_changed = self.limit.learn(now, born, report);
         self.is_reported &= !is_changed;
-        self.set_rate(now, before);
+        self.set_rate(now, previous);
         is_changed
     }
 
@@ -74,11 +79,11 @@
         Some(first + self.bucket.refill_ms(ahead)?)
     }
 
-    fn set_rate(&mut self, now: Millis, before: Option<Rate>) {
+    fn set_rate(&mut self, now: Millis, previous: Option<Rate>) {
         let Some(rate) = self.limit.rate() else {
             return;
         };
-        if before.is_none() {
+        if previous.is_none() {
             // Tokens saved before there was a limit are discarded.
             self.bucket.empty(now);
         }
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -205,12 +205,12 @@
                 self.runner_leaves = leaves;
                 return self.answer_queued(now);
             }
-            Event::LimitReported(asked_at, word) => {
-                let is_changed = self.rate.apply_report(now, asked_at, word);
+            Event::LimitReported(requested_at, reported) => {
+                let is_changed = self.rate.apply_report(now, requested_at, reported);
                 return self.apply_limit_change(now, is_changed);
             }
-            Event::LimitTold(told) => {
-                let is_changed = self.rate.learn(now, self.born(), told);
+            Event::LimitTold(report) => {
+                let is_changed = self.rate.learn(now, self.run_start(), report);
                 return self.apply_limit_change(now, is_changed);
             }
             Event::ColdFor(left_ms) => self.cold.apply_report(now, left_ms),
@@ -391,9 +391,10 @@
     fn update_peers(&mut self, now: Millis, peers: Vec<Peer>) {
         let known: BTreeSet<&InstanceId> = peers.iter().map(|it| &it.id).collect();
         let before = self.peers.take().unwrap_or_default();
-        let gone: Vec<Peer> = before.iter().filter(|it| !known.contains(&it.id)).cloned().collect();
+        let removed: Vec<Peer> =
+            before.iter().filter(|it| !known.contains(&it.id)).cloned().collect();
         for target in self.current.iter_mut().chain(&mut self.next) {
-            target.update_peers(now, &peers, &gone);
+            target.update_peers(now, &peers, &removed);
         }
         let known: BTreeSet<&InstanceId> = before.iter().map(|it| &it.id).collect();
         let has_grown = peers.iter().any(|it| !known.contains(&it.id));
--- a/components/rollout/src/reducer/admission.rs
+++ b/components/rollout/src/reducer/admission.rs
@@ -157,11 +157,11 @@
 
     /// The runner's rate limit to report to gateways. `None` if the runner has not advertised one recently.
     pub fn told_limit(&self, now: Millis) -> Option<ToldLimit> {
-        self.rate.told(now, self.born())
+        self.rate.told(now, self.run_start())
     }
 
     /// Start time of the current run of the runner, if it reports one.
-    pub(super) fn born(&self) -> Option<u64> {
+    pub(super) fn run_start(&self) -> Option<u64> {
         self.life.and_then(|it| it.born)
     }
 
@@ -205,8 +205,10 @@
     /// version than the newest. If the machine were suspended, a request waiting at the runner would start
     /// later on an outdated version.
     pub(super) fn holds_old_version_after_last_order(&self) -> bool {
-        let held = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
-        self.keeps(Mechanism::LastOrder) && self.ordered_at.is_some() && held < self.newest_named()
+        let held_version = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
+        self.keeps(Mechanism::LastOrder)
+            && self.ordered_at.is_some()
+            && held_version < self.newest_named()
     }
 
     /// Returns whether an order to the runner is due. The runner receives no new requests until it has
@@ -249,7 +251,7 @@
     /// which version is being fetched: if a newer version replaces the one that set the deadline, both
     /// deadlines apply.
     pub(super) fn held_deadline(&self) -> Option<Millis> {
-        let held = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
-        self.announced.bound_of(held, self.options.version_ms)
+        let held_version = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
+        self.announced.bound_of(held_version, self.options.version_ms)
     }
 }
--- a/components/rollout/src/reducer/moves.rs
+++ b/components/rollout/src/reducer/moves.rs
@@ -32,14 +32,14 @@
         }
         self.finish_fetching(now);
         let peers_known_ms = now.since(self.peers_grown_at).0;
-        let held = self.status.as_ref().and_then(|it| it.version);
+        let held_version = self.status.as_ref().and_then(|it| it.version);
         let peers = self.peers.as_deref().unwrap_or_default();
         let keeps_shares = self.options.ablation.keeps(Mechanism::KeptShares);
         for target in self.current.iter_mut().chain(&mut self.next) {
             if target.step == Step::Served && !keeps_shares {
                 continue;
             }
-            if !target.should_fetch_manifest(now, peers_known_ms, held) {
+            if !target.should_fetch_manifest(now, peers_known_ms, held_version) {
                 continue;
             }
             let version = target.version;
--- a/components/rollout/src/reducer/retirement.rs
+++ b/components/rollout/src/reducer/retirement.rs
@@ -23,8 +23,8 @@
     /// Returns whether the deadline of the version at the runner is about to pass. An order can't be revoked,
     /// so deadlines derived from an assumed age are ignored.
     pub(super) fn is_deadline_near(&self, now: Millis) -> bool {
-        let held = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
-        self.is_expired(now, held)
+        let held_version = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
+        self.is_expired(now, held_version)
     }
 
     /// Returns whether a version has been dropped by now, or would be dropped at once if the runner loaded
--- a/components/rollout/src/target.rs
+++ b/components/rollout/src/target.rs
@@ -209,15 +209,15 @@
     }
 
     /// Returns whether to fetch the manifest now: to fetch the version, or to keep a share of its chunks for
-    /// others if the version is served. `held` is the version that the runner holds.
+    /// others if the version is served. `held_version` is the version that the runner holds.
     pub(crate) fn should_fetch_manifest(
         &mut self,
         now: Millis,
         peers_known_ms: u64,
-        held: Option<u64>,
+        held_version: Option<u64>,
     ) -> bool {
         if let Step::FetchingManifest { is_requested: false, .. } = self.step {
-            if held.is_some_and(|it| it >= self.version) {
+            if held_version.is_some_and(|it| it >= self.version) {
                 // A runner that serves the version needs no chunks.
                 self.step = Step::Served;
             }
@@ -328,8 +328,8 @@
         }
     }
 
-    /// Updates the list of other sidecars, and marks those in `gone` as down.
-    pub(crate) fn update_peers(&mut self, now: Millis, peers: &[Peer], gone: &[Peer]) {
+    /// Updates the list of other sidecars, and marks those in `removed` as down.
+    pub(crate) fn update_peers(&mut self, now: Millis, peers: &[Peer], removed: &[Peer]) {
         let receivers = self.receivers(peers);
         let (version, keeps_share) = (self.version, self.step == Step::Served);
         let Some(spread) = &mut self.spread else {
@@ -341,7 +341,7 @@
             spread.add_receivers(&receivers);
         }
         let mut all = participants(version, peers);
-        let down = participants(version, gone);
+        let down = participants(version, removed);
         all.extend(down.into_iter().map(|it| Participant { up: false, ..it }));
         spread.set_participants(now, &all);
     }
--- a/components/rollout/tests/fleet.rs
+++ b/components/rollout/tests/fleet.rs
@@ -81,8 +81,8 @@
     while fleet.chunks_sent_by_origin(2) < CHUNKS as usize {
         fleet.run(STEP_MS);
     }
-    let took = fleet.now - available_at;
-    assert!(took <= 900, "the last ten chunks, 0.44 s of the link, left it after {took} ms");
+    let took_ms = fleet.now - available_at;
+    assert!(took_ms <= 900, "the last ten chunks, 0.44 s of the link, left it after {took_ms} ms");
     let fetched = fleet.origin_chunks - fetched;
     assert!(fetched <= 14, "{fetched} fetches for ten chunks");
 }
@@ -315,8 +315,8 @@
             estimate.or(serves_in.filter(|it| *it > 1000).map(|it| fleet.now + u64::from(it)));
     }
     let estimate = estimate.expect("an estimate was given while chunks arrived");
-    let late = estimate.abs_diff(fleet.now);
-    assert!(late < 1000, "estimate {estimate}, served at {}", fleet.now);
+    let error_ms = estimate.abs_diff(fleet.now);
+    assert!(error_ms < 1000, "estimate {estimate}, served at {}", fleet.now);
 }
 
 #[test]
--- a/components/rollout/tests/halls.rs
+++ b/components/rollout/tests/halls.rs
@@ -113,8 +113,8 @@
         fleet.run(UNLIST_MS);
         fleet.remove(&lost);
         fleet.run(VERSION_MS.saturating_sub(after_ms + UNLIST_MS) + 1000);
-        let late = (0..18).filter(|it| !lost.contains(it) && fleet.runners[*it].version != Some(2));
-        prop_assert_eq!(late.count(), 0);
+        let not_updated = (0..18).filter(|it| !lost.contains(it) && fleet.runners[*it].version != Some(2));
+        prop_assert_eq!(not_updated.count(), 0);
     }
 }
 
@@ -130,8 +130,9 @@
     fleet.run(1500);
     fleet.stop(4);
     fleet.run(VERSION_MS);
-    let late = (0..30).filter(|it| *it != 4 && fleet.runners[*it].version != Some(2)).count();
-    assert_eq!(late, 0);
+    let not_updated =
+        (0..30).filter(|it| *it != 4 && fleet.runners[*it].version != Some(2)).count();
+    assert_eq!(not_updated, 0);
     let fetched = fleet.origin_chunks;
     assert!(fetched <= CHUNKS * 3 / 2, "{fetched} chunks from the origin");
 }
@@ -150,8 +151,8 @@
     fleet.run(1000);
     fleet.disconnected.clear();
     fleet.run(VERSION_MS);
-    let late = (0..30).filter(|it| fleet.runners[*it].version != Some(2)).count();
-    assert_eq!(late, 0);
+    let not_updated = (0..30).filter(|it| fleet.runners[*it].version != Some(2)).count();
+    assert_eq!(not_updated, 0);
 }
 
 /// Time from the loss of a hall until every remaining sidecar holds the version, in milliseconds. The list
@@ -204,8 +205,8 @@
     // It handles a tick before it reads the messages received in the meantime.
     fleet.deliver(4, Event::Tick);
     fleet.run(VERSION_MS);
-    let late = (0..30).filter(|it| fleet.runners[*it].version != Some(2)).count();
-    assert_eq!(late, 0);
+    let not_updated = (0..30).filter(|it| fleet.runners[*it].version != Some(2)).count();
+    assert_eq!(not_updated, 0);
     let fetched = fleet.origin_chunks;
     assert!(fetched <= CHUNKS * 3 / 2, "{fetched} chunks from the origin");
 }
--- a/components/rollout/tests/limits.rs
+++ b/components/rollout/tests/limits.rs
@@ -51,7 +51,7 @@
         effects
     }
 
-    fn report(&mut self, word: RateWord) {
+    fn report(&mut self, reported: RateWord) {
         self.deliver(Event::Status(RunnerStatus {
             born: Some(self.born),
             sequence: 3,
@@ -60,7 +60,7 @@
             waiting: 0,
             version: Some(1),
         }));
-        self.deliver(Event::LimitReported(Millis(self.now - 2), word));
+        self.deliver(Event::LimitReported(Millis(self.now - 2), reported));
     }
 
     /// Delivers a gateway's report of a limit that is `age_ms` old.
@@ -82,12 +82,12 @@
         }))
     }
 
-    /// Requests two reservations every 10 ms. The runner reports `word` every 50 ms.
-    fn run(&mut self, span: u64, word: RateWord) {
+    /// Requests two reservations every 10 ms. The runner reports `reported` every 50 ms.
+    fn run(&mut self, span: u64, reported: RateWord) {
         for _ in 0..span / 10 {
             self.now += 10;
             if self.now.is_multiple_of(50) {
-                self.report(word);
+                self.report(reported);
             }
             self.request_slot(0);
             self.request_slot(60);
