--- a/components/rollout/tests/places.rs
+++ b/components/rollout/tests/places.rs
@@ -1,4 +1,4 @@
-//! Places at a runner.
+//! The slots of a runner.
 
 use fleet::Millis;
 use rollout::Places;
@@ -6,46 +6,49 @@
 fn places(slots: u32) -> Places {
     let mut places = Places::default();
     places.set_profile(slots, 20.0);
-    places.take_report(Millis(1_000_000), 0);
+    places.apply_report(Millis(1_000_000), 0);
     places
 }
 
 #[test]
-fn a_place_is_given_once() {
+fn each_slot_is_granted_once() {
     let mut places = places(3);
-    let given = (0..10).filter(|_| places.give(Millis(1_000_000), 10).is_ok()).count();
-    assert_eq!(given, 3);
+    let granted = (0..10).filter(|_| places.grant(Millis(1_000_000), 10).is_ok()).count();
+    assert_eq!(granted, 3);
 }
 
 #[test]
-fn a_request_on_its_way_counts_until_a_report_can_hold_it() {
+fn request_in_transit_counts_until_a_report_can_include_it() {
     let mut places = places(1);
-    assert!(places.give(Millis(1_000_100), 10).is_ok());
-    places.take_report(Millis(1_000_105), 0);
-    assert!(places.give(Millis(1_000_106), 10).is_err(), "the report is too young to count it");
-    places.take_report(Millis(1_000_200), 0);
-    assert!(places.give(Millis(1_000_201), 10).is_ok(), "it has ended");
+    assert!(places.grant(Millis(1_000_100), 10).is_ok());
+    places.apply_report(Millis(1_000_105), 0);
+    assert!(places.grant(Millis(1_000_106), 10).is_err(), "the report is too recent to include it");
+    places.apply_report(Millis(1_000_200), 0);
+    assert!(places.grant(Millis(1_000_201), 10).is_ok(), "it has ended");
 }
 
 #[test]
-fn prompts_come_no_faster_than_the_runner_reads_them() {
+fn prompts_are_sent_no_faster_than_the_runner_processes_them() {
     let mut places = places(16);
     let mut tokens = 0;
     for at in 0..1000 {
-        places.take_report(Millis(1_000_000 + at), 0);
-        if places.give(Millis(1_000_000 + at), 1000).is_ok() {
+        places.apply_report(Millis(1_000_000 + at), 0);
+        if places.grant(Millis(1_000_000 + at), 1000).is_ok() {
             tokens += 1000;
         }
     }
-    assert!((17_000..=22_000).contains(&tokens), "{tokens} tokens in a second at 20 a millisecond");
+    assert!(
+        (17_000..=22_000).contains(&tokens),
+        "{tokens} tokens in a second at a limit of 20 per millisecond"
+    );
 }
 
 #[test]
-fn nothing_is_given_for_a_runner_that_was_not_heard() {
+fn nothing_is_granted_without_a_recent_report() {
     let mut places = Places::default();
     places.set_profile(4, 20.0);
-    assert!(places.give(Millis(1_000_000), 10).is_err());
-    places.take_report(Millis(1_000_000), 0);
-    assert!(places.give(Millis(1_000_100), 10).is_ok());
-    assert!(places.give(Millis(1_002_000), 10).is_err());
+    assert!(places.grant(Millis(1_000_000), 10).is_err());
+    places.apply_report(Millis(1_000_000), 0);
+    assert!(places.grant(Millis(1_000_100), 10).is_ok());
+    assert!(places.grant(Millis(1_002_000), 10).is_err());
 }
