--- a/components/edge/src/gateway/reservations.rs
+++ b/components/edge/src/gateway/reservations.rs
@@ -95,7 +95,7 @@
             Some(Reply::Granted) => None,
             Some(Reply::Denied { again_ms, short_ms }) => {
                 let short_ms = u64::from(short_ms.unwrap_or(0));
-                Some(AttemptOutcome::Denied { again_ms, short_ms })
+                Some(AttemptOutcome::Denied { retry_after_ms: again_ms, shortage_ms: short_ms })
             }
             Some(Reply::Queued) | None => Some(AttemptOutcome::Silent),
         }
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -152,13 +152,13 @@
 
     /// The stored chunks of a version.
     pub fn stored_chunks(&self, version: u64) -> Bitmap {
-        self.rollout.borrow().have(version).cloned().unwrap_or_default()
+        self.rollout.borrow().held_chunks(version).cloned().unwrap_or_default()
     }
 
     /// The versions whose chunks are being fetched, oldest first, with their stored chunks.
     pub fn fetching(&self) -> Vec<(u64, Bitmap)> {
         let rollout = self.rollout.borrow();
-        rollout.drawn().map(|(version, chunks)| (version, chunks.clone())).collect()
+        rollout.fetching().map(|(version, chunks)| (version, chunks.clone())).collect()
     }
 
     /// Applies what a configuration says about the weights of this runner's service.
@@ -170,7 +170,7 @@
         *self.origin.borrow_mut() = Some(*origin);
         *self.layers.borrow_mut() = *layers;
         if self.rollout.borrow().plan() != Some(plan) {
-            self.dispatch(Event::Planned(plan.clone()));
+            self.dispatch(Event::Configured(plan.clone()));
             self.record_versions(&[]);
         }
     }
@@ -204,7 +204,7 @@
         let own =
             model.and_then(|it| self.named_versions.borrow().get(&it).cloned()).unwrap_or_default();
         let newest = own.newest().map_or(0, |it| it.version);
-        if self.rollout.borrow().newest_named() < newest {
+        if self.rollout.borrow().newest_announced() < newest {
             // One pending message is enough.
             let _ = self.request_list.try_send(());
         }
@@ -212,7 +212,11 @@
             named.is_empty() || named.iter().any(|reported| reported.version == it.version)
         };
         for VersionName { version, at, known, after_ms } in own.all().filter(is_in_report) {
-            self.dispatch(Event::Named { version, named_at: known.then_some(at), after_ms });
+            self.dispatch(Event::Announced {
+                version,
+                announced_at: known.then_some(at),
+                after_ms,
+            });
         }
     }
 
@@ -228,12 +232,12 @@
     pub fn current_load(&self) -> Option<RunnerLoad> {
         let mut load = self.load.borrow().clone()?;
         let rollout = self.rollout.borrow();
-        load.running = rollout.places().taken();
-        load.reading_ms = rollout.places().reading_ms(self.clock.now()) as u32;
-        load.waiting = rollout.waiting() as u32;
+        load.running = rollout.slots().used();
+        load.reading_ms = rollout.slots().prompt_backlog_ms(self.clock.now()) as u32;
+        load.waiting = rollout.queued_requests() as u32;
         // The next slot of a runner that is cold or rate-limited is as far away as if the runner were still
         // reading prompts.
-        load.reading_ms = load.reading_ms.max(rollout.place_in_ms(self.clock.now()));
+        load.reading_ms = load.reading_ms.max(rollout.slot_in_ms(self.clock.now()));
         load.busy |= rollout.is_leaving(self.clock.now());
         load.busy |= rollout.is_evacuated(self.clock.now());
         load.busy |= rollout.runner_leaves();
--- a/components/edge/src/sidecar/fetches.rs
+++ b/components/edge/src/sidecar/fetches.rs
@@ -37,13 +37,13 @@
     match manifest {
         Ok(manifest) => {
             core.chunks.borrow_mut().begin_version(version, manifest.clone());
-            core.dispatch(Event::Described(version, manifest));
+            core.dispatch(Event::ManifestReceived(version, manifest));
         }
         Err(error) => {
             let reason = error.to_string();
             let source = format!("{source:?}");
             log::warn!(version = version, source = source.as_str(), reason = reason.as_str(); "no manifest");
-            core.dispatch(Event::Undescribed(version));
+            core.dispatch(Event::ManifestFailed(version));
         }
     }
 }
@@ -98,7 +98,7 @@
         }
         Err(error) => {
             core.count_fetch(error.code.name());
-            core.dispatch(Event::Missed { version, index, source, code: error.code });
+            core.dispatch(Event::FetchFailed { version, index, source, code: error.code });
         }
     }
 }
@@ -132,7 +132,7 @@
     };
     match call_peer(core, address, until, &PeerRequest::Chunk(request)).await? {
         PeerAnswer::Chunk { bytes, have } => {
-            core.dispatch(Event::Holdings { of: id.clone(), version, have });
+            core.dispatch(Event::SourceChunks { of: id.clone(), version, have });
             Ok(Bytes::from(bytes))
         }
         PeerAnswer::Busy => Err(Error::new(Code::PeerBusy, "too many uploads")),
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -12,7 +12,7 @@
 use gateway::LifeNews;
 use platform::store::{Change, Table};
 use rand::seq::IteratorRandom;
-use rollout::{ColdLimit, Effect, Event, RolloutOptions, GATEWAY_PATIENCE};
+use rollout::{ColdLimit, Effect, Event, RolloutOptions, GATEWAY_TIMEOUT_MS};
 use settings::{BoundSettings, DeploymentSettings, SidecarSettings};
 use telemetry::Metrics;
 use uptime::Instant;
@@ -116,11 +116,11 @@
     pub fn apply(&self, settings: &DeploymentSettings) {
         let bounds = &settings.bounds;
         self.core.gateways.borrow_mut().set_window(bounds.repeat_window_s * 1000);
-        self.core.dispatch(Event::Bounded {
+        self.core.dispatch(Event::DeadlinesChanged {
             version_ms: bounds.version_ms,
             evacuate_ms: bounds.leave_ms(),
         });
-        self.core.dispatch(Event::ColdBounded(cold_limit(bounds)));
+        self.core.dispatch(Event::ColdLimitChanged(cold_limit(bounds)));
     }
 }
 
@@ -151,24 +151,24 @@
 ) {
     while let Ok(effect) = effects.recv().await {
         match effect {
-            Effect::Describe(version, source) => {
+            Effect::FetchManifest(version, source) => {
                 spawner.detach(fetches::fetch_manifest(core.clone(), version, source));
             }
-            Effect::Draw(version, draw) => {
+            Effect::FetchChunk(version, draw) => {
                 spawner.detach(fetches::fetch_chunk(core.clone(), version, draw));
             }
             Effect::Summarize { to, version, have } => {
                 let (from, place) = (core.me.clone(), core.place.clone());
                 socket.send(to, &Datagram::Summary { from, place, version, have }).await;
             }
-            Effect::Answer(question, verdict) => {
-                peers::send_reply(&core, &socket, question, verdict).await;
+            Effect::Answer(reservation, reply) => {
+                peers::send_reply(&core, &socket, reservation, reply).await;
             }
-            Effect::Life(change, told) => {
+            Effect::LogIncarnationChange(change, told) => {
                 let news = LifeNews { runner: core.me.clone(), change, told, known_born: None };
                 log_life_change(&core.metrics, &news);
             }
-            Effect::Limit(rate) => {
+            Effect::LogLimitChange(rate) => {
                 let per_s = rate.map(Rate::per_s);
                 log::info!(per_s = per_s; "rate limit of the runner");
             }
@@ -176,15 +176,15 @@
                 record_evacuation(&core.metrics, &change);
                 core.request_runner_report();
             }
-            Effect::Find(version) => queue_job(&jobs, Job::Find(version)),
+            Effect::ReadStoredChunks(version) => queue_job(&jobs, Job::Find(version)),
             Effect::Stage(version) => queue_job(&jobs, Job::Stage(version)),
             Effect::Retire { version, sequence } => {
                 spawner.detach(runner::retire(core.clone(), version, sequence));
                 notify_of_order(&core, &socket).await;
             }
-            Effect::Order { version, sequence, cut } => {
+            Effect::Order { version, sequence, abort_running } => {
                 notify_of_order(&core, &socket).await;
-                queue_job(&jobs, Job::Order { version, sequence, cut });
+                queue_job(&jobs, Job::Order { version, sequence, abort_running });
             }
         }
     }
@@ -243,7 +243,7 @@
             Err(error) => {
                 let reason = error.to_string();
                 log::warn!(reason = reason.as_str(); "named versions cannot be read");
-                Timer::after(Duration::from_millis(GATEWAY_PATIENCE)).await;
+                Timer::after(Duration::from_millis(GATEWAY_TIMEOUT_MS)).await;
             }
         }
     }
@@ -264,7 +264,7 @@
 async fn find_plan(core: Core, store: SocketAddr) {
     let mut client = HttpClient::new(store);
     loop {
-        Timer::after(Duration::from_millis(GATEWAY_PATIENCE) + random_delay()).await;
+        Timer::after(Duration::from_millis(GATEWAY_TIMEOUT_MS) + random_delay()).await;
         if core.rollout.borrow().plan().is_some() {
             return;
         }
@@ -311,7 +311,7 @@
     let refresh = move || {
         let rollout = core.rollout.borrow();
         let held = rollout.status().and_then(|it| it.version).unwrap_or(0);
-        core.metrics.set("version_wanted", rollout.wanted().unwrap_or(0));
+        core.metrics.set("version_wanted", rollout.target_version().unwrap_or(0));
         core.metrics.set("version_held", held);
         core.metrics.set("sidecars_known", rollout.peer_addresses().len() as u64);
         core.metrics.set("halls_evacuated", rollout.evacuations().len() as u64);
@@ -319,7 +319,7 @@
         let (suspects, quarantined) = core.crashes.borrow().count();
         core.metrics.set("requests_suspected", suspects as u64);
         core.metrics.set("requests_quarantined", quarantined as u64);
-        core.metrics.set("places_taken", u64::from(rollout.places().taken()));
+        core.metrics.set("places_taken", u64::from(rollout.slots().used()));
     };
     serve_metrics(spawner, address, stopping, metrics, callers, refresh).await
 }
@@ -331,7 +331,7 @@
     loop {
         Timer::after(TICK_INTERVAL).await;
         if stall_detector.check(&core.metrics) {
-            core.dispatch(Event::Woke);
+            core.dispatch(Event::Resumed);
         }
         core.dispatch(Event::Tick);
         core.close_idle_clients();
@@ -349,7 +349,7 @@
     let is_cold = left_ms > 0;
     if is_cold != *was_cold {
         *was_cold = is_cold;
-        let assumed = rollout.cold().is_assumed(now);
+        let assumed = rollout.cold().is_only_assumed_cold(now);
         let gateways = core.gateways.borrow().count(now);
         log::info!(cold = is_cold, left_ms = left_ms, assumed = assumed, gateways = gateways; "warmth");
     }
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -12,7 +12,7 @@
 use errors::{Code, Error};
 use net::{write_paced, Pacer};
 use quarantine::Told;
-use rollout::{Denial, Event, Question, Verdict};
+use rollout::{Denial, Event, ReservationReply, ReservationRequest};
 use uptime::Instant;
 
 use super::core::{Core, Subscription};
@@ -195,12 +195,19 @@
                 limit,
             } => {
                 if let Some(rate_limit) = limit {
-                    core.dispatch(Event::LimitTold(rate_limit));
+                    core.dispatch(Event::LimitReported(rate_limit));
                 }
                 let (asker, left_ms) = (sender, u64::from(left_ms));
-                let question =
-                    Question { asker, number, request, prompt_tokens, rank, left_ms, wait_ms };
-                core.dispatch(Event::Asked(question));
+                let reservation = ReservationRequest {
+                    asker,
+                    number,
+                    request,
+                    prompt_tokens,
+                    rank,
+                    target_left_ms: left_ms,
+                    max_wait_ms: wait_ms,
+                };
+                core.dispatch(Event::ReservationRequested(reservation));
             }
             Datagram::Ordered => {
                 core.last_orderer.set(Some(sender));
@@ -210,7 +217,7 @@
                 socket.send(sender, &Datagram::YouOrderedLast).await;
             }
             Datagram::WhoOrdered => {}
-            Datagram::YouOrderedLast => core.dispatch(Event::GaveLastOrder),
+            Datagram::YouOrderedLast => core.dispatch(Event::SentLatestOrder),
             Datagram::Sidecars(part) => {
                 // A full channel means that the task that asked has stopped waiting.
                 let _ = sidecars.try_send(part);
@@ -224,31 +231,34 @@
     }
 }
 
-/// Answers a gateway's reservation.
+/// Answers a reservation request of a gateway.
 pub async fn send_reply(
     core: &Core,
     socket: &DatagramSocket,
-    question: Question,
-    verdict: Verdict,
+    reservation: ReservationRequest,
+    verdict: ReservationReply,
 ) {
     let reply = match verdict {
-        Verdict::Granted => Reply::Granted,
-        Verdict::Queued => Reply::Queued,
-        Verdict::Denied { again_ms, short_ms, .. } => {
-            let short_ms = u32::try_from(short_ms).unwrap_or(u32::MAX);
-            Reply::Denied { again_ms, short_ms: Some(short_ms).filter(|it| *it > 0) }
+        ReservationReply::Granted => Reply::Granted,
+        ReservationReply::Queued => Reply::Queued,
+        ReservationReply::Denied { retry_after_ms, shortage_ms, .. } => {
+            let short_ms = u32::try_from(shortage_ms).unwrap_or(u32::MAX);
+            Reply::Denied {
+                again_ms: retry_after_ms,
+                short_ms: Some(short_ms).filter(|it| *it > 0),
+            }
         }
     };
     let load = core.current_load();
     let evacuations = core.evacuations();
-    let limit = core.rollout.borrow().told_limit(core.clock.now());
+    let limit = core.rollout.borrow().limit_to_report(core.clock.now());
     let reserved =
-        Datagram::Reserved { question: question.number, reply, load, evacuations, limit };
-    socket.send(question.asker, &reserved).await;
+        Datagram::Reserved { question: reservation.number, reply, load, evacuations, limit };
+    socket.send(reservation.asker, &reserved).await;
     match verdict {
-        Verdict::Granted => {}
-        Verdict::Queued => core.request_runner_report(),
-        Verdict::Denied { denial, .. } => log_denial(core, question.request, denial),
+        ReservationReply::Granted => {}
+        ReservationReply::Queued => core.request_runner_report(),
+        ReservationReply::Denied { denial, .. } => log_denial(core, reservation.request, denial),
     }
 }
 
@@ -262,8 +272,8 @@
         request,
         decision: Decision::Denied {
             reason: denial.name().into(),
-            taken: rollout.places().taken(),
-            slots: rollout.places().slots(),
+            taken: rollout.slots().used(),
+            slots: rollout.slots().slots(),
             version: rollout.status().and_then(|it| it.version).unwrap_or(0),
         },
     };
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -12,7 +12,7 @@
 use platform::headers::AnswerFacts;
 use platform::{headers, runner, weights, Call};
 use quarantine::Told;
-use rollout::{Audience, Event, Followers, OrderOutcome, Reports};
+use rollout::{Event, OrderOutcome, Recipients, Reports, Subscribers};
 use uptime::Instant;
 
 use super::core::Core;
@@ -44,7 +44,7 @@
         /// The number of orders that the runner is expected to have taken.
         sequence: u64,
         /// Whether running requests are interrupted.
-        cut: bool,
+        abort_running: bool,
     },
 }
 
@@ -66,16 +66,16 @@
             Ok((report, facts)) => {
                 core.dispatch(Event::Status(report.status));
                 record_leaving(&core, &mut is_leaving, facts.is_leaving);
-                core.dispatch(Event::LimitReported(sent_at, facts.limit));
+                core.dispatch(Event::LimitAdvertised(sent_at, facts.limit));
                 *core.load.borrow_mut() = Some(report.load);
                 if let Some(load) = core.current_load() {
                     send_due_report(&core, &socket, &mut reports, &mut last_sent, load).await;
                 }
             }
-            Err(_) => core.dispatch(Event::Silent),
+            Err(_) => core.dispatch(Event::Unresponsive),
         }
         Timer::after(FAST_REPORT_INTERVAL).await;
-        if core.rollout.borrow().waiting() == 0 {
+        if core.rollout.borrow().queued_requests() == 0 {
             with_deadline(
                 Instant::now() + REPORT_INTERVAL - FAST_REPORT_INTERVAL,
                 core.report_requested.recv(),
@@ -96,11 +96,11 @@
     let is_unchanged =
         last_sent.as_ref().is_some_and(|it| (it.busy, &it.weights) == (load.busy, &load.weights));
     let near = core.same_hall_subscribers().len();
-    let followers = Followers { near, far: core.subscribers().len() - near };
-    let gateways = match reports.audience(core.clock.now(), !is_unchanged, followers) {
-        Audience::Nobody => return,
-        Audience::Hall => core.same_hall_subscribers(),
-        Audience::Everyone => core.subscribers(),
+    let subscribers = Subscribers { near, far: core.subscribers().len() - near };
+    let gateways = match reports.recipients(core.clock.now(), !is_unchanged, subscribers) {
+        Recipients::Nobody => return,
+        Recipients::Hall => core.same_hall_subscribers(),
+        Recipients::Everyone => core.subscribers(),
     };
     *last_sent = Some(load.clone());
     send_load(core, socket, &gateways, load).await;
@@ -155,7 +155,9 @@
         match job {
             Job::Find(version) => worker.find_staged(version).await,
             Job::Stage(version) => worker.stage(version).await,
-            Job::Order { version, sequence, cut } => worker.order(version, sequence, cut).await,
+            Job::Order { version, sequence, abort_running } => {
+                worker.order(version, sequence, abort_running).await
+            }
         }
     }
 }
@@ -210,7 +212,7 @@
             }
         }
         log::info!(version = version, chunks = found.count(); "chunks found at the runner");
-        self.core.dispatch(Event::Found(version, found));
+        self.core.dispatch(Event::StoredChunksRead(version, found));
     }
 
     async fn list_staged(&mut self, chunks: u32) -> Bitmap {
@@ -254,11 +256,12 @@
         Err(Error::new(Code::UpstreamFailed, format!("status {}", answer.status)))
     }
 
-    async fn order(&mut self, version: u64, sequence: u64, cut: bool) {
+    async fn order(&mut self, version: u64, sequence: u64, abort_running: bool) {
         let outcome =
-            send_order(self.client, runner::start(&self.model, version, sequence, cut)).await;
+            send_order(self.client, runner::start(&self.model, version, sequence, abort_running))
+                .await;
         let outcome_text = format!("{outcome:?}");
-        log::info!(version = version, sequence = sequence, cut = cut, outcome = outcome_text.as_str(); "ordered");
+        log::info!(version = version, sequence = sequence, cut = abort_running, outcome = outcome_text.as_str(); "ordered");
         self.core.dispatch(Event::Ordered(version, outcome));
     }
 }
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -129,10 +129,10 @@
     /// The runner's sidecar denied the reservation; nothing was sent.
     Denied {
         /// Delay after which it is worth asking again, in milliseconds.
-        again_ms: u64,
+        retry_after_ms: u64,
         /// How long reservations have been short there, in milliseconds. Also zero for sidecars
         /// that do not report it.
-        short_ms: u64,
+        shortage_ms: u64,
     },
     /// The runner's sidecar did not answer; nothing was sent.
     Silent,
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -55,8 +55,8 @@
         let answered = std::mem::take(&mut progress.answered);
         progress.may_have_run |= !outcome.is_not_run();
         progress.was_denied = matches!(outcome, AttemptOutcome::Denied { .. });
-        if let AttemptOutcome::Denied { short_ms, .. } = outcome {
-            progress.short_ms = progress.short_ms.max(short_ms);
+        if let AttemptOutcome::Denied { shortage_ms, .. } = outcome {
+            progress.short_ms = progress.short_ms.max(shortage_ms);
         }
         progress.reason = outcome.code();
         let was_suspect = std::mem::take(&mut progress.is_suspect);
@@ -109,11 +109,11 @@
             AttemptOutcome::Full => runner.note_full(now, FULL_PAUSE_MS),
             // The sidecar enforces the rate limit, so it knows when the next reservation is
             // possible.
-            AttemptOutcome::Denied { again_ms, .. } if is_limited => {
-                runner.note_rate_exhausted(now, again_ms.min(MAX_RATE_PAUSE_MS));
+            AttemptOutcome::Denied { retry_after_ms, .. } if is_limited => {
+                runner.note_rate_exhausted(now, retry_after_ms.min(MAX_RATE_PAUSE_MS));
             }
-            AttemptOutcome::Denied { again_ms, .. } => {
-                runner.note_full(now, again_ms.min(MAX_DENIED_PAUSE_MS));
+            AttemptOutcome::Denied { retry_after_ms, .. } => {
+                runner.note_full(now, retry_after_ms.min(MAX_DENIED_PAUSE_MS));
             }
             AttemptOutcome::Misdirected => runner.misdirected = true,
             AttemptOutcome::NotSent
--- a/components/gateway/tests/fuzz.rs
+++ b/components/gateway/tests/fuzz.rs
@@ -64,7 +64,7 @@
     RouteKind::Stream { resumable: false },
 ];
 const OUTCOMES: [AttemptOutcome; 11] = [
-    AttemptOutcome::Denied { again_ms: 30, short_ms: 0 },
+    AttemptOutcome::Denied { retry_after_ms: 30, shortage_ms: 0 },
     AttemptOutcome::Silent,
     AttemptOutcome::Withdrawn,
     AttemptOutcome::Answered,
--- a/components/gateway/tests/homes.rs
+++ b/components/gateway/tests/homes.rs
@@ -321,7 +321,7 @@
 fn a_home_that_is_full_or_paused_is_overloaded_and_not_missing() {
     for (service, outcome) in [
         (PLAIN_SERVICE, AttemptOutcome::Full),
-        (MODEL_SERVICE, AttemptOutcome::Denied { again_ms: 400, short_ms: 0 }),
+        (MODEL_SERVICE, AttemptOutcome::Denied { retry_after_ms: 400, shortage_ms: 0 }),
     ] {
         let mut fixture = Fixture::new();
         list(&mut fixture, "n", service);
@@ -357,7 +357,7 @@
 fn a_home_that_is_full_after_a_failure_is_not_missing() {
     for (service, outcome) in [
         (PLAIN_SERVICE, AttemptOutcome::Full),
-        (MODEL_SERVICE, AttemptOutcome::Denied { again_ms: 400, short_ms: 0 }),
+        (MODEL_SERVICE, AttemptOutcome::Denied { retry_after_ms: 400, shortage_ms: 0 }),
     ] {
         let mut fixture = Fixture::new();
         list(&mut fixture, "n", service);
--- a/components/gateway/tests/later_tries.rs
+++ b/components/gateway/tests/later_tries.rs
@@ -79,7 +79,7 @@
     while let Some(NextStep::Send(_)) = step {
         questions += 1;
         fixture.now += 2;
-        step = fixture.outcome(100, AttemptOutcome::Denied { again_ms: 5, short_ms: 0 });
+        step = fixture.outcome(100, AttemptOutcome::Denied { retry_after_ms: 5, shortage_ms: 0 });
     }
     let Some(NextStep::Refuse { code, .. }) = step else {
         panic!("expected a refusal, got {step:?}");
@@ -94,7 +94,7 @@
     for (short_ms, expected_delay) in [(0, 250..=500), (1000, 1000..=1500), (60_000, 2000..=2000)] {
         let mut fixture = fixture();
         fixture.arrive(request_with_deadline(100, 5500));
-        fixture.outcome(100, AttemptOutcome::Denied { again_ms: 5, short_ms });
+        fixture.outcome(100, AttemptOutcome::Denied { retry_after_ms: 5, shortage_ms: short_ms });
         fixture.now += 350;
         let refused = fixture.feed(Event::Tick);
         let Some(Effect::Proceed(_, NextStep::Refuse { retry_after_ms, .. })) = refused.first()
@@ -122,7 +122,7 @@
     let lost_at = sent_to(fixture.arrive(request_with_deadline(100, 3700)));
     fixture.arrive(request_with_deadline(101, 5500));
     for _ in 0..2 {
-        fixture.outcome(101, AttemptOutcome::Denied { again_ms: 60, short_ms: 0 });
+        fixture.outcome(101, AttemptOutcome::Denied { retry_after_ms: 60, shortage_ms: 0 });
     }
     assert_eq!(fixture.outcome(100, AttemptOutcome::Lost), None, "both runners are paused");
     fixture.feed(Event::Unlisted(lost_at));
@@ -146,11 +146,11 @@
     fixture.feed(bound(2, &HomeRegions::only(["north".into()])));
     fixture.arrive(request_with_deadline(100, 3700));
     for _ in 0..3 {
-        fixture.outcome(100, AttemptOutcome::Denied { again_ms: 5, short_ms: 0 });
+        fixture.outcome(100, AttemptOutcome::Denied { retry_after_ms: 5, shortage_ms: 0 });
         fixture.pass(6);
     }
     fixture.feed(Event::Unlisted("r1".into()));
-    let step = fixture.outcome(100, AttemptOutcome::Denied { again_ms: 5, short_ms: 0 });
+    let step = fixture.outcome(100, AttemptOutcome::Denied { retry_after_ms: 5, shortage_ms: 0 });
     let Some(NextStep::Refuse { code, .. }) = step else {
         panic!("expected a refusal, got {step:?}");
     };
--- a/components/gateway/tests/limits.rs
+++ b/components/gateway/tests/limits.rs
@@ -476,7 +476,8 @@
 fn deny_until_waiting(fixture: &mut Fixture, key: u64, again_ms: u64) -> Option<NextStep> {
     let mut step = fixture.arrive(arrival(key, MODEL_SERVICE, RouteKind::Safe));
     while let Some(NextStep::Send(_)) = step {
-        step = fixture.outcome(key, AttemptOutcome::Denied { again_ms, short_ms: 0 });
+        step = fixture
+            .outcome(key, AttemptOutcome::Denied { retry_after_ms: again_ms, shortage_ms: 0 });
     }
     step
 }
@@ -526,8 +527,9 @@
     sent_to(fixture.step(1, Event::Tick));
     fixture.now += 400;
     // The other runner would accept a request by now, but the waiting time of this one is over.
-    let (code, _) =
-        refused(fixture.outcome(1, AttemptOutcome::Denied { again_ms: 2000, short_ms: 0 }));
+    let (code, _) = refused(
+        fixture.outcome(1, AttemptOutcome::Denied { retry_after_ms: 2000, shortage_ms: 0 }),
+    );
     assert_eq!(code, errors::Code::RateLimited);
 }
 
@@ -554,7 +556,8 @@
     for key in 1..4 {
         let mut step = fixture.arrive(arrival(key, MODEL_SERVICE, RouteKind::Safe));
         while target_of(step.clone()).id.0 != "free" {
-            step = fixture.outcome(key, AttemptOutcome::Denied { again_ms: 1900, short_ms: 0 });
+            step = fixture
+                .outcome(key, AttemptOutcome::Denied { retry_after_ms: 1900, shortage_ms: 0 });
         }
     }
 }
--- a/components/gateway/tests/retries.rs
+++ b/components/gateway/tests/retries.rs
@@ -133,7 +133,7 @@
     let kind = RouteKind::Stream { resumable: true };
     sent_to(fixture.arrive(arrival(1, MODEL_SERVICE, kind)));
     fixture.now += 120;
-    let step = fixture.outcome(1, AttemptOutcome::Denied { again_ms: 60, short_ms: 0 });
+    let step = fixture.outcome(1, AttemptOutcome::Denied { retry_after_ms: 60, shortage_ms: 0 });
     assert!(matches!(step, Some(NextStep::Refuse { .. })), "{step:?}");
 }
 
--- a/components/gateway/tests/routing.rs
+++ b/components/gateway/tests/routing.rs
@@ -114,11 +114,11 @@
     let mut step = fixture.arrive(arrival(1, MODEL_SERVICE, STREAM));
     for _ in 0..3 {
         assert!(matches!(&step, Some(NextStep::Send(target)) if target.reserve), "{step:?}");
-        step = fixture.outcome(1, AttemptOutcome::Denied { again_ms: 30, short_ms: 0 });
+        step = fixture.outcome(1, AttemptOutcome::Denied { retry_after_ms: 30, shortage_ms: 0 });
     }
     sent_to(step);
     assert_eq!(
-        fixture.outcome(1, AttemptOutcome::Denied { again_ms: 30, short_ms: 0 }),
+        fixture.outcome(1, AttemptOutcome::Denied { retry_after_ms: 30, shortage_ms: 0 }),
         None,
         "it waits because all runners are full"
     );
@@ -215,7 +215,7 @@
     }
     let first = target_of(fixture.arrive(arrival(1, MODEL_SERVICE, STREAM)));
     assert_eq!(first.wait_ms, 0);
-    let denied = AttemptOutcome::Denied { again_ms: 60, short_ms: 0 };
+    let denied = AttemptOutcome::Denied { retry_after_ms: 60, shortage_ms: 0 };
     let second = target_of(fixture.outcome(1, denied));
     assert_ne!(second.id, first.id);
     assert!(second.wait_ms > 0, "no other runner is left");
--- a/components/gateway/tests/shortage.rs
+++ b/components/gateway/tests/shortage.rs
@@ -7,7 +7,9 @@
 
 use fleet::{Ablation, Mechanism, Millis, Place};
 use gateway::*;
-use rollout::{Question, Rollout, RolloutOptions, RunnerStatus, Verdict, WeightsPlan};
+use rollout::{
+    ReservationReply, ReservationRequest, Rollout, RolloutOptions, RunnerStatus, WeightsPlan,
+};
 use support::*;
 
 const RUNNERS: usize = 6;
@@ -104,7 +106,7 @@
         cold: None,
         prompt_tokens_per_ms: 30.0,
     };
-    sidecar.reduce(Millis(0), rollout::Event::Planned(plan));
+    sidecar.reduce(Millis(0), rollout::Event::Configured(plan));
     sidecar.reduce(Millis(0), rollout::Event::VersionsKnown);
     sidecar
 }
@@ -192,9 +194,9 @@
     fn report(&mut self, runner: usize) {
         let running = self.ends[runner].len() as u32;
         let status = RunnerStatus {
-            born: None,
+            started_at_ms: None,
             sequence: 0,
-            busy: false,
+            is_executing_order: false,
             running,
             waiting: 0,
             version: Some(1),
@@ -206,10 +208,10 @@
     }
 
     fn report_to_gateway(&mut self, gateway: usize, runner: usize) {
-        let places = self.sidecars[runner].places();
-        let mut load = load(1, places.taken());
-        load.reading_ms = places.reading_ms(Millis(self.now)) as u32;
-        load.waiting = self.sidecars[runner].waiting() as u32;
+        let places = self.sidecars[runner].slots();
+        let mut load = load(1, places.used());
+        load.reading_ms = places.prompt_backlog_ms(Millis(self.now)) as u32;
+        load.waiting = self.sidecars[runner].queued_requests() as u32;
         self.feed(gateway, Event::Load(([127, 0, 0, 1], runner as u16).into(), load));
     }
 
@@ -228,17 +230,17 @@
         for effect in self.gateways[gateway].reduce(Millis(self.now), self.now, event) {
             match effect {
                 Effect::Proceed(key, NextStep::Send(target)) => {
-                    let question = Question {
+                    let question = ReservationRequest {
                         asker: ([127, 0, 0, 1], gateway as u16).into(),
                         number: key.0,
                         request: String::new(),
                         prompt_tokens: 300 + self.random.draw(key.0 / 2, 1200) as u32,
                         rank: target.rank,
-                        left_ms: target.left_ms,
-                        wait_ms: target.wait_ms,
+                        target_left_ms: target.left_ms,
+                        max_wait_ms: target.wait_ms,
                     };
                     let runner = usize::from(target.address.port());
-                    self.pass_to_sidecar(runner, rollout::Event::Asked(question));
+                    self.pass_to_sidecar(runner, rollout::Event::ReservationRequested(question));
                     self.report_to_gateway(gateway, runner);
                 }
                 Effect::Proceed(key, NextStep::Refuse { retry_after_ms, .. }) => {
@@ -251,16 +253,16 @@
 
     fn pass_to_sidecar(&mut self, runner: usize, event: rollout::Event) {
         for effect in self.sidecars[runner].reduce(Millis(self.now), event) {
-            let rollout::Effect::Answer(question, verdict) = effect else {
+            let rollout::Effect::Answer(question, reply) = effect else {
                 continue;
             };
             let (gateway, key) = (usize::from(question.asker.port()), question.number);
-            let outcome = match verdict {
-                Verdict::Queued => continue,
-                Verdict::Denied { again_ms, short_ms, .. } => {
-                    AttemptOutcome::Denied { again_ms, short_ms }
+            let outcome = match reply {
+                ReservationReply::Queued => continue,
+                ReservationReply::Denied { retry_after_ms, shortage_ms, .. } => {
+                    AttemptOutcome::Denied { retry_after_ms, shortage_ms }
                 }
-                Verdict::Granted => {
+                ReservationReply::Granted => {
                     let work = WORK_MS * 7 / 10 + self.random.draw(key, WORK_MS * 6 / 10);
                     let slowness = self.slowness[runner];
                     let end = self.now + (work as f64 * slowness) as u64;
--- a/components/rollout/src/cold.rs
+++ b/components/rollout/src/cold.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns whether the runner counts as cold only because it may just have started.
-    pub fn is_assumed(&self, now: Millis) -> bool {
+    pub fn is_only_assumed_cold(&self, now: Millis) -> bool {
         self.left_ms(now) > 0 && self.reported_until <= now
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Time until the cold start allows another slot, in milliseconds.
-    pub fn place_in_ms(&self, now: Millis) -> u64 {
+    pub fn slot_in_ms(&self, now: Millis) -> u64 {
         let left_ms = self.left_ms(now);
         if left_ms == 0 {
             return 0;
--- a/components/rollout/src/directory.rs
+++ b/components/rollout/src/directory.rs
@@ -10,7 +10,7 @@
 const GATEWAY_CHECK_INTERVAL_MS: u64 = 40;
 /// How long no gateway may have answered before the store is read, in milliseconds. Gateways request reports
 /// every second, so four rounds were missed by then.
-pub const GATEWAY_PATIENCE: u64 = 4000;
+pub const GATEWAY_TIMEOUT_MS: u64 = 4000;
 /// Pause between the first two requests, and after one that returned no list, in milliseconds. It doubles
 /// with each list, so that a starting fleet is known soon.
 const FIRST_INTERVAL_MS: u64 = 400;
@@ -69,7 +69,7 @@
         if matches!(answer, DirectoryAnswer::List | DirectoryAnswer::Stale) {
             self.answered_at = now;
         }
-        let read_store = now.since(self.answered_at).0 >= GATEWAY_PATIENCE;
+        let read_store = now.since(self.answered_at).0 >= GATEWAY_TIMEOUT_MS;
         if read_store {
             self.answered_at = now;
         }
--- a/components/rollout/src/event.rs
+++ b/components/rollout/src/event.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cold::{ColdLimit, ColdPlan};
-use crate::questions::{Question, Verdict};
+use crate::reservation_requests::{ReservationReply, ReservationRequest};
 
 /// The settings of a sidecar.
 #[derive(Clone, Debug)]
@@ -70,11 +70,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerStatus {
     /// Start time of the runner, in milliseconds of Unix time, if it reports one.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Number of orders accepted since the start.
     pub sequence: u64,
     /// Whether the runner is executing an order.
-    pub busy: bool,
+    pub is_executing_order: bool,
     /// Number of requests at the runner, running or waiting.
     pub running: u32,
     /// Number of requests waiting at the runner.
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The deadlines have changed.
-    Bounded {
+    DeadlinesChanged {
         /// Time from the announcement of a version until it must be served, in milliseconds.
         version_ms: u64,
         /// Time from the acknowledgement of an evacuation until no more requests are sent to the hall, in
@@ -106,17 +106,17 @@
         evacuate_ms: Option<u64>,
     },
     /// The request limit of a cold runner has changed.
-    ColdBounded(Option<ColdLimit>),
+    ColdLimitChanged(Option<ColdLimit>),
     /// The configuration of the weights was received.
-    Planned(WeightsPlan),
+    Configured(WeightsPlan),
     /// A version was announced that runners should serve.
-    Named {
+    Announced {
         /// The version.
         version: u64,
         /// The earliest known time of the announcement. `None` if unknown.
-        named_at: Option<Millis>,
-        /// The store's clock, in milliseconds, when the version had not been announced yet, if `named_at` is
-        /// derived from it.
+        announced_at: Option<Millis>,
+        /// The store's clock, in milliseconds, when the version had not been announced yet, if `announced_at`
+        /// is derived from it.
         after_ms: Option<u64>,
     },
     /// All versions announced before now have been reported.
@@ -124,23 +124,23 @@
     /// The runner sent a status report.
     Status(RunnerStatus),
     /// The process resumes after a suspension during which it received nothing.
-    Woke,
+    Resumed,
     /// The runner has started or stopped reporting that it is leaving.
     RunnerLeaves(bool),
     /// The rate limit in the runner's report, and the time at which the report was requested.
-    LimitReported(Millis, RateWord),
+    LimitAdvertised(Millis, RateWord),
     /// A gateway reported the runner's rate limit.
-    LimitTold(ToldLimit),
+    LimitReported(ToldLimit),
     /// According to the list of runners, the runner stays cold for this many milliseconds.
     ColdFor(u64),
     /// The runner does not respond.
-    Silent,
+    Unresponsive,
     /// The manifest of a version was received.
-    Described(u64, Arc<Manifest>),
+    ManifestReceived(u64, Arc<Manifest>),
     /// The manifest of a version could not be fetched.
-    Undescribed(u64),
+    ManifestFailed(u64),
     /// These chunks of a version are stored at the runner and were verified.
-    Found(u64, Bitmap),
+    StoredChunksRead(u64, Bitmap),
     /// A chunk was received.
     Arrived {
         /// The version.
@@ -153,7 +153,7 @@
         verified: bool,
     },
     /// A chunk could not be fetched.
-    Missed {
+    FetchFailed {
         /// The version.
         version: u64,
         /// The index of the chunk.
@@ -170,7 +170,7 @@
     /// The sidecars of all runners that receive or hold weights of the same model.
     Peers(Vec<Peer>),
     /// The chunks held by a sidecar that a chunk was fetched from.
-    Holdings {
+    SourceChunks {
         /// The sidecar.
         of: InstanceId,
         /// The version.
@@ -194,11 +194,11 @@
     /// Another sidecar sent an order to its runner.
     PeerOrdered,
     /// Another sidecar reports that this one sent the latest order before it restarted.
-    GaveLastOrder,
+    SentLatestOrder,
     /// A gateway reported the evacuated data halls.
     Evacuations(EvacuationList),
     /// A gateway requests a reservation at the runner.
-    Asked(Question),
+    ReservationRequested(ReservationRequest),
     /// Time has passed.
     Tick,
 }
@@ -216,11 +216,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Fetch the manifest of a version.
-    Describe(u64, ManifestSource),
+    FetchManifest(u64, ManifestSource),
     /// Read and verify the chunks stored at the runner.
-    Find(u64),
+    ReadStoredChunks(u64),
     /// Fetch a chunk of a version.
-    Draw(u64, Draw),
+    FetchChunk(u64, Draw),
     /// Send a summary of the held chunks of a version to another sidecar.
     Summarize {
         /// The address of the sidecar.
@@ -231,11 +231,11 @@
         have: Bitmap,
     },
     /// Log that the runner has restarted, or that its report is not about the known run.
-    Life(LifeChange, LifeWord),
+    LogIncarnationChange(LifeChange, LifeWord),
     /// Log a change of the runner's rate limit. `None` if it has ended.
-    Limit(Option<Rate>),
+    LogLimitChange(Option<Rate>),
     /// Answer a gateway's reservation request.
-    Answer(Question, Verdict),
+    Answer(ReservationRequest, ReservationReply),
     /// Log that the evacuation of a data hall has started or ended, and report the runner's state to
     /// gateways.
     Evacuation(EvacuationChange),
@@ -255,6 +255,6 @@
         /// The expected number of orders accepted by the runner.
         sequence: u64,
         /// Whether to abort running requests. Otherwise the runner completes them first.
-        cut: bool,
+        abort_running: bool,
     },
 }
--- a/components/rollout/src/first_attempts.rs
+++ b/components/rollout/src/first_attempts.rs
@@ -33,7 +33,7 @@
 impl FirstAttempts {
     /// Records that a first attempt of this rank was rejected because slots are scarce.
     pub(crate) fn note_denied_in_shortage(&mut self, now: Millis, rank: u8) {
-        if self.short_ms(now) == 0 {
+        if self.shortage_ms(now) == 0 {
             self.shortage_since = now;
             self.consecutive_first = 0;
         }
@@ -47,7 +47,7 @@
     }
 
     /// Duration of the current shortage of slots, in milliseconds. Zero if there is none.
-    pub(crate) fn short_ms(&self, now: Millis) -> u64 {
+    pub(crate) fn shortage_ms(&self, now: Millis) -> u64 {
         let is_short = self.shortage_denied_at.is_some_and(|at| now.since(at).0 <= SHORTAGE_END_MS);
         if is_short {
             now.since(self.shortage_since).0
--- a/components/rollout/src/lib.rs
+++ b/components/rollout/src/lib.rs
@@ -8,23 +8,23 @@
 mod event;
 mod first_attempts;
 mod manifest_searches;
-mod places;
 mod precedence;
-mod questions;
 mod rate;
 mod reducer;
 mod reports;
+mod reservation_requests;
+mod runner_slots;
 mod target;
 mod turns;
 
 pub use cold::{ColdLimit, ColdPlan, ColdStart};
-pub use directory::{Directory, DirectoryAnswer, DirectoryStep, GATEWAY_PATIENCE};
+pub use directory::{Directory, DirectoryAnswer, DirectoryStep, GATEWAY_TIMEOUT_MS};
 pub use event::{
     Effect, Event, ManifestSource, OrderOutcome, Peer, RolloutOptions, RunnerStatus, WeightsPlan,
 };
-pub use places::{Denial, Places};
-pub use questions::{Question, Verdict};
 pub use rate::RateLimiter;
 pub use reducer::Rollout;
-pub use reports::{Audience, Followers, Reports};
+pub use reports::{Recipients, Reports, Subscribers};
+pub use reservation_requests::{ReservationReply, ReservationRequest};
+pub use runner_slots::{Denial, RunnerSlots};
 pub use turns::turn;
--- a/components/rollout/src/rate.rs
+++ b/components/rollout/src/rate.rs
@@ -71,7 +71,7 @@
 
     /// Time until the rate limit allows a slot for a request with `ahead` others before it, in milliseconds.
     /// `None` if it never does.
-    pub fn place_in_ms(&self, now: Millis, ahead: usize) -> Option<u64> {
+    pub fn slot_in_ms(&self, now: Millis, ahead: usize) -> Option<u64> {
         if self.limit.rate().is_none() {
             return Some(0);
         }
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -15,9 +15,9 @@
 };
 use crate::first_attempts::FirstAttempts;
 use crate::manifest_searches::ManifestSearches;
-use crate::places::Places;
-use crate::questions::QuestionQueue;
 use crate::rate::RateLimiter;
+use crate::reservation_requests::ReservationQueue;
+use crate::runner_slots::RunnerSlots;
 use crate::target::{Step, Target};
 use fleet::{
     Bitmap, Evacuations, InstanceId, LifeWord, Mechanism, Millis, NamedVersion, VersionName,
@@ -74,10 +74,10 @@
     retired_at: Option<Millis>,
     /// Whether the runner reports that it is leaving.
     runner_leaves: bool,
-    places: Places,
+    slots: RunnerSlots,
     cold: ColdStart,
     rate: RateLimiter,
-    questions: QuestionQueue,
+    reservation_queue: ReservationQueue,
     first_attempts: FirstAttempts,
     manifest_searches: ManifestSearches,
     /// When this sidecar sent an order, unless another sidecar is known to have sent one since. Faults affect
@@ -99,9 +99,9 @@
 impl Rollout {
     /// Creates the state of a sidecar that knows nothing yet.
     pub fn new(options: RolloutOptions) -> Self {
-        let mut places = Places::default();
+        let mut slots = RunnerSlots::default();
         if !options.ablation.keeps(Mechanism::ReadingCredit) {
-            places.disable_pacing();
+            slots.disable_pacing();
         }
         Self {
             evacuations: Evacuations::new(options.evacuate_ms, &options.ablation),
@@ -118,9 +118,9 @@
             own_order_at: Millis(0),
             retired_at: None,
             runner_leaves: false,
-            places,
+            slots,
             rate: RateLimiter::default(),
-            questions: QuestionQueue::default(),
+            reservation_queue: ReservationQueue::default(),
             first_attempts: FirstAttempts::default(),
             manifest_searches: ManifestSearches::default(),
             ordered_at: None,
@@ -149,18 +149,18 @@
     }
 
     /// The version that the runner serves or is switched to.
-    pub fn wanted(&self) -> Option<u64> {
+    pub fn target_version(&self) -> Option<u64> {
         self.current.as_ref().map(|it| it.version)
     }
 
     /// The chunks of a version that this sidecar holds.
-    pub fn have(&self, version: u64) -> Option<&Bitmap> {
+    pub fn held_chunks(&self, version: u64) -> Option<&Bitmap> {
         let mut targets = self.current.iter().chain(&self.next);
         targets.find(|it| it.version == version)?.have()
     }
 
     /// The versions that are being fetched, oldest first, with the chunks that this sidecar holds.
-    pub fn drawn(&self) -> impl Iterator<Item = (u64, &Bitmap)> {
+    pub fn fetching(&self) -> impl Iterator<Item = (u64, &Bitmap)> {
         let targets = self.current.iter().chain(&self.next);
         targets.filter_map(|it| Some((it.version, it.have()?)))
     }
@@ -168,19 +168,19 @@
     /// Applies an event and returns the resulting effects.
     pub fn reduce(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         match event {
-            Event::Bounded { version_ms, evacuate_ms } => {
+            Event::DeadlinesChanged { version_ms, evacuate_ms } => {
                 self.options.evacuate_ms = evacuate_ms;
                 self.evacuations.set_bound(evacuate_ms, &self.options.ablation);
                 self.change_deadline(now, version_ms);
             }
-            Event::ColdBounded(limit) => self.cold.set_limit(now, limit),
-            Event::Planned(plan) => {
-                self.places.set_profile(plan.slots, plan.prompt_tokens_per_ms);
+            Event::ColdLimitChanged(limit) => self.cold.set_limit(now, limit),
+            Event::Configured(plan) => {
+                self.slots.set_profile(plan.slots, plan.prompt_tokens_per_ms);
                 self.cold.set_plan(now, plan.cold);
                 self.plan = Some(plan);
             }
-            Event::Named { version, named_at, after_ms } => {
-                let (at, known) = (named_at.unwrap_or(now), named_at.is_some());
+            Event::Announced { version, announced_at, after_ms } => {
+                let (at, known) = (announced_at.unwrap_or(now), announced_at.is_some());
                 self.record_announcement(now, VersionName { version, at, known, after_ms });
             }
             Event::VersionsKnown => {
@@ -191,7 +191,7 @@
             }
             // Announcements and evacuations during the suspension are unknown. A gateway reports them within
             // a second.
-            Event::Woke => {
+            Event::Resumed => {
                 self.versions_known = false;
                 self.resumed_at = Some(now);
                 return self.answer_queued(now);
@@ -205,16 +205,16 @@
                 self.runner_leaves = leaves;
                 return self.answer_queued(now);
             }
-            Event::LimitReported(requested_at, reported) => {
+            Event::LimitAdvertised(requested_at, reported) => {
                 let is_changed = self.rate.apply_report(now, requested_at, reported);
                 return self.apply_limit_change(now, is_changed);
             }
-            Event::LimitTold(report) => {
+            Event::LimitReported(report) => {
                 let is_changed = self.rate.learn(now, self.run_start(), report);
                 return self.apply_limit_change(now, is_changed);
             }
             Event::ColdFor(left_ms) => self.cold.apply_report(now, left_ms),
-            Event::Silent => {
+            Event::Unresponsive => {
                 self.status = None;
                 return self.answer_queued(now);
             }
@@ -226,9 +226,11 @@
                 }
                 return effects;
             }
-            Event::Asked(question) => return vec![self.handle_question(now, question)],
+            Event::ReservationRequested(reservation) => {
+                return vec![self.handle_reservation_request(now, reservation)]
+            }
             Event::Peers(peers) => self.update_peers(now, peers),
-            Event::Described(version, manifest) => {
+            Event::ManifestReceived(version, manifest) => {
                 let (Some(plan), Some(all)) = (self.plan.clone(), self.peers.clone()) else {
                     return Vec::new();
                 };
@@ -239,22 +241,22 @@
                 };
                 target.start_spread(now, &options, &plan, &all, manifest, serves);
                 if target.step == Step::ReadingRunner {
-                    return vec![Effect::Find(version)];
+                    return vec![Effect::ReadStoredChunks(version)];
                 }
             }
-            Event::Undescribed(version) => {
+            Event::ManifestFailed(version) => {
                 let me = self.options.me.clone();
                 if let Some(target) = self.target(version) {
                     target.schedule_manifest_retry(now, &me);
                 }
             }
-            Event::Found(version, found) => self.apply_found(version, &found),
+            Event::StoredChunksRead(version, found) => self.apply_found(version, &found),
             Event::Arrived { version, index, source, verified } => {
                 let mut effects = self.take_chunk(now, version, index, &source, verified);
                 effects.extend(self.advance(now));
                 return effects;
             }
-            Event::Missed { version, index, source, code } => {
+            Event::FetchFailed { version, index, source, code } => {
                 if let Some(spread) = self.target(version).and_then(Target::spread_mut) {
                     spread.fail_chunk(now, index, &source, code, 0);
                 }
@@ -266,7 +268,7 @@
                     spread.take_summary(now, &from, address, &place, have);
                 }
             }
-            Event::Holdings { of, version, have } => {
+            Event::SourceChunks { of, version, have } => {
                 if let Some(spread) = self.target(version).and_then(Target::spread_mut) {
                     spread.take_holdings(now, &of, have);
                 }
@@ -282,7 +284,7 @@
                     self.ordered_at = None;
                 }
             }
-            Event::GaveLastOrder => {
+            Event::SentLatestOrder => {
                 self.ordered_at.get_or_insert(now);
             }
             Event::Tick => {
@@ -312,7 +314,7 @@
             spread.take_chunk(now, index, source, verified);
         }
         if !verified && target.note_digest_mismatch(index) {
-            return vec![Effect::Describe(version, ManifestSource::Origin)];
+            return vec![Effect::FetchManifest(version, ManifestSource::Origin)];
         }
         Vec::new()
     }
@@ -331,15 +333,15 @@
     /// until another process reports it.
     fn record_announcement(&mut self, now: Millis, report: VersionName) {
         self.announced.take(report);
-        let named = self.announced.get(report.version);
-        if let Some((target, named)) = self.target(report.version).zip(named) {
-            target.named = named;
+        let announcement = self.announced.get(report.version);
+        if let Some((target, announcement)) = self.target(report.version).zip(announcement) {
+            target.announcement = announcement;
         }
         self.announced.forget_before(now, self.options.version_ms);
     }
 
     /// The newest announced version, or the initial version if none was announced.
-    pub fn newest_named(&self) -> u64 {
+    pub fn newest_announced(&self) -> u64 {
         self.newest_announcement().version
     }
 
@@ -374,12 +376,12 @@
 
     /// Starts to fetch the newest announced version, or completes the previous one first.
     fn follow_announcement(&mut self, now: Millis) {
-        let named = self.newest_announcement();
+        let announcement = self.newest_announcement();
         let newest = self.next.as_ref().or(self.current.as_ref()).map_or(0, |it| it.version);
-        if named.version <= newest {
+        if announcement.version <= newest {
             return;
         }
-        let target = Target::new(named);
+        let target = Target::new(announcement);
         if self.is_completed_before(now, &target) {
             self.next = Some(target);
         } else {
@@ -432,8 +434,8 @@
         target.step = Step::Ordered(now, status.sequence);
         self.ordered_at = Some(now);
         self.own_order_at = now;
-        let cut = status.running > 0 && status.running <= MAX_ABORTED_REQUESTS;
-        vec![Effect::Order { version, sequence: status.sequence, cut }]
+        let abort_running = status.running > 0 && status.running <= MAX_ABORTED_REQUESTS;
+        vec![Effect::Order { version, sequence: status.sequence, abort_running }]
     }
 
     fn apply_order_outcome(&mut self, now: Millis, version: u64, outcome: OrderOutcome) {
--- a/components/rollout/src/reducer/admission.rs
+++ b/components/rollout/src/reducer/admission.rs
@@ -5,9 +5,9 @@
 use super::Rollout;
 use crate::cold::ColdStart;
 use crate::event::Effect;
-use crate::places::{Denial, Places, MIN_RETRY_MS};
-use crate::questions::{Question, Verdict};
 use crate::rate::RateLimiter;
+use crate::reservation_requests::{ReservationReply, ReservationRequest};
+use crate::runner_slots::{Denial, RunnerSlots, MIN_RETRY_MS};
 use crate::target::Step;
 
 /// Retry delay if the rate limit of the runner is zero, in milliseconds.
@@ -17,54 +17,66 @@
 
 impl Rollout {
     /// Answers a reservation request, or queues it.
-    pub(super) fn handle_question(&mut self, now: Millis, question: Question) -> Effect {
-        let admitted = self.admit(now, &question);
-        self.record_admission(now, &question, admitted);
-        let verdict = match admitted {
-            Ok(()) => Verdict::Granted,
-            Err(denial) if self.may_queue(now, &question, denial) => {
-                self.questions.push(now, question.clone());
-                Verdict::Queued
+    pub(super) fn handle_reservation_request(
+        &mut self,
+        now: Millis,
+        reservation: ReservationRequest,
+    ) -> Effect {
+        let admitted = self.admit(now, &reservation);
+        self.record_admission(now, &reservation, admitted);
+        let reply = match admitted {
+            Ok(()) => ReservationReply::Granted,
+            Err(denial) if self.may_queue(now, &reservation, denial) => {
+                self.reservation_queue.push(now, reservation.clone());
+                ReservationReply::Queued
             }
             Err(denial) => self.deny(now, denial),
         };
-        Effect::Answer(question, verdict)
+        Effect::Answer(reservation, reply)
     }
 
     /// Returns whether a reservation request may wait for a slot. It must not wait if the rate limit allows
     /// no slot in time.
-    fn may_queue(&self, now: Millis, question: &Question, denial: Denial) -> bool {
-        let place_in_ms = self.rate.place_in_ms(now, self.questions.len());
-        let is_in_time = place_in_ms.is_some_and(|it| it <= question.wait_ms);
-        denial.is_short() && is_in_time && question.wait_ms > 0 && self.questions.has_room()
+    fn may_queue(&self, now: Millis, reservation: &ReservationRequest, denial: Denial) -> bool {
+        let slot_in_ms = self.rate.slot_in_ms(now, self.reservation_queue.len());
+        let is_in_time = slot_in_ms.is_some_and(|it| it <= reservation.max_wait_ms);
+        denial.is_short()
+            && is_in_time
+            && reservation.max_wait_ms > 0
+            && self.reservation_queue.has_room()
     }
 
-    fn admit(&mut self, now: Millis, question: &Question) -> Result<(), Denial> {
-        if question.is_repeated() && self.must_yield(now, question.rank) {
+    fn admit(&mut self, now: Millis, reservation: &ReservationRequest) -> Result<(), Denial> {
+        if reservation.is_repeated() && self.must_yield(now, reservation.rank) {
             return Err(Denial::RepeatedAttempt);
         }
-        if self.questions.must_wait(now, question) {
+        if self.reservation_queue.must_wait(now, reservation) {
             return Err(Denial::Full);
         }
-        self.reserve(now, question.prompt_tokens)
+        self.reserve(now, reservation.prompt_tokens)
     }
 
     /// Returns whether a repeated attempt must yield to first attempts.
     fn must_yield(&self, now: Millis, rank: u8) -> bool {
         self.keeps(Mechanism::FirstTries)
             && self.first_attempts.take_precedence(now, rank)
-            && !self.places.has_spare_slot(now)
+            && !self.slots.has_spare_slot(now)
     }
 
-    fn record_admission(&mut self, now: Millis, question: &Question, admitted: Result<(), Denial>) {
+    fn record_admission(
+        &mut self,
+        now: Millis,
+        reservation: &ReservationRequest,
+        admitted: Result<(), Denial>,
+    ) {
         match admitted {
-            Ok(()) => self.first_attempts.note_granted(question.is_repeated()),
+            Ok(()) => self.first_attempts.note_granted(reservation.is_repeated()),
             // A low rate limit of this runner does not indicate how scarce slots are at other runners.
-            Err(Denial::Limited) if !question.is_repeated() => {
-                self.first_attempts.note_denied(now, question.rank);
+            Err(Denial::Limited) if !reservation.is_repeated() => {
+                self.first_attempts.note_denied(now, reservation.rank);
             }
-            Err(denial) if denial.is_short() && !question.is_repeated() => {
-                self.first_attempts.note_denied_in_shortage(now, question.rank);
+            Err(denial) if denial.is_short() && !reservation.is_repeated() => {
+                self.first_attempts.note_denied_in_shortage(now, reservation.rank);
             }
             Err(_) => {}
         }
@@ -73,24 +85,24 @@
     /// Answers the queued reservation requests that need not wait any longer.
     pub(super) fn answer_queued(&mut self, now: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some(tokens) = self.questions.first().map(|it| it.prompt_tokens) {
+        while let Some(tokens) = self.reservation_queue.first().map(|it| it.prompt_tokens) {
             match self.reserve(now, tokens) {
                 Ok(()) => {
-                    let granted = self.questions.pop();
-                    let is_repeated = granted.as_ref().is_some_and(Question::is_repeated);
+                    let granted = self.reservation_queue.pop();
+                    let is_repeated = granted.as_ref().is_some_and(ReservationRequest::is_repeated);
                     self.first_attempts.note_granted(is_repeated);
-                    effects.extend(granted.map(|it| Effect::Answer(it, Verdict::Granted)));
+                    effects.extend(granted.map(|it| Effect::Answer(it, ReservationReply::Granted)));
                 }
                 Err(denial) if denial.is_short() => {
-                    let verdict = self.deny(now, denial);
-                    let expired = self.questions.take_expired(now).into_iter();
-                    effects.extend(expired.map(|it| Effect::Answer(it, verdict)));
+                    let reply = self.deny(now, denial);
+                    let expired = self.reservation_queue.take_expired(now).into_iter();
+                    effects.extend(expired.map(|it| Effect::Answer(it, reply)));
                     break;
                 }
                 Err(denial) => {
-                    let verdict = self.deny(now, denial);
-                    let all = self.questions.take_all().into_iter();
-                    effects.extend(all.map(|it| Effect::Answer(it, verdict)));
+                    let reply = self.deny(now, denial);
+                    let all = self.reservation_queue.take_all().into_iter();
+                    effects.extend(all.map(|it| Effect::Answer(it, reply)));
                 }
             }
         }
@@ -98,19 +110,23 @@
     }
 
     /// The number of queued reservation requests.
-    pub fn waiting(&self) -> usize {
-        self.questions.len()
+    pub fn queued_requests(&self) -> usize {
+        self.reservation_queue.len()
     }
 
-    fn deny(&self, now: Millis, denial: Denial) -> Verdict {
-        let again_ms = match denial {
-            Denial::Cold => self.cold.place_in_ms(now) + MIN_RETRY_MS,
+    fn deny(&self, now: Millis, denial: Denial) -> ReservationReply {
+        let retry_after_ms = match denial {
+            Denial::Cold => self.cold.slot_in_ms(now) + MIN_RETRY_MS,
             Denial::Limited => {
-                self.rate.place_in_ms(now, 0).unwrap_or(LIMITED_RETRY_MS) + MIN_RETRY_MS
+                self.rate.slot_in_ms(now, 0).unwrap_or(LIMITED_RETRY_MS) + MIN_RETRY_MS
             }
-            _ => self.places.retry_delay_ms(now, denial),
+            _ => self.slots.retry_delay_ms(now, denial),
         };
-        Verdict::Denied { denial, again_ms, short_ms: self.first_attempts.short_ms(now) }
+        ReservationReply::Denied {
+            denial,
+            retry_after_ms,
+            shortage_ms: self.first_attempts.shortage_ms(now),
+        }
     }
 
     /// Grants a slot at the runner to a request with a prompt of `prompt_tokens` tokens, or returns the
@@ -126,7 +142,7 @@
         if self.runner_leaves {
             return Err(Denial::RunnerLeaves);
         }
-        if !self.status.as_ref().is_some_and(|it| !it.busy && it.version.is_some()) {
+        if !self.status.as_ref().is_some_and(|it| !it.is_executing_order && it.version.is_some()) {
             return Err(Denial::NotServing);
         }
         if self.holds_old_version_after_last_order() {
@@ -144,7 +160,7 @@
         if !self.rate.has_slot(now) {
             return Err(Denial::Limited);
         }
-        self.places.grant(now, prompt_tokens)?;
+        self.slots.grant(now, prompt_tokens)?;
         self.cold.take_slot(now);
         self.rate.take_slot(now);
         Ok(())
@@ -156,7 +172,7 @@
     }
 
     /// The runner's rate limit to report to gateways. `None` if the runner has not advertised one recently.
-    pub fn told_limit(&self, now: Millis) -> Option<ToldLimit> {
+    pub fn limit_to_report(&self, now: Millis) -> Option<ToldLimit> {
         self.rate.told(now, self.run_start())
     }
 
@@ -170,15 +186,15 @@
         if !is_changed {
             return Vec::new();
         }
-        let mut effects = vec![Effect::Limit(self.rate.rate())];
+        let mut effects = vec![Effect::LogLimitChange(self.rate.rate())];
         effects.extend(self.answer_queued(now));
         effects
     }
 
     /// Time until the cold start and the rate limit of the runner allow another slot, in milliseconds.
-    pub fn place_in_ms(&self, now: Millis) -> u32 {
-        let rate_wait_ms = self.rate.place_in_ms(now, 0).unwrap_or(LIMITED_RETRY_MS);
-        u32::try_from(rate_wait_ms.max(self.cold.place_in_ms(now))).unwrap_or(u32::MAX)
+    pub fn slot_in_ms(&self, now: Millis) -> u32 {
+        let rate_wait_ms = self.rate.slot_in_ms(now, 0).unwrap_or(LIMITED_RETRY_MS);
+        u32::try_from(rate_wait_ms.max(self.cold.slot_in_ms(now))).unwrap_or(u32::MAX)
     }
 
     /// The cold start of the runner.
@@ -208,7 +224,7 @@
         let held_version = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
         self.keeps(Mechanism::LastOrder)
             && self.ordered_at.is_some()
-            && held_version < self.newest_named()
+            && held_version < self.newest_announced()
     }
 
     /// Returns whether an order to the runner is due. The runner receives no new requests until it has
@@ -228,8 +244,8 @@
     }
 
     /// The slots of the runner.
-    pub fn places(&self) -> &Places {
-        &self.places
+    pub fn slots(&self) -> &RunnerSlots {
+        &self.slots
     }
 
     /// How long a request that gets a slot now waits at the runner before it starts, in milliseconds. Derived
@@ -237,7 +253,7 @@
     /// there.
     fn start_delay_ms(&self, now: Millis) -> u64 {
         let waited = self.waiting_since.map_or(0, |since| now.since(since).0);
-        waited.max(self.places.reading_ms(now))
+        waited.max(self.slots.prompt_backlog_ms(now))
     }
 
     /// Returns whether a request could start on the runner's version only too close to the deadline or after
--- a/components/rollout/src/reducer/estimate.rs
+++ b/components/rollout/src/reducer/estimate.rs
@@ -17,7 +17,8 @@
         if self.is_evacuated(now) {
             return None;
         }
-        let serving = self.status.as_ref().is_some_and(|it| !it.busy && it.version.is_some());
+        let serving =
+            self.status.as_ref().is_some_and(|it| !it.is_executing_order && it.version.is_some());
         if serving && !self.is_leaving(now) && !self.is_past_start_deadline(now) {
             return Some(0);
         }
--- a/components/rollout/src/reducer/moves.rs
+++ b/components/rollout/src/reducer/moves.rs
@@ -47,7 +47,7 @@
                 self.manifest_searches.source(now, version, &self.options.me, peers)
             {
                 target.note_manifest_requested();
-                effects.push(Effect::Describe(version, source));
+                effects.push(Effect::FetchManifest(version, source));
             }
         }
         effects.extend(self.stage_when_due(now));
@@ -84,7 +84,7 @@
         newer: &Target,
     ) -> Option<(RemainingWork, RemainingWork)> {
         let with_origin_ms = |target: &Target, origin_ms: u64| RemainingWork {
-            deadline: target.named.bound(self.options.version_ms).minus(START_MARGIN_MS),
+            deadline: target.announcement.bound(self.options.version_ms).minus(START_MARGIN_MS),
             origin_ms,
         };
         let copy_ms = older.copy_ms()?;
@@ -134,7 +134,7 @@
     /// serving it until a time that differs between sidecars, so that they do not all stop at once.
     fn order_at(&self, now: Millis, target: &Target) -> Millis {
         let is_serving = self.serves();
-        let deadline = target.named.bound(self.options.version_ms);
+        let deadline = target.announcement.bound(self.options.version_ms);
         let last_order_at = self
             .held_deadline()
             .map_or(deadline, |it| it.min(deadline))
@@ -170,13 +170,13 @@
     /// Returns whether the runner is known not to be executing an order.
     pub(super) fn is_runner_ready_for_order(&self) -> bool {
         let is_status_current = self.status_at > self.own_order_at;
-        is_status_current && self.status.as_ref().is_some_and(|it| !it.busy)
+        is_status_current && self.status.as_ref().is_some_and(|it| !it.is_executing_order)
     }
 
     fn stage_when_due(&mut self, now: Millis) -> Option<Effect> {
         let is_ready = self.is_runner_ready_for_order();
         let is_drained = self.status.as_ref().is_some_and(|it| it.running <= MAX_ABORTED_REQUESTS)
-            && !self.places.has_request_in_transit(now);
+            && !self.slots.has_request_in_transit(now);
         let is_evacuated = self.is_evacuated(now);
         let is_deadline_near = self.is_deadline_near(now);
         if self.current.as_ref().is_some_and(|it| self.is_expired(now, it.version)) {
--- a/components/rollout/src/reducer/status.rs
+++ b/components/rollout/src/reducer/status.rs
@@ -9,11 +9,11 @@
 
 impl Rollout {
     pub(super) fn apply_status(&mut self, now: Millis, status: RunnerStatus) -> Vec<Effect> {
-        let reported = LifeWord { born: status.born, sequence: status.sequence };
+        let reported = LifeWord { born: status.started_at_ms, sequence: status.sequence };
         let change = self.life.map_or(LifeChange::Same, |known| known.compare(reported));
         let effects = match change {
             LifeChange::Same => Vec::new(),
-            change => vec![Effect::Life(change, reported)],
+            change => vec![Effect::LogIncarnationChange(change, reported)],
         };
         if matches!(change, LifeChange::Earlier | LifeChange::Untold) {
             return effects;
@@ -21,11 +21,11 @@
         self.life = Some(reported);
         let has_restarted = change == LifeChange::Began;
         if has_restarted {
-            self.places.reset();
+            self.slots.reset();
             self.rate = RateLimiter::default();
             self.waiting_since = None;
         }
-        self.places.apply_report(now, status.running);
+        self.slots.apply_report(now, status.running);
         self.status_at = now;
         self.waiting_since = match status.waiting {
             0 => None,
@@ -43,7 +43,7 @@
             // Chunks that were written to the previous run are written again: the order must refer to the
             // state of the new run.
             Step::Staging if has_restarted => target.step = Step::Waiting(now),
-            Step::Served if !holds_target && !status.busy => {
+            Step::Served if !holds_target && !status.is_executing_order => {
                 target.step = if target.is_complete() {
                     Step::Waiting(now)
                 } else {
@@ -51,10 +51,11 @@
                 };
             }
             Step::Served => {}
-            _ if holds_target && !status.busy => target.step = Step::Served,
+            _ if holds_target && !status.is_executing_order => target.step = Step::Served,
             Step::Ordered(at, sequence) => {
-                let has_timed_out = now.since(at).0 > ORDER_TIMEOUT_MS && !status.busy;
-                let has_completed = status.sequence > sequence && !status.busy;
+                let has_timed_out =
+                    now.since(at).0 > ORDER_TIMEOUT_MS && !status.is_executing_order;
+                let has_completed = status.sequence > sequence && !status.is_executing_order;
                 if has_timed_out || has_completed || has_restarted {
                     target.step = Step::Waiting(now);
                 }
--- a/components/rollout/src/reports.rs
+++ b/components/rollout/src/reports.rs
@@ -19,14 +19,14 @@
 
 /// The number of gateways that receive reports of a sidecar.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Followers {
+pub struct Subscribers {
     /// Gateways in the same data hall.
     pub near: usize,
     /// Gateways in other data halls.
     pub far: usize,
 }
 
-impl Followers {
+impl Subscribers {
     fn near_interval_ms(self) -> u64 {
         (self.near as u64 * PER_NEAR_GATEWAY_MS).clamp(NEAR_INTERVAL_MS, MAX_INTERVAL_MS)
     }
@@ -38,7 +38,7 @@
 
 /// The gateways that receive a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// No gateway.
     Nobody,
     /// The gateways in the same data hall.
@@ -57,16 +57,21 @@
 impl Reports {
     /// The gateways to send a report to now. `changed` tells whether the runner has started or stopped
     /// accepting requests since the last report; that is reported to all gateways at once.
-    pub fn audience(&mut self, now: Millis, changed: bool, followers: Followers) -> Audience {
-        if changed || is_due(now, self.everyone_sent_at, followers.far_interval_ms()) {
+    pub fn recipients(
+        &mut self,
+        now: Millis,
+        changed: bool,
+        subscribers: Subscribers,
+    ) -> Recipients {
+        if changed || is_due(now, self.everyone_sent_at, subscribers.far_interval_ms()) {
             (self.hall_sent_at, self.everyone_sent_at) = (Some(now), Some(now));
-            return Audience::Everyone;
+            return Recipients::Everyone;
         }
-        if is_due(now, self.hall_sent_at, followers.near_interval_ms()) {
+        if is_due(now, self.hall_sent_at, subscribers.near_interval_ms()) {
             self.hall_sent_at = Some(now);
-            return Audience::Hall;
+            return Recipients::Hall;
         }
-        Audience::Nobody
+        Recipients::Nobody
     }
 }
 
--- a/components/rollout/src/questions.rs
+++ b/components/rollout/src/reservation_requests.rs
@@ -8,14 +8,14 @@
 
 use fleet::Millis;
 
-use crate::places::Denial;
+use crate::runner_slots::Denial;
 
 /// Maximum number of waiting requests. More would not be answered in time.
 const MAX_WAITING: usize = 8;
 
 /// A gateway's request for a slot at the runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ReservationRequest {
     /// The address of the gateway.
     pub asker: SocketAddr,
     /// The gateway's number for this reservation request.
@@ -27,21 +27,21 @@
     /// The rank of the request; 0 is served first.
     pub rank: u8,
     /// Time left of the latency target, in milliseconds. Zero for a repeated attempt of a rejected caller.
-    pub left_ms: u64,
+    pub target_left_ms: u64,
     /// How long the request may wait for a slot, in milliseconds.
-    pub wait_ms: u64,
+    pub max_wait_ms: u64,
 }
 
-impl Question {
+impl ReservationRequest {
     /// Returns whether this is a repeated attempt of a rejected caller.
     pub(crate) fn is_repeated(&self) -> bool {
-        self.left_ms == 0
+        self.target_left_ms == 0
     }
 }
 
 /// The answer to a reservation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReservationReply {
     /// The gateway may send the request now.
     Granted,
     /// The reservation request is queued. Another answer follows.
@@ -51,9 +51,9 @@
         /// The reason.
         denial: Denial,
         /// Delay after which a retry may succeed, in milliseconds.
-        again_ms: u64,
+        retry_after_ms: u64,
         /// Duration of the current shortage of slots, in milliseconds.
-        short_ms: u64,
+        shortage_ms: u64,
     },
 }
 
@@ -63,23 +63,23 @@
 
 /// A queued reservation request.
 #[derive(Clone, Debug)]
-pub(crate) struct QueuedQuestion {
-    pub(crate) question: Question,
+pub(crate) struct QueuedReservation {
+    pub(crate) reservation: ReservationRequest,
     pub(crate) until: Millis,
     order: QueueOrder,
 }
 
-fn queue_order(now: Millis, question: &Question) -> QueueOrder {
-    (question.rank, question.is_repeated(), now.plus(question.left_ms))
+fn queue_order(now: Millis, reservation: &ReservationRequest) -> QueueOrder {
+    (reservation.rank, reservation.is_repeated(), now.plus(reservation.target_left_ms))
 }
 
 /// The queue of reservation requests, in the order in which they are answered.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct QuestionQueue {
-    waiting: VecDeque<QueuedQuestion>,
+pub(crate) struct ReservationQueue {
+    waiting: VecDeque<QueuedReservation>,
 }
 
-impl QuestionQueue {
+impl ReservationQueue {
     /// The number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.waiting.len()
@@ -91,41 +91,43 @@
     }
 
     /// Returns whether a request must wait because an earlier one has the same or a higher priority.
-    pub(crate) fn must_wait(&self, now: Millis, question: &Question) -> bool {
-        self.waiting.front().is_some_and(|it| it.order <= queue_order(now, question))
+    pub(crate) fn must_wait(&self, now: Millis, reservation: &ReservationRequest) -> bool {
+        self.waiting.front().is_some_and(|it| it.order <= queue_order(now, reservation))
     }
 
     /// Queues a request, after those with the same or a higher priority.
-    pub(crate) fn push(&mut self, now: Millis, question: Question) {
-        let order = queue_order(now, &question);
+    pub(crate) fn push(&mut self, now: Millis, reservation: ReservationRequest) {
+        let order = queue_order(now, &reservation);
         let last_before = self.waiting.iter().rposition(|it| it.order <= order);
-        let until = now.plus(question.wait_ms);
-        self.waiting
-            .insert(last_before.map_or(0, |it| it + 1), QueuedQuestion { question, until, order });
+        let until = now.plus(reservation.max_wait_ms);
+        self.waiting.insert(
+            last_before.map_or(0, |it| it + 1),
+            QueuedReservation { reservation, until, order },
+        );
     }
 
     /// The request to answer next.
-    pub(crate) fn first(&self) -> Option<&Question> {
-        self.waiting.front().map(|it| &it.question)
+    pub(crate) fn first(&self) -> Option<&ReservationRequest> {
+        self.waiting.front().map(|it| &it.reservation)
     }
 
     /// Removes the request to answer next.
-    pub(crate) fn pop(&mut self) -> Option<Question> {
-        self.waiting.pop_front().map(|it| it.question)
+    pub(crate) fn pop(&mut self) -> Option<ReservationRequest> {
+        self.waiting.pop_front().map(|it| it.reservation)
     }
 
     /// Removes the requests whose waiting time has expired.
-    pub(crate) fn take_expired(&mut self, now: Millis) -> Vec<Question> {
+    pub(crate) fn take_expired(&mut self, now: Millis) -> Vec<ReservationRequest> {
         let (expired, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|it: &QueuedQuestion| it.until <= now);
+            .partition(|it: &QueuedReservation| it.until <= now);
         self.waiting = waiting;
-        let expired: VecDeque<QueuedQuestion> = expired;
-        expired.into_iter().map(|it| it.question).collect()
+        let expired: VecDeque<QueuedReservation> = expired;
+        expired.into_iter().map(|it| it.reservation).collect()
     }
 
     /// Removes all requests.
-    pub(crate) fn take_all(&mut self) -> Vec<Question> {
-        self.waiting.drain(..).map(|it| it.question).collect()
+    pub(crate) fn take_all(&mut self) -> Vec<ReservationRequest> {
+        self.waiting.drain(..).map(|it| it.reservation).collect()
     }
 }
--- a/components/rollout/src/places.rs
+++ b/components/rollout/src/runner_slots.rs
@@ -85,7 +85,7 @@
 
 /// The slots of a runner.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct RunnerSlots {
     slots: u32,
     tokens_per_ms: f64,
     /// Number of requests at the runner by its latest report, and the time of the report.
@@ -98,7 +98,7 @@
     pacing_disabled: bool,
 }
 
-impl Places {
+impl RunnerSlots {
     /// Allows prompts to be sent faster than the runner processes them.
     pub fn disable_pacing(&mut self) {
         self.pacing_disabled = true;
@@ -127,7 +127,7 @@
     /// Delay after which a retry may succeed, in milliseconds.
     pub fn retry_delay_ms(&self, now: Millis, denial: Denial) -> u64 {
         match denial {
-            Denial::ProcessingPrompts => self.reading_ms(now) + MIN_RETRY_MS,
+            Denial::ProcessingPrompts => self.prompt_backlog_ms(now) + MIN_RETRY_MS,
             Denial::Full | Denial::Cold | Denial::Limited => FULL_RETRY_MS,
             Denial::RepeatedAttempt => MIN_RETRY_MS,
             Denial::OrderDue | Denial::TooOld | Denial::LastOrder => SWITCH_RETRY_MS,
@@ -137,7 +137,7 @@
     }
 
     /// Time the runner needs for the prompts that it has received, in milliseconds.
-    pub fn reading_ms(&self, now: Millis) -> u64 {
+    pub fn prompt_backlog_ms(&self, now: Millis) -> u64 {
         let missing_tokens = -self.credit(now);
         let prompt_rate = (self.tokens_per_ms * PROMPT_TIME_FRACTION).max(MIN_TOKENS_PER_MS);
         (missing_tokens / prompt_rate).max(0.0) as u64
@@ -149,13 +149,13 @@
     }
 
     /// Number of requests at the runner or in transit to it.
-    pub fn taken(&self) -> u32 {
+    pub fn used(&self) -> u32 {
         self.reported.map_or(0, |(requests, _)| requests) + self.granted.len() as u32
     }
 
     /// Returns whether the runner has been idle and keeps a free slot if another one is granted.
     pub fn has_spare_slot(&self, now: Millis) -> bool {
-        self.taken() + 1 < self.slots && self.credit(now) >= MAX_CREDIT_TOKENS
+        self.used() + 1 < self.slots && self.credit(now) >= MAX_CREDIT_TOKENS
     }
 
     /// Returns whether a request may still be in transit.
@@ -170,7 +170,7 @@
         if !is_recent {
             return Err(Denial::NoRecentReport);
         }
-        if self.taken() >= self.slots {
+        if self.used() >= self.slots {
             return Err(Denial::Full);
         }
         let credit = self.credit(now);
--- a/components/rollout/src/target.rs
+++ b/components/rollout/src/target.rs
@@ -89,7 +89,7 @@
     /// The version.
     pub(crate) version: u64,
     /// Its announcement.
-    pub(crate) named: VersionName,
+    pub(crate) announcement: VersionName,
     /// The progress.
     pub(crate) step: Step,
     spread: Option<Spread>,
@@ -106,11 +106,11 @@
 
 impl Target {
     /// Creates the target for a version that was just announced.
-    pub(crate) fn new(named: VersionName) -> Self {
-        let step = Step::FetchingManifest { not_before: named.at, is_requested: false };
+    pub(crate) fn new(announcement: VersionName) -> Self {
+        let step = Step::FetchingManifest { not_before: announcement.at, is_requested: false };
         Self {
-            version: named.version,
-            named,
+            version: announcement.version,
+            announcement,
             step,
             spread: None,
             requested_for_share: false,
@@ -147,7 +147,7 @@
     /// the time that a whole copy takes. Sidecars learn late which chunks others hold, but all of them derive
     /// the same schedule.
     pub(crate) fn scheduled_origin_ms(&self, now: Millis) -> Option<u64> {
-        let end = self.named.at.plus(START_DELAY_MS + self.copy_ms()?);
+        let end = self.announcement.at.plus(START_DELAY_MS + self.copy_ms()?);
         Some(self.origin_ms()?.min(end.since(now).0))
     }
 
@@ -392,7 +392,7 @@
 
 fn to_effect(version: u64, effect: SpreadEffect) -> Effect {
     match effect {
-        SpreadEffect::Draw(draw) => Effect::Draw(version, draw),
+        SpreadEffect::Draw(draw) => Effect::FetchChunk(version, draw),
         SpreadEffect::Summarize { to, have } => Effect::Summarize { to, version, have },
     }
 }
--- a/components/rollout/tests/bounds.rs
+++ b/components/rollout/tests/bounds.rs
@@ -25,7 +25,7 @@
     fleet.stalled_version = Some(2);
     fleet.announce(3);
     fleet.run(deadline - START_MARGIN_MS - fleet.now);
-    let switching = (0..20).filter(|it| fleet.sidecars[*it].wanted() == Some(3)).count();
+    let switching = (0..20).filter(|it| fleet.sidecars[*it].target_version() == Some(3)).count();
     assert!(switching > 0, "some sidecar fetches version 3");
     while fleet.now < deadline + 2000 {
         fleet.run(STEP_MS);
@@ -53,8 +53,11 @@
     fleet.announce(2);
     fleet.run(500);
     fleet.announce(3);
-    let event =
-        rollout::Event::Named { version: 2, named_at: Some(Millis(announced_at)), after_ms: None };
+    let event = rollout::Event::Announced {
+        version: 2,
+        announced_at: Some(Millis(announced_at)),
+        after_ms: None,
+    };
     fleet.deliver(0, event);
     fleet.run(announced_at + VERSION_MS - START_MARGIN_MS - fleet.now);
     let result = fleet.sidecars[0].reserve(Millis(fleet.now), 10);
@@ -107,7 +110,7 @@
 #[test]
 fn nothing_is_dropped_for_a_version_of_unknown_age() {
     let mut fleet = sidecar_without_chunks();
-    fleet.deliver(0, rollout::Event::Named { version: 2, named_at: None, after_ms: None });
+    fleet.deliver(0, rollout::Event::Announced { version: 2, announced_at: None, after_ms: None });
     fleet.run(VERSION_MS * 2);
     assert_eq!(fleet.retired, []);
     let result = fleet.sidecars[0].reserve(Millis(fleet.now), 10);
--- a/components/rollout/tests/cold.rs
+++ b/components/rollout/tests/cold.rs
@@ -23,7 +23,7 @@
         let plan = WeightsPlan { slots: 500, prompt_tokens_per_ms: 100.0, cold, ..plan() };
         let sidecar = Rollout::new(options);
         let mut fixture = Self { sidecar, now: 1_000_000, sequence: 3, granted: Vec::new() };
-        fixture.deliver(Event::Planned(plan));
+        fixture.deliver(Event::Configured(plan));
         fixture.deliver(Event::VersionsKnown);
         fixture
     }
@@ -31,7 +31,7 @@
     fn deliver(&mut self, event: Event) -> Vec<Effect> {
         let effects = self.sidecar.reduce(Millis(self.now), event);
         for effect in &effects {
-            if matches!(effect, Effect::Answer(_, Verdict::Granted)) {
+            if matches!(effect, Effect::Answer(_, ReservationReply::Granted)) {
                 self.granted.push(self.now);
             }
         }
@@ -41,9 +41,9 @@
     fn report(&mut self) {
         let sequence = self.sequence;
         let status = RunnerStatus {
-            born: None,
+            started_at_ms: None,
             sequence,
-            busy: false,
+            is_executing_order: false,
             running: 0,
             waiting: 0,
             version: Some(1),
@@ -54,14 +54,14 @@
     fn request_slot(&mut self, wait_ms: u64) -> Vec<Effect> {
         let (asker, number) = (([10, 0, 0, 2], 7700).into(), self.now);
         let request = String::new();
-        self.deliver(Event::Asked(Question {
+        self.deliver(Event::ReservationRequested(ReservationRequest {
             asker,
             number,
             request,
             prompt_tokens: 10,
             rank: 0,
-            left_ms: 400,
-            wait_ms,
+            target_left_ms: 400,
+            max_wait_ms: wait_ms,
         }))
     }
 
@@ -144,7 +144,7 @@
     fixture.report();
     assert_eq!(fixture.left_ms(), 3000);
     let mut fixture = Fixture::warm();
-    fixture.deliver(Event::Silent);
+    fixture.deliver(Event::Unresponsive);
     fixture.now += 400;
     fixture.report();
     assert_eq!(fixture.left_ms(), 3000);
@@ -176,16 +176,17 @@
     let mut fixture = Fixture::warm();
     fixture.deliver(Event::ColdFor(4000));
     let answer = fixture.request_slot(200);
-    assert!(matches!(answer[0], Effect::Answer(_, Verdict::Queued)));
+    assert!(matches!(answer[0], Effect::Answer(_, ReservationReply::Queued)));
     fixture.now += 40;
     fixture.report();
     assert_eq!(fixture.granted.len(), 1);
     let answer = fixture.request_slot(0);
-    let Effect::Answer(_, Verdict::Denied { denial: Denial::Cold, again_ms, .. }) = answer[0]
+    let Effect::Answer(_, ReservationReply::Denied { denial: Denial::Cold, retry_after_ms, .. }) =
+        answer[0]
     else {
         panic!("{answer:?}");
     };
-    assert!((30..=50).contains(&again_ms), "a slot in {again_ms} ms");
+    assert!((30..=50).contains(&retry_after_ms), "a slot in {retry_after_ms} ms");
 }
 
 #[test]
@@ -206,7 +207,7 @@
     fixture.deliver(Event::ColdFor(9000));
     fixture.run(1000);
     assert!(fixture.granted_last_second() > 200);
-    fixture.deliver(Event::ColdBounded(Some(LIMIT)));
+    fixture.deliver(Event::ColdLimitChanged(Some(LIMIT)));
     fixture.granted.clear();
     fixture.run(1500);
     assert!(
@@ -214,7 +215,7 @@
         "{}",
         fixture.granted_last_second()
     );
-    fixture.deliver(Event::ColdBounded(None));
+    fixture.deliver(Event::ColdLimitChanged(None));
     fixture.run(1000);
     assert!(fixture.granted_last_second() > 200);
 }
--- a/components/rollout/tests/evacuations.rs
+++ b/components/rollout/tests/evacuations.rs
@@ -48,27 +48,27 @@
     fleet.runners[0].running = plan().slots;
     fleet.run(500);
     let asker = address(9);
-    let question = |number| Question {
+    let reservation = |number| ReservationRequest {
         asker,
         number,
         request: "q".into(),
         prompt_tokens: 10,
         rank: 1,
-        left_ms: 400,
-        wait_ms: 500,
+        target_left_ms: 400,
+        max_wait_ms: 500,
     };
     let now = Millis(fleet.now);
     for number in 1..4 {
-        let asked = fleet.sidecars[0].reduce(now, Event::Asked(question(number)));
-        assert_eq!(asked, [Effect::Answer(question(number), Verdict::Queued)]);
+        let asked = fleet.sidecars[0].reduce(now, Event::ReservationRequested(reservation(number)));
+        assert_eq!(asked, [Effect::Answer(reservation(number), ReservationReply::Queued)]);
     }
     let effects = fleet.sidecars[0].reduce(now, evacuation_list(10, &[("h0", None)]));
     let denied = |it: &&Effect| match it {
-        Effect::Answer(_, Verdict::Denied { denial, .. }) => *denial == Denial::Evacuated,
+        Effect::Answer(_, ReservationReply::Denied { denial, .. }) => *denial == Denial::Evacuated,
         _ => false,
     };
     assert_eq!(effects.iter().filter(denied).count(), 3);
-    assert_eq!(fleet.sidecars[0].waiting(), 0);
+    assert_eq!(fleet.sidecars[0].queued_requests(), 0);
 }
 
 #[test]
@@ -113,7 +113,8 @@
     let mut fleet = Fleet::new(12, Some(1), 0);
     fleet.run(9000);
     fleet.announce(2);
-    while !(0..12).all(|index| fleet.sidecars[index].have(2).is_some_and(|it| it.is_full())) {
+    while !(0..12).all(|index| fleet.sidecars[index].held_chunks(2).is_some_and(|it| it.is_full()))
+    {
         fleet.run(100);
     }
     let before = fleet.orders.len();
@@ -150,6 +151,6 @@
     fleet.run(500);
     deliver_to_all(&mut fleet, &evacuation_list(10, &[("h0", Some(1000))]));
     assert_eq!(reserve(&mut fleet, 0), Ok(()));
-    fleet.deliver(0, Event::Bounded { version_ms: VERSION_MS, evacuate_ms: Some(2000) });
+    fleet.deliver(0, Event::DeadlinesChanged { version_ms: VERSION_MS, evacuate_ms: Some(2000) });
     assert_eq!(reserve(&mut fleet, 0), Err(Denial::Evacuated));
 }
--- a/components/rollout/tests/fleet.rs
+++ b/components/rollout/tests/fleet.rs
@@ -35,7 +35,7 @@
     fleet.run(3500);
     assert!(fleet.runners_with(2) < 20, "no runner waits for its scheduled order");
     for index in 0..20 {
-        fleet.deliver(index, Event::Bounded { version_ms: 5500, evacuate_ms: Some(5000) });
+        fleet.deliver(index, Event::DeadlinesChanged { version_ms: 5500, evacuate_ms: Some(5000) });
     }
     fleet.run(2000);
     assert_eq!(fleet.versions(), BTreeMap::from([(Some(2), 20)]));
@@ -53,7 +53,8 @@
     fleet.announce(2);
     fleet.run(900);
     let only_holder = (0..CHUNKS).find_map(|chunk| {
-        let holds = |it: &usize| fleet.sidecars[*it].have(2).is_some_and(|it| it.contains(chunk));
+        let holds =
+            |it: &usize| fleet.sidecars[*it].held_chunks(2).is_some_and(|it| it.contains(chunk));
         let mut holders = (0..20).filter(holds);
         holders.next().filter(|_| holders.next().is_none())
     });
@@ -235,7 +236,7 @@
     fleet.sidecars[2] = Rollout::new(options(2));
     fleet.configure(2);
     fleet.update_peers();
-    fleet.deliver(2, Event::GaveLastOrder);
+    fleet.deliver(2, Event::SentLatestOrder);
     fleet.run(200);
     let now = Millis(fleet.now);
     assert_eq!(fleet.sidecars[2].reserve(now, 10), Ok(()), "no newer version is announced");
@@ -352,9 +353,9 @@
     let mut fleet = Fleet::with_narrow_origin(40, 742_500);
     fleet.run(5000);
     for index in 0..40 {
-        fleet.deliver(index, Event::Named { version: 2, named_at: None, after_ms: None });
+        fleet.deliver(index, Event::Announced { version: 2, announced_at: None, after_ms: None });
     }
-    while !(0..40).all(|it| fleet.sidecars[it].have(2).is_some_and(|it| it.is_full())) {
+    while !(0..40).all(|it| fleet.sidecars[it].held_chunks(2).is_some_and(|it| it.is_full())) {
         fleet.run(STEP_MS);
     }
     fleet.run(800);
@@ -368,17 +369,17 @@
     let mut fleet = Fleet::new(1, Some(1), 0);
     fleet.run(500);
     fleet.lose_every = 1;
-    let named_at = Some(Millis(fleet.now + 20));
-    fleet.deliver(0, Event::Named { version: 2, named_at: None, after_ms: None });
+    let announced_at = Some(Millis(fleet.now + 20));
+    fleet.deliver(0, Event::Announced { version: 2, announced_at: None, after_ms: None });
     fleet.run(20);
-    fleet.deliver(0, Event::Named { version: 2, named_at, after_ms: None });
+    fleet.deliver(0, Event::Announced { version: 2, announced_at, after_ms: None });
     fleet.run(VERSION_MS - 2000);
     let now = Millis(fleet.now);
     assert_eq!(fleet.sidecars[0].reserve(now, 10), Ok(()), "its deadline is the usual one");
     fleet.run(2000);
     let now = Millis(fleet.now);
     assert_eq!(fleet.sidecars[0].reserve(now, 10), Err(Denial::NotServing));
-    let deadline = named_at.map(|it| it.0 + VERSION_MS);
+    let deadline = announced_at.map(|it| it.0 + VERSION_MS);
     let dropped = fleet.retired.iter().map(|it| (it.1, Some(it.2) < deadline));
     assert_eq!(dropped.collect::<Vec<_>>(), [(1, true)], "it was dropped before the deadline");
 }
--- a/components/rollout/tests/halls.rs
+++ b/components/rollout/tests/halls.rs
@@ -23,7 +23,8 @@
 fn missing_outside(fleet: &Fleet, version: u64, lost: &[usize]) -> usize {
     let held = |chunk: u32| {
         let mut outside = (0..fleet.sidecars.len()).filter(|it| !lost.contains(it));
-        outside.any(|it| fleet.sidecars[it].have(version).is_some_and(|it| it.contains(chunk)))
+        outside
+            .any(|it| fleet.sidecars[it].held_chunks(version).is_some_and(|it| it.contains(chunk)))
     };
     (0..CHUNKS).filter(|chunk| !held(*chunk)).count()
 }
@@ -169,7 +170,7 @@
     let left: Vec<usize> = (0..30).filter(|it| !lost.contains(it)).collect();
     lost.iter().for_each(|it| fleet.stop(*it));
     let lost_at = fleet.now;
-    let is_complete = |it: &Rollout| it.have(2).is_some_and(|it| it.is_full());
+    let is_complete = |it: &Rollout| it.held_chunks(2).is_some_and(|it| it.is_full());
     while !left.iter().all(|it| is_complete(&fleet.sidecars[*it])) {
         assert!(fleet.now - lost_at < 30_000, "the version is never complete");
         fleet.run(STEP_MS);
--- a/components/rollout/tests/limits.rs
+++ b/components/rollout/tests/limits.rs
@@ -31,7 +31,7 @@
         let plan = WeightsPlan { slots: 500, prompt_tokens_per_ms: 100.0, ..plan() };
         let sidecar = Rollout::new(options);
         let mut fixture = Self { sidecar, now: 1_000_000, born: 9, granted: Vec::new(), denied: 0 };
-        fixture.deliver(Event::Planned(plan));
+        fixture.deliver(Event::Configured(plan));
         fixture.deliver(Event::VersionsKnown);
         fixture.report(RateWord::Unlimited);
         fixture
@@ -41,8 +41,8 @@
         let effects = self.sidecar.reduce(Millis(self.now), event);
         for effect in &effects {
             match effect {
-                Effect::Answer(_, Verdict::Granted) => self.granted.push(self.now),
-                Effect::Answer(_, Verdict::Denied { denial: Denial::Limited, .. }) => {
+                Effect::Answer(_, ReservationReply::Granted) => self.granted.push(self.now),
+                Effect::Answer(_, ReservationReply::Denied { denial: Denial::Limited, .. }) => {
                     self.denied += 1;
                 }
                 _ => {}
@@ -53,32 +53,32 @@
 
     fn report(&mut self, reported: RateWord) {
         self.deliver(Event::Status(RunnerStatus {
-            born: Some(self.born),
+            started_at_ms: Some(self.born),
             sequence: 3,
-            busy: false,
+            is_executing_order: false,
             running: 0,
             waiting: 0,
             version: Some(1),
         }));
-        self.deliver(Event::LimitReported(Millis(self.now - 2), reported));
+        self.deliver(Event::LimitAdvertised(Millis(self.now - 2), reported));
     }
 
     /// Delivers a gateway's report of a limit that is `age_ms` old.
     fn report_from_gateway(&mut self, per_s: Option<f64>, age_ms: u32) {
         let rate = per_s.map(rate);
-        self.deliver(Event::LimitTold(ToldLimit { born: Some(self.born), rate, age_ms }));
+        self.deliver(Event::LimitReported(ToldLimit { born: Some(self.born), rate, age_ms }));
     }
 
     fn request_slot(&mut self, wait_ms: u64) -> Vec<Effect> {
         let (asker, number) = (([10, 0, 0, 2], 7700).into(), self.now);
-        self.deliver(Event::Asked(Question {
+        self.deliver(Event::ReservationRequested(ReservationRequest {
             asker,
             number,
             request: String::new(),
             prompt_tokens: 10,
             rank: 0,
-            left_ms: 400,
-            wait_ms,
+            target_left_ms: 400,
+            max_wait_ms: wait_ms,
         }))
     }
 
@@ -193,7 +193,7 @@
     fixture.born += 1;
     fixture.run(100, RateWord::Unlimited);
     assert_eq!(fixture.rate(), None);
-    fixture.deliver(Event::LimitTold(ToldLimit {
+    fixture.deliver(Event::LimitReported(ToldLimit {
         born: Some(before),
         rate: Some(rate(2.0)),
         age_ms: 0,
@@ -221,15 +221,17 @@
     let mut fixture = Fixture::new();
     fixture.report_from_gateway(Some(1.0), 0);
     let answer = fixture.request_slot(60);
-    let Some(Effect::Answer(_, Verdict::Denied { denial, again_ms, short_ms })) = answer.first()
+    let Some(Effect::Answer(_, ReservationReply::Denied { denial, retry_after_ms, shortage_ms })) =
+        answer.first()
     else {
         panic!("expected a denial, got {answer:?}");
     };
-    assert_eq!((*denial, *short_ms), (Denial::Limited, 0));
-    assert!((900..=1100).contains(again_ms), "{again_ms}");
+    assert_eq!((*denial, *shortage_ms), (Denial::Limited, 0));
+    assert!((900..=1100).contains(retry_after_ms), "{retry_after_ms}");
     fixture.now += 950;
     fixture.report(RateWord::Unlimited);
-    let waits = |effects: Vec<Effect>| matches!(effects[0], Effect::Answer(_, Verdict::Queued));
+    let waits =
+        |effects: Vec<Effect>| matches!(effects[0], Effect::Answer(_, ReservationReply::Queued));
     assert!(waits(fixture.request_slot(60)));
     assert!(!waits(fixture.request_slot(60)), "the next slot is available a second later");
 }
@@ -248,10 +250,10 @@
                 0 => fixture.report_from_gateway(Some(per_s), random.random_range(0..5000)),
                 1 => fixture.report_from_gateway(None, random.random_range(70_000..90_000)),
                 2 => {
-                    fixture.deliver(Event::Silent);
+                    fixture.deliver(Event::Unresponsive);
                 }
                 _ => {
-                    fixture.deliver(Event::Woke);
+                    fixture.deliver(Event::Resumed);
                     fixture.now += 200;
                     fixture.deliver(Event::VersionsKnown);
                 }
--- a/components/rollout/tests/origin_link_bound.rs
+++ b/components/rollout/tests/origin_link_bound.rs
@@ -21,7 +21,8 @@
     fleet.announce(2);
     let mut outage_until = 0;
     let half_is_complete = |fleet: &Fleet| {
-        let is_complete = |it: &usize| fleet.sidecars[*it].have(2).is_some_and(|it| it.is_full());
+        let is_complete =
+            |it: &usize| fleet.sidecars[*it].held_chunks(2).is_some_and(|it| it.is_full());
         2 * (0..COUNT).filter(is_complete).count() >= COUNT
     };
     while !half_is_complete(&fleet) {
--- a/components/rollout/tests/questions.rs
+++ b/components/rollout/tests/reservation_requests.rs
@@ -32,21 +32,29 @@
     }
 }
 
-fn question(number: u64, rank: u8, wait_ms: u64) -> Question {
+fn reservation(number: u64, rank: u8, wait_ms: u64) -> ReservationRequest {
     let asker = ([10, 0, 0, 2], 7700).into();
     let request = format!("q{number}");
-    Question { asker, number, request, prompt_tokens: 10, rank, left_ms: 400, wait_ms }
+    ReservationRequest {
+        asker,
+        number,
+        request,
+        prompt_tokens: 10,
+        rank,
+        target_left_ms: 400,
+        max_wait_ms: wait_ms,
+    }
 }
 
 /// A reservation request for a repeated attempt of a rejected caller.
-fn repeated(number: u64, rank: u8) -> Question {
-    Question { left_ms: 0, ..question(number, rank, 100) }
+fn repeated(number: u64, rank: u8) -> ReservationRequest {
+    ReservationRequest { target_left_ms: 0, ..reservation(number, rank, 100) }
 }
 
 /// A sidecar whose runner has one free slot, and which has rejected a first attempt of this rank.
 fn sidecar_short_of_slots(rank: u8) -> Rollout {
     let mut sidecar = sidecar(1000, SLOTS);
-    ask(&mut sidecar, 1000, question(900, rank, 0));
+    ask(&mut sidecar, 1000, reservation(900, rank, 0));
     report(&mut sidecar, 1030, SLOTS - 1);
     sidecar
 }
@@ -54,17 +62,17 @@
 /// A sidecar whose runner serves version 1 and works on `running` requests.
 fn sidecar(now: u64, running: u32) -> Rollout {
     let mut sidecar = Rollout::new(options());
-    sidecar.reduce(Millis(now), Event::Planned(plan()));
+    sidecar.reduce(Millis(now), Event::Configured(plan()));
     sidecar.reduce(Millis(now), Event::VersionsKnown);
     report(&mut sidecar, now, running);
     sidecar
 }
 
-fn report(sidecar: &mut Rollout, now: u64, running: u32) -> Vec<(u64, Verdict)> {
+fn report(sidecar: &mut Rollout, now: u64, running: u32) -> Vec<(u64, ReservationReply)> {
     let status = RunnerStatus {
-        born: None,
+        started_at_ms: None,
         sequence: 0,
-        busy: false,
+        is_executing_order: false,
         running,
         waiting: 0,
         version: Some(1),
@@ -72,44 +80,44 @@
     answers(sidecar.reduce(Millis(now), Event::Status(status)))
 }
 
-fn ask(sidecar: &mut Rollout, now: u64, question: Question) -> Verdict {
-    let answers = answers(sidecar.reduce(Millis(now), Event::Asked(question)));
+fn ask(sidecar: &mut Rollout, now: u64, reservation: ReservationRequest) -> ReservationReply {
+    let answers = answers(sidecar.reduce(Millis(now), Event::ReservationRequested(reservation)));
     assert_eq!(answers.len(), 1);
     answers[0].1
 }
 
-fn answers(effects: Vec<Effect>) -> Vec<(u64, Verdict)> {
+fn answers(effects: Vec<Effect>) -> Vec<(u64, ReservationReply)> {
     let answer = |effect| match effect {
-        Effect::Answer(question, verdict) => Some((question.number, verdict)),
+        Effect::Answer(reservation, reply) => Some((reservation.number, reply)),
         _ => None,
     };
     effects.into_iter().filter_map(answer).collect()
 }
 
-fn is_denied(verdict: Verdict) -> bool {
-    matches!(verdict, Verdict::Denied { .. })
+fn is_denied(reply: ReservationReply) -> bool {
+    matches!(reply, ReservationReply::Denied { .. })
 }
 
 #[test]
 fn request_that_may_not_wait_is_denied_without_free_slots() {
     let mut sidecar = sidecar(1000, SLOTS);
-    assert!(is_denied(ask(&mut sidecar, 1001, question(1, 1, 0))));
-    assert_eq!(sidecar.waiting(), 0);
+    assert!(is_denied(ask(&mut sidecar, 1001, reservation(1, 1, 0))));
+    assert_eq!(sidecar.queued_requests(), 0);
 }
 
 #[test]
 fn request_waits_until_a_slot_is_free() {
     let mut sidecar = sidecar(1000, SLOTS);
-    assert_eq!(ask(&mut sidecar, 1001, question(1, 1, 100)), Verdict::Queued);
+    assert_eq!(ask(&mut sidecar, 1001, reservation(1, 1, 100)), ReservationReply::Queued);
     assert_eq!(report(&mut sidecar, 1025, SLOTS), vec![]);
-    assert_eq!(report(&mut sidecar, 1050, SLOTS - 1), vec![(1, Verdict::Granted)]);
-    assert_eq!(sidecar.waiting(), 0);
+    assert_eq!(report(&mut sidecar, 1050, SLOTS - 1), vec![(1, ReservationReply::Granted)]);
+    assert_eq!(sidecar.queued_requests(), 0);
 }
 
 #[test]
 fn request_is_denied_when_its_waiting_time_expires() {
     let mut sidecar = sidecar(1000, SLOTS);
-    ask(&mut sidecar, 1001, question(1, 1, 50));
+    ask(&mut sidecar, 1001, reservation(1, 1, 50));
     let answers = report(&mut sidecar, 1060, SLOTS);
     assert_eq!(answers.len(), 1);
     assert!(is_denied(answers[0].1));
@@ -119,7 +127,7 @@
 fn requests_are_answered_by_rank_and_then_in_order_of_arrival() {
     let mut sidecar = sidecar(1000, SLOTS);
     for (number, rank) in [(1, 2), (2, 1), (3, 2), (4, 1)] {
-        ask(&mut sidecar, 1001, question(number, rank, 100));
+        ask(&mut sidecar, 1001, reservation(number, rank, 100));
     }
     let granted: Vec<u64> = report(&mut sidecar, 1050, 0).iter().map(|it| it.0).collect();
     assert_eq!(granted, [2, 4, 1, 3]);
@@ -128,17 +136,17 @@
 #[test]
 fn request_does_not_overtake_queued_ones() {
     let mut sidecar = sidecar(1000, SLOTS);
-    ask(&mut sidecar, 1001, question(1, 1, 200));
+    ask(&mut sidecar, 1001, reservation(1, 1, 200));
     // The slot that becomes free goes to the queued request.
-    assert_eq!(report(&mut sidecar, 1030, SLOTS - 1), vec![(1, Verdict::Granted)]);
-    assert_eq!(ask(&mut sidecar, 1031, question(2, 1, 100)), Verdict::Queued);
+    assert_eq!(report(&mut sidecar, 1030, SLOTS - 1), vec![(1, ReservationReply::Granted)]);
+    assert_eq!(ask(&mut sidecar, 1031, reservation(2, 1, 100)), ReservationReply::Queued);
 }
 
 #[test]
 fn queued_requests_are_denied_at_once_when_the_runner_stops_responding() {
     let mut sidecar = sidecar(1000, SLOTS);
-    ask(&mut sidecar, 1001, question(1, 1, 100));
-    let answers = answers(sidecar.reduce(Millis(1030), Event::Silent));
+    ask(&mut sidecar, 1001, reservation(1, 1, 100));
+    let answers = answers(sidecar.reduce(Millis(1030), Event::Unresponsive));
     assert_eq!(answers.len(), 1);
     assert!(is_denied(answers[0].1));
 }
@@ -146,9 +154,9 @@
 #[test]
 fn length_of_the_queue_is_limited() {
     let mut sidecar = sidecar(1000, SLOTS);
-    let verdicts: Vec<Verdict> =
-        (0..30).map(|number| ask(&mut sidecar, 1001, question(number, 1, 100))).collect();
-    let queued = verdicts.iter().filter(|it| **it == Verdict::Queued).count();
+    let verdicts: Vec<ReservationReply> =
+        (0..30).map(|number| ask(&mut sidecar, 1001, reservation(number, 1, 100))).collect();
+    let queued = verdicts.iter().filter(|it| **it == ReservationReply::Queued).count();
     assert!(queued <= 8, "{queued} requests are queued");
     assert!(verdicts[20..].iter().all(|it| is_denied(*it)));
 }
@@ -188,27 +196,27 @@
                 Step::Ask { rank, wait_ms } => {
                     next += 1;
                     open.insert(next, now + wait_ms);
-                    sidecar.reduce(Millis(now), Event::Asked(question(next, rank, wait_ms)))
+                    sidecar.reduce(Millis(now), Event::ReservationRequested(reservation(next, rank, wait_ms)))
                 }
                 Step::Report { running: reported } => {
                     (running, granted_count) = (reported, 0);
                     let status =
-                        RunnerStatus { born: None, sequence: 0, busy: false, running, waiting: 0, version: Some(1) };
+                        RunnerStatus { started_at_ms: None, sequence: 0, is_executing_order: false, running, waiting: 0, version: Some(1) };
                     sidecar.reduce(Millis(now), Event::Status(status))
                 }
-                Step::Silent => sidecar.reduce(Millis(now), Event::Silent),
+                Step::Silent => sidecar.reduce(Millis(now), Event::Unresponsive),
                 Step::Tick => sidecar.reduce(Millis(now), Event::Tick),
             };
             let answers_expired = !matches!(step, Step::Ask { .. });
-            for (number, verdict) in answers(effects) {
-                match verdict {
-                    Verdict::Queued => prop_assert!(open.contains_key(&number)),
-                    Verdict::Granted => {
+            for (number, reply) in answers(effects) {
+                match reply {
+                    ReservationReply::Queued => prop_assert!(open.contains_key(&number)),
+                    ReservationReply::Granted => {
                         granted_count += 1;
                         prop_assert!(running + granted_count <= SLOTS, "{running} running and {granted_count} granted");
                         prop_assert!(open.remove(&number).is_some(), "answered twice");
                     }
-                    Verdict::Denied { .. } => {
+                    ReservationReply::Denied { .. } => {
                         prop_assert!(open.remove(&number).is_some(), "answered twice");
                     }
                 }
@@ -225,8 +233,8 @@
 const ANNOUNCED_AT_MS: u64 = 10_000;
 const DEADLINE_MS: u64 = ANNOUNCED_AT_MS + 8000;
 
-fn announce(sidecar: &mut Rollout, now: u64, named_at: Option<Millis>) {
-    sidecar.reduce(Millis(now), Event::Named { version: 2, named_at, after_ms: None });
+fn announce(sidecar: &mut Rollout, now: u64, announced_at: Option<Millis>) {
+    sidecar.reduce(Millis(now), Event::Announced { version: 2, announced_at, after_ms: None });
     sidecar.reduce(Millis(now), Event::Peers(Vec::new()));
     sidecar.reduce(Millis(now), Event::Tick);
 }
@@ -240,7 +248,7 @@
     announce(&mut sidecar, started, None);
     announce(&mut sidecar, started + 100, Some(Millis(ANNOUNCED_AT_MS)));
     report(&mut sidecar, DEADLINE_MS - 500, 0);
-    assert!(is_denied(ask(&mut sidecar, DEADLINE_MS - 499, question(1, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, DEADLINE_MS - 499, reservation(1, 1, 0))));
 }
 
 #[test]
@@ -249,7 +257,7 @@
     announce(&mut sidecar, ANNOUNCED_AT_MS, Some(Millis(ANNOUNCED_AT_MS)));
     announce(&mut sidecar, ANNOUNCED_AT_MS + 3000, Some(Millis(ANNOUNCED_AT_MS + 2000)));
     report(&mut sidecar, DEADLINE_MS - 500, 0);
-    assert!(is_denied(ask(&mut sidecar, DEADLINE_MS - 499, question(1, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, DEADLINE_MS - 499, reservation(1, 1, 0))));
 }
 
 #[test]
@@ -259,16 +267,16 @@
         announce(&mut sidecar, ANNOUNCED_AT_MS, Some(Millis(ANNOUNCED_AT_MS)));
         for now in [DEADLINE_MS - 1800, DEADLINE_MS - 1400, DEADLINE_MS - 1000] {
             let status = RunnerStatus {
-                born: None,
+                started_at_ms: None,
                 sequence: 0,
-                busy: false,
+                is_executing_order: false,
                 running: 2,
                 waiting,
                 version: Some(1),
             };
             sidecar.reduce(Millis(now), Event::Status(status));
         }
-        assert_eq!(is_denied(ask(&mut sidecar, DEADLINE_MS - 990, question(1, 1, 0))), denied);
+        assert_eq!(is_denied(ask(&mut sidecar, DEADLINE_MS - 990, reservation(1, 1, 0))), denied);
     }
 }
 
@@ -277,43 +285,43 @@
     let mut sidecar = sidecar(ANNOUNCED_AT_MS, 0);
     announce(&mut sidecar, ANNOUNCED_AT_MS, Some(Millis(ANNOUNCED_AT_MS)));
     report(&mut sidecar, ANNOUNCED_AT_MS + 4000, 0);
-    assert!(!is_denied(ask(&mut sidecar, ANNOUNCED_AT_MS + 4001, question(1, 1, 0))));
+    assert!(!is_denied(ask(&mut sidecar, ANNOUNCED_AT_MS + 4001, reservation(1, 1, 0))));
     sidecar.reduce(
         Millis(ANNOUNCED_AT_MS + 4002),
-        Event::Bounded { version_ms: 4100, evacuate_ms: Some(5000) },
+        Event::DeadlinesChanged { version_ms: 4100, evacuate_ms: Some(5000) },
     );
-    assert!(is_denied(ask(&mut sidecar, ANNOUNCED_AT_MS + 4003, question(2, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, ANNOUNCED_AT_MS + 4003, reservation(2, 1, 0))));
 }
 
 #[test]
 fn repeated_attempt_leaves_the_last_slot_to_first_attempts() {
     let mut sidecar = sidecar_short_of_slots(1);
-    let verdict = ask(&mut sidecar, 1031, repeated(1, 1));
+    let reply = ask(&mut sidecar, 1031, repeated(1, 1));
     assert!(
-        matches!(verdict, Verdict::Denied { denial: Denial::RepeatedAttempt, .. }),
-        "{verdict:?}"
+        matches!(reply, ReservationReply::Denied { denial: Denial::RepeatedAttempt, .. }),
+        "{reply:?}"
     );
-    assert_eq!(ask(&mut sidecar, 1032, question(2, 1, 0)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 1032, reservation(2, 1, 0)), ReservationReply::Granted);
 }
 
 #[test]
 fn repeated_attempt_gets_a_slot_if_another_one_stays_free() {
     let mut sidecar = sidecar_short_of_slots(1);
     report(&mut sidecar, 1060, SLOTS - 2);
-    assert_eq!(ask(&mut sidecar, 1061, repeated(1, 1)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 1061, repeated(1, 1)), ReservationReply::Granted);
 }
 
 #[test]
 fn repeated_attempt_gets_the_last_slot_if_no_first_attempt_was_denied_recently() {
     let mut sidecar = sidecar_short_of_slots(1);
     report(&mut sidecar, 1400, SLOTS - 1);
-    assert_eq!(ask(&mut sidecar, 1401, repeated(1, 1)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 1401, repeated(1, 1)), ReservationReply::Granted);
 }
 
 #[test]
 fn repeated_attempt_does_not_yield_to_less_urgent_first_attempts() {
     let mut sidecar = sidecar_short_of_slots(2);
-    assert_eq!(ask(&mut sidecar, 1031, repeated(1, 1)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 1031, repeated(1, 1)), ReservationReply::Granted);
 }
 
 /// Callers with unusual deadlines look like repeated attempts.
@@ -324,12 +332,15 @@
     for turn in 0..250 {
         let now = 1100 + turn * 100;
         report(&mut sidecar, now, SLOTS - 1);
-        if ask(&mut sidecar, now, repeated(2 * turn, 1)) == Verdict::Granted {
+        if ask(&mut sidecar, now, repeated(2 * turn, 1)) == ReservationReply::Granted {
             granted += 1;
         } else {
-            assert_eq!(ask(&mut sidecar, now, question(2 * turn + 1, 1, 0)), Verdict::Granted);
+            assert_eq!(
+                ask(&mut sidecar, now, reservation(2 * turn + 1, 1, 0)),
+                ReservationReply::Granted
+            );
         }
-        ask(&mut sidecar, now, question(900 + turn, 1, 0));
+        ask(&mut sidecar, now, reservation(900 + turn, 1, 0));
     }
     assert_eq!(granted, 10);
 }
@@ -339,10 +350,10 @@
     let mut sidecar = sidecar(1000, 0);
     for turn in 0..60 {
         report(&mut sidecar, 1000 + turn * 100, 0);
-        ask(&mut sidecar, 1001 + turn * 100, question(turn, 1, 0));
+        ask(&mut sidecar, 1001 + turn * 100, reservation(turn, 1, 0));
     }
     report(&mut sidecar, 7100, SLOTS);
-    assert!(is_denied(ask(&mut sidecar, 7101, question(100, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, 7101, reservation(100, 1, 0))));
     report(&mut sidecar, 7130, SLOTS - 1);
     assert!(is_denied(ask(&mut sidecar, 7131, repeated(101, 1))));
 }
@@ -352,9 +363,9 @@
     let mut sidecar = sidecar(1000, SLOTS);
     let mut short_ms = |now, number| {
         report(&mut sidecar, now, SLOTS);
-        match ask(&mut sidecar, now, question(number, 1, 0)) {
-            Verdict::Denied { short_ms, .. } => short_ms,
-            verdict => panic!("expected a denial, got {verdict:?}"),
+        match ask(&mut sidecar, now, reservation(number, 1, 0)) {
+            ReservationReply::Denied { shortage_ms, .. } => shortage_ms,
+            reply => panic!("expected a denial, got {reply:?}"),
         }
     };
     assert_eq!(short_ms(1000, 1), 0);
@@ -366,9 +377,9 @@
 #[test]
 fn request_with_the_least_time_left_is_answered_first_within_a_rank() {
     let mut sidecar = sidecar(1000, SLOTS);
-    ask(&mut sidecar, 1001, question(1, 1, 100));
-    ask(&mut sidecar, 1002, Question { left_ms: 320, ..question(2, 1, 100) });
-    ask(&mut sidecar, 1003, Question { left_ms: 0, ..question(3, 0, 100) });
+    ask(&mut sidecar, 1001, reservation(1, 1, 100));
+    ask(&mut sidecar, 1002, ReservationRequest { target_left_ms: 320, ..reservation(2, 1, 100) });
+    ask(&mut sidecar, 1003, ReservationRequest { target_left_ms: 0, ..reservation(3, 0, 100) });
     let order: Vec<u64> = (0..3)
         .flat_map(|turn| {
             // One slot becomes free with each report, and the granted request uses it.
@@ -382,27 +393,30 @@
 #[test]
 fn resumed_sidecar_grants_no_slot_until_a_gateway_has_reported_again() {
     let mut sidecar = sidecar(1000, 0);
-    assert_eq!(ask(&mut sidecar, 1001, question(1, 1, 0)), Verdict::Granted);
-    sidecar.reduce(Millis(5000), Event::Woke);
+    assert_eq!(ask(&mut sidecar, 1001, reservation(1, 1, 0)), ReservationReply::Granted);
+    sidecar.reduce(Millis(5000), Event::Resumed);
     report(&mut sidecar, 5010, 0);
-    assert!(is_denied(ask(&mut sidecar, 5011, question(2, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, 5011, reservation(2, 1, 0))));
     // Messages that a gateway sent during the suspension are still in the socket buffer.
     sidecar.reduce(Millis(5020), Event::VersionsKnown);
-    assert!(is_denied(ask(&mut sidecar, 5021, question(3, 1, 0))));
+    assert!(is_denied(ask(&mut sidecar, 5021, reservation(3, 1, 0))));
     sidecar.reduce(Millis(5400), Event::VersionsKnown);
     report(&mut sidecar, 5410, 0);
-    assert_eq!(ask(&mut sidecar, 5411, question(4, 1, 0)), Verdict::Granted);
+    assert_eq!(ask(&mut sidecar, 5411, reservation(4, 1, 0)), ReservationReply::Granted);
 }
 
 #[test]
 fn leaving_runner_gets_no_requests_and_queued_ones_are_denied() {
     let mut sidecar = sidecar(1000, SLOTS);
-    assert_eq!(ask(&mut sidecar, 1001, question(1, 1, 400)), Verdict::Queued);
+    assert_eq!(ask(&mut sidecar, 1001, reservation(1, 1, 400)), ReservationReply::Queued);
     let denied_answers = answers(sidecar.reduce(Millis(1010), Event::RunnerLeaves(true)));
     assert!(
-        matches!(denied_answers[..], [(1, Verdict::Denied { denial: Denial::RunnerLeaves, .. })]),
+        matches!(
+            denied_answers[..],
+            [(1, ReservationReply::Denied { denial: Denial::RunnerLeaves, .. })]
+        ),
         "{denied_answers:?}"
     );
     report(&mut sidecar, 1020, 0);
-    assert!(is_denied(ask(&mut sidecar, 1021, question(2, 1, 400))));
+    assert!(is_denied(ask(&mut sidecar, 1021, reservation(2, 1, 400))));
 }
--- a/components/rollout/tests/restarts.rs
+++ b/components/rollout/tests/restarts.rs
@@ -30,7 +30,7 @@
             ..plan()
         };
         let mut fixture = Self { sidecar: Rollout::new(options), now: 1_000_000 };
-        fixture.deliver(Event::Planned(plan));
+        fixture.deliver(Event::Configured(plan));
         fixture.deliver(Event::VersionsKnown);
         fixture.deliver(Event::Peers(Vec::new()));
         fixture.report(born, 2, running);
@@ -45,29 +45,35 @@
     }
 
     fn report(&mut self, born: Option<u64>, sequence: u64, running: u32) -> Vec<Effect> {
-        let status =
-            RunnerStatus { born, sequence, busy: false, running, waiting: 0, version: Some(1) };
+        let status = RunnerStatus {
+            started_at_ms: born,
+            sequence,
+            is_executing_order: false,
+            running,
+            waiting: 0,
+            version: Some(1),
+        };
         self.deliver(Event::Status(status))
     }
 
     fn is_granted(&mut self) -> bool {
-        let question = Question {
+        let reservation = ReservationRequest {
             asker: ([10, 0, 0, 2], 7700).into(),
             number: self.now,
             request: String::new(),
             prompt_tokens: 10,
             rank: 0,
-            left_ms: 400,
-            wait_ms: 0,
+            target_left_ms: 400,
+            max_wait_ms: 0,
         };
-        let effects = self.deliver(Event::Asked(question));
-        effects.iter().any(|it| matches!(it, Effect::Answer(_, Verdict::Granted)))
+        let effects = self.deliver(Event::ReservationRequested(reservation));
+        effects.iter().any(|it| matches!(it, Effect::Answer(_, ReservationReply::Granted)))
     }
 }
 
 fn life_change(effects: &[Effect]) -> Option<LifeChange> {
     effects.iter().find_map(|it| match it {
-        Effect::Life(change, _) => Some(*change),
+        Effect::LogIncarnationChange(change, _) => Some(*change),
         _ => None,
     })
 }
@@ -85,9 +91,9 @@
     let mut fixture = Fixture::new(0);
     assert!((0..4).all(|_| fixture.is_granted()), "four slots");
     assert!(!fixture.is_granted());
-    assert_eq!(fixture.sidecar.places().taken(), 4);
+    assert_eq!(fixture.sidecar.slots().used(), 4);
     fixture.report(Some(8), 0, 0);
-    assert_eq!(fixture.sidecar.places().taken(), 0);
+    assert_eq!(fixture.sidecar.slots().used(), 0);
 }
 
 #[test]
@@ -102,7 +108,7 @@
 #[test]
 fn restart_of_an_unresponsive_runner_is_detected() {
     let mut fixture = Fixture::new(1);
-    fixture.deliver(Event::Silent);
+    fixture.deliver(Event::Unresponsive);
     assert_eq!(life_change(&fixture.report(Some(8), 2, 0)), Some(LifeChange::Began));
 }
 
--- a/components/rollout/tests/support/effects.rs
+++ b/components/rollout/tests/support/effects.rs
@@ -13,19 +13,20 @@
     /// Executes an effect of a sidecar after a delay.
     pub fn execute(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Life(..) => {}
-            Effect::Describe(version, source) => self.deliver_manifest(index, version, source),
-            Effect::Find(version) => {
+            Effect::LogIncarnationChange(..) => {}
+            Effect::FetchManifest(version, source) => self.deliver_manifest(index, version, source),
+            Effect::ReadStoredChunks(version) => {
                 let none = Bitmap::new(CHUNKS);
-                self.schedule(10, index, Event::Found(version, none));
+                self.schedule(10, index, Event::StoredChunksRead(version, none));
             }
-            Effect::Draw(version, draw) => self.deliver_chunk(index, version, draw),
+            Effect::FetchChunk(version, draw) => self.deliver_chunk(index, version, draw),
             Effect::Summarize { to, version, have } => {
                 self.deliver_summary(index, to, version, have)
             }
-            Effect::Answer(..) | Effect::Evacuation(_) | Effect::Limit(_) => {}
+            Effect::Answer(..) | Effect::Evacuation(_) | Effect::LogLimitChange(_) => {}
             Effect::Stage(version) => {
-                let is_complete = self.sidecars[index].have(version).is_some_and(|it| it.is_full());
+                let is_complete =
+                    self.sidecars[index].held_chunks(version).is_some_and(|it| it.is_full());
                 assert!(is_complete, "staged before all chunks were here");
                 self.schedule(20, index, Event::Staged(version, !self.staging_fails));
             }
@@ -87,13 +88,13 @@
             }
             ManifestSource::Peer(peer) => {
                 let other = self.index_at(peer);
-                other.is_some_and(|it| self.sidecars[it].have(version).is_some())
+                other.is_some_and(|it| self.sidecars[it].held_chunks(version).is_some())
             }
         };
         let event = if known {
-            Event::Described(version, manifest(version))
+            Event::ManifestReceived(version, manifest(version))
         } else {
-            Event::Undescribed(version)
+            Event::ManifestFailed(version)
         };
         self.schedule(if known { 60 } else { 20 }, index, event);
     }
@@ -106,7 +107,7 @@
         if !self.can_fetch_from(index, &source) {
             let code = Code::Unreachable;
             let delay = self.failure_detection_ms.min(deadline.since(Millis(self.now)).0);
-            self.schedule(delay, index, Event::Missed { version, index: chunk, source, code });
+            self.schedule(delay, index, Event::FetchFailed { version, index: chunk, source, code });
             return;
         }
         let holds = self.holds(&source, version, chunk);
@@ -122,7 +123,7 @@
         let is_lost = is_lost || is_unavailable || self.stalled_version == Some(version);
         let event = if is_lost || !holds {
             let code = if is_lost { Code::PeerStalled } else { Code::ChunkMissing };
-            Event::Missed { version, index: chunk, source, code }
+            Event::FetchFailed { version, index: chunk, source, code }
         } else {
             Event::Arrived { version, index: chunk, source, verified: true }
         };
@@ -146,7 +147,7 @@
         let DrawSource::Peer(peer, _) = source else {
             return true;
         };
-        let have = self.index_of(peer).and_then(|it| self.sidecars[it].have(version));
+        let have = self.index_of(peer).and_then(|it| self.sidecars[it].held_chunks(version));
         have.is_some_and(|it| it.contains(chunk))
     }
 
@@ -168,7 +169,7 @@
         if self.now < self.origin_unavailable_until {
             let (source, code) = (DrawSource::Origin, Code::Unreachable);
             self.origin_busy_until = 0;
-            return Event::Missed { version, index, source, code };
+            return Event::FetchFailed { version, index, source, code };
         }
         self.sent_by_origin.entry(version).or_default().insert(index);
         event
--- a/components/rollout/tests/support/mod.rs
+++ b/components/rollout/tests/support/mod.rs
@@ -165,7 +165,7 @@
     }
 
     pub fn configure(&mut self, index: usize) {
-        self.deliver(index, Event::Planned(plan()));
+        self.deliver(index, Event::Configured(plan()));
         self.deliver(index, Event::VersionsKnown);
     }
 
@@ -178,7 +178,7 @@
         fleet.update_peers();
         fleet.origin_chunk_ms = 32_768 * 1000 / origin_bytes_per_s;
         for index in 0..count {
-            fleet.deliver(index, Event::Planned(WeightsPlan { origin_bytes_per_s, ..plan() }));
+            fleet.deliver(index, Event::Configured(WeightsPlan { origin_bytes_per_s, ..plan() }));
         }
         fleet
     }
@@ -235,7 +235,7 @@
         for index in 0..self.sidecars.len() {
             self.deliver(
                 index,
-                Event::Named { version, named_at: Some(Millis(self.now)), after_ms: None },
+                Event::Announced { version, announced_at: Some(Millis(self.now)), after_ms: None },
             );
         }
     }
@@ -265,7 +265,8 @@
             };
             if matches!(source, DrawSource::Peer(peer, _) if peer == &id(index)) {
                 let (version, index, source) = (*version, *chunk, source.clone());
-                pending.event = Event::Missed { version, index, source, code: Code::Unreachable };
+                pending.event =
+                    Event::FetchFailed { version, index, source, code: Code::Unreachable };
             }
         }
     }
@@ -313,9 +314,9 @@
                 runner.version = Some(version);
             }
             let status = RunnerStatus {
-                born: None,
+                started_at_ms: None,
                 sequence: runner.sequence,
-                busy: runner.taking.is_some(),
+                is_executing_order: runner.taking.is_some(),
                 waiting: 0,
                 running: runner.running,
                 version: runner.version,
