--- a/components/edge/src/evacuated.rs
+++ b/components/edge/src/evacuated.rs
@@ -49,7 +49,7 @@
                 Change::Evacuated(hall) => {
                     self.began_at.entry(hall.clone()).or_insert((!late).then_some(now));
                 }
-                Change::Reopened(hall) => {
+                Change::EvacuationEnded(hall) => {
                     self.began_at.remove(hall);
                 }
                 _ => continue,
--- a/components/edge/src/evacuated/tests.rs
+++ b/components/edge/src/evacuated/tests.rs
@@ -44,7 +44,7 @@
     let (mut halls, now) = (EvacuatedHalls::default(), Instant::now());
     halls.apply_feed(now, 10.into(), &[evacuated("a")], false);
     let later = now + Duration::from_millis(900);
-    let changes = [Change::Reopened("a".into()), evacuated("a")];
+    let changes = [Change::EvacuationEnded("a".into()), evacuated("a")];
     let list = halls.apply_feed(later, 12.into(), &changes, false).unwrap();
     assert_eq!(ages(&list), [("a", Some(0))]);
 }
@@ -106,8 +106,9 @@
     assert_eq!(ages(&disconnected.evacuations(later)), [("a", Some(400))]);
     // The disconnected gateway's own report is not newer meanwhile and must not undo the end of the
     // evacuation.
-    let list =
-        halls.apply_feed(started, 20.into(), &[Change::Reopened("a".into())], false).unwrap();
+    let list = halls
+        .apply_feed(started, 20.into(), &[Change::EvacuationEnded("a".into())], false)
+        .unwrap();
     apply(&mut connected, later, list);
     relay_through(&mut sidecar, later, &connected);
     let report = relay_through(&mut sidecar, later, &disconnected);
--- a/components/edge/src/gateway/answer.rs
+++ b/components/edge/src/gateway/answer.rs
@@ -24,7 +24,7 @@
     let mut answer = Response::new(full_body(text));
     *answer.status_mut() = status;
     if let Some(id) = request {
-        headers::name_request(answer.headers_mut(), id);
+        headers::set_request_id(answer.headers_mut(), id);
     }
     answer
 }
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use platform::headers::{self, Added, AnswerFacts};
+use platform::headers::{self, AddedHeaders, ResponseHeaders};
 use telemetry::Span;
 use uptime::Instant;
 
@@ -159,7 +159,7 @@
     fn request(&self, last_event: Option<&str>) -> Option<Request<Full<Bytes>>> {
         let context = self.context;
         let now = self.core.clock.now();
-        let added = Added {
+        let added = AddedHeaders {
             runner: &self.target.id,
             deadline_ms: context.deadline.map(|it| it.min(context.answer_deadline).since(now).0),
             workspace: context.workspace.as_ref(),
@@ -200,21 +200,21 @@
     }
 
     /// What an answer says about its runner. A misdirected answer comes from another runner.
-    fn notice(&self, status: StatusCode, facts: &AnswerFacts) -> Notice {
+    fn notice(&self, status: StatusCode, facts: &ResponseHeaders) -> Notice {
         if status == StatusCode::MISDIRECTED_REQUEST {
             return Notice::default();
         }
-        let asks_for_rest = status == StatusCode::SERVICE_UNAVAILABLE;
+        let asks_for_backoff = status == StatusCode::SERVICE_UNAVAILABLE;
         Notice {
             is_leaving: facts.is_leaving,
-            backoff_ms: facts.rest_ms.filter(|_| asks_for_rest),
+            backoff_ms: facts.retry_after_ms.filter(|_| asks_for_backoff),
             limit: self.limit_change(facts),
         }
     }
 
     /// What an answer says about the runner's rate limit. That there is no limit matters only if one is
     /// known, and only if it is the answer to this request.
-    fn limit_change(&self, facts: &AnswerFacts) -> Option<AdvertisedLimit> {
+    fn limit_change(&self, facts: &ResponseHeaders) -> Option<AdvertisedLimit> {
         let is_own = facts.id.is_some() && facts.id == self.context.facts.id;
         let is_limited = || self.core.read(|gateway| gateway.is_limited(&self.target.id));
         match facts.limit {
@@ -229,7 +229,7 @@
         answer: Response<Incoming>,
     ) -> AttemptResult {
         let (head, mut body) = answer.into_parts();
-        let facts = headers::read_answer(&head.headers);
+        let facts = headers::read_response(&head.headers);
         self.record_notice(self.notice(head.status, &facts));
         if let Some(outcome) = refusal_outcome(head.status, &facts) {
             return outcome.into();
@@ -258,9 +258,9 @@
 }
 
 /// The outcome if the runner refused the request.
-fn refusal_outcome(status: StatusCode, facts: &AnswerFacts) -> Option<AttemptOutcome> {
+fn refusal_outcome(status: StatusCode, facts: &ResponseHeaders) -> Option<AttemptOutcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptOutcome::Misdirected);
     }
-    facts.not_run.then_some(AttemptOutcome::Full)
+    facts.not_executed.then_some(AttemptOutcome::Full)
 }
--- a/components/edge/src/gateway/follow_table.rs
+++ b/components/edge/src/gateway/follow_table.rs
@@ -190,9 +190,9 @@
     match change {
         Change::Version { .. } => true,
         Change::Runner(record) => record.weights.is_none(),
-        Change::Configuration(_) | Change::RunnerGone(_) | Change::RunnerUnreadable(_) => false,
+        Change::Configuration(_) | Change::RunnerRemoved(_) | Change::RunnerInvalid(_) => false,
         // The reducer reports these after it has applied them.
-        Change::Evacuated(_) | Change::Reopened(_) => false,
+        Change::Evacuated(_) | Change::EvacuationEnded(_) => false,
     }
 }
 
@@ -228,13 +228,13 @@
             log::info!(model = model, version = version, age_ms = named.age_ms; "version named");
             Event::VersionAnnounced(named)
         }
-        Change::Evacuated(_) | Change::Reopened(_) => return None,
+        Change::Evacuated(_) | Change::EvacuationEnded(_) => return None,
         Change::Runner(record) => {
             let state = format!("{:?} {:?}", record.state, record.weights);
             log::info!(runner = record.id.0.as_str(), state = state.as_str(), cold_ms = record.cold_ms; "runner listed");
             Event::Listed(record)
         }
-        Change::RunnerGone(id) | Change::RunnerUnreadable(id) => {
+        Change::RunnerRemoved(id) | Change::RunnerInvalid(id) => {
             log::info!(runner = id.0.as_str(); "runner gone");
             Event::Unlisted(id)
         }
--- a/components/edge/src/gateway/quarantine_record.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -49,7 +49,7 @@
         });
         match with_deadline(until, next).await {
             Some(WakeUp::StatusChange(Ok(change))) => {
-                record.hear(core.clock.now(), rand::random(), &change)
+                record.handle_change(core.clock.now(), rand::random(), &change)
             }
             Some(WakeUp::StatusChange(Err(_))) => return,
             Some(WakeUp::StoreRestored) => {
@@ -57,7 +57,7 @@
                 let quarantined = core.read(|it| it.quarantined());
                 let responsible = quarantined.into_iter();
                 let responsible = responsible.filter(|it| core.rewrites_row(now, &it.to_string()));
-                record.note_went_back(now, rand::random(), responsible);
+                record.handle_store_restore(now, rand::random(), responsible);
             }
             None => {}
         }
@@ -87,7 +87,7 @@
     };
     core.metrics.count_platform(call_name(&call), outcome_name(&answer));
     log_outcome(&call, &answer);
-    let recorded = record.take(core.clock.now(), rand::random(), &call, &answer);
+    let recorded = record.handle_answer(core.clock.now(), rand::random(), &call, &answer);
     if let Some(digest) = recorded {
         core.dispatch(Event::QuarantineRecorded(digest));
         // Other gateways need not write it too.
--- a/components/edge/src/gateway/readers.rs
+++ b/components/edge/src/gateway/readers.rs
@@ -235,7 +235,7 @@
         cached.change_times.borrow_mut().clear();
         let copy = self.is_reader().then(|| match previous_copy {
             Some(mut copy) => copy.relist(pages).map(|()| copy),
-            None => TableCopy::listed(pages),
+            None => TableCopy::from_listing(pages),
         });
         self.set_copy(table, copy.transpose());
     }
@@ -247,7 +247,7 @@
             return;
         };
         let previous = copy.revision();
-        let result = copy.take(body);
+        let result = copy.apply_feed(body);
         if copy.revision() > previous {
             let since = age.map(|it| Instant::now() - it);
             let mut times = cached.change_times.borrow_mut();
@@ -267,7 +267,7 @@
     fn set_copy(&self, table: Table, copy: Result<Option<TableCopy>>) {
         let copy = copy.unwrap_or_else(|error| {
             let reason = error.to_string();
-            log::error!(table = table.own_name(), reason = reason.as_str(); "table cannot be served to other gateways");
+            log::error!(table = table.log_name(), reason = reason.as_str(); "table cannot be served to other gateways");
             None
         });
         self.of(table).copy.replace(copy);
--- a/components/edge/src/gateway/request.rs
+++ b/components/edge/src/gateway/request.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use platform::headers::{self, RequestFacts};
+use platform::headers::{self, RequestHeaders};
 use quarantine::RequestDigest;
 use telemetry::Span;
 
@@ -36,7 +36,7 @@
 /// What every attempt of a request needs.
 pub struct RequestContext {
     /// The facts in its head.
-    pub facts: RequestFacts,
+    pub facts: RequestHeaders,
     /// The log of the decisions on it.
     pub trace: Trace,
     /// The method.
@@ -247,7 +247,7 @@
     catalog: &Catalog,
     headers: &HeaderMap,
     uri: &Uri,
-    facts: &RequestFacts,
+    facts: &RequestHeaders,
 ) -> Result<ResolvedRoute, (StatusCode, Code)> {
     let host = headers.get(http::header::HOST).and_then(|it| it.to_str().ok()).unwrap_or("");
     let route =
--- a/components/edge/src/gateway/sidecar_datagrams.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -157,7 +157,7 @@
         Self {
             clock_ms: core.tables.time.borrow().clock_ms_to_report(Instant::now()),
             cold,
-            named: core.read(|gateway| gateway.named_versions(now)),
+            named: core.read(|gateway| gateway.announced_versions(now)),
             services: core.catalog().map(|it| weights_services(&it)).unwrap_or_default(),
             hall: core.read(|gateway| gateway.hall().clone()),
             evacuations: core.read(|gateway| gateway.evacuations(now)),
--- a/components/edge/src/gateway/table_server.rs
+++ b/components/edge/src/gateway/table_server.rs
@@ -7,7 +7,7 @@
 use http::header::HeaderValue;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
-use platform::table_copy::{self, Changes, Question, Wanted};
+use platform::table_copy::{self, Changes, RequestKind, TableRequest};
 use uptime::Instant;
 
 use super::answer::{error_answer, full_body, AnswerBody};
@@ -18,7 +18,7 @@
 
 /// Answers another gateway that asks for a table.
 pub async fn answer(readers: HallReaders, request: Request<Incoming>) -> Response<AnswerBody> {
-    let Some(question) = table_copy::question(request.uri()) else {
+    let Some(question) = table_copy::parse_request(request.uri()) else {
         return error_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
     };
     readers.record_call();
@@ -35,7 +35,7 @@
 
 fn answer_with_age(
     readers: &HallReaders,
-    question: Question,
+    question: TableRequest,
     received_at: Instant,
     body: Vec<u8>,
 ) -> Response<AnswerBody> {
@@ -43,9 +43,11 @@
         return error_answer(StatusCode::SERVICE_UNAVAILABLE, None, Code::NotReady);
     };
     let cached = readers.of(question.table);
-    let changes_age = match question.wanted {
-        Wanted::Listing => None,
-        Wanted::Changes { after, .. } => cached.earliest_change_after(after).map(|it| it.elapsed()),
+    let changes_age = match question.kind {
+        RequestKind::Listing => None,
+        RequestKind::Changes { after, .. } => {
+            cached.earliest_change_after(after).map(|it| it.elapsed())
+        }
     };
     let mut answer = Response::new(full_body(body));
     // Ages are rounded up, and the time that the call was held is rounded down.
@@ -63,11 +65,13 @@
 }
 
 /// Waits for the body of the answer. `None` if the requested changes are no longer cached.
-async fn wait_for_body(readers: &HallReaders, question: Question) -> Result<Option<Vec<u8>>> {
+async fn wait_for_body(readers: &HallReaders, question: TableRequest) -> Result<Option<Vec<u8>>> {
     let cached = readers.of(question.table);
-    let wait = match question.wanted {
-        Wanted::Listing => FIRST_LISTING_TIMEOUT,
-        Wanted::Changes { wait_ms, .. } => Duration::from_millis(wait_ms).min(readers.feed_wait()),
+    let wait = match question.kind {
+        RequestKind::Listing => FIRST_LISTING_TIMEOUT,
+        RequestKind::Changes { wait_ms, .. } => {
+            Duration::from_millis(wait_ms).min(readers.feed_wait())
+        }
     };
     let until = Instant::now() + wait;
     loop {
@@ -87,7 +91,7 @@
 /// cached.
 fn available_body(
     readers: &HallReaders,
-    question: Question,
+    question: TableRequest,
     is_over: bool,
 ) -> Result<Option<Option<Vec<u8>>>> {
     let not_ready =
@@ -97,17 +101,17 @@
     let Some(copy) = copy else {
         // A gateway that is named in the row of readers may be about to become a reader, so it waits. A
         // reader with outdated content does not.
-        let may_become_reader = question.wanted == Wanted::Listing && readers.is_listed();
+        let may_become_reader = question.kind == RequestKind::Listing && readers.is_listed();
         return if may_become_reader && !is_over { Ok(None) } else { Err(not_ready()) };
     };
-    match question.wanted {
-        Wanted::Listing => copy.listing().map(|it| Some(Some(it))),
-        Wanted::Changes { after, .. } => match copy.changes(after)? {
+    match question.kind {
+        RequestKind::Listing => copy.listing().map(|it| Some(Some(it))),
+        RequestKind::Changes { after, .. } => match copy.changes(after)? {
             Changes::Rows(body) => Ok(Some(Some(body))),
-            Changes::Nothing(body) if is_over => Ok(Some(Some(body))),
-            Changes::Forgotten => Ok(Some(None)),
-            Changes::Behind if is_over => Err(not_ready()),
-            Changes::Nothing(_) | Changes::Behind => Ok(None),
+            Changes::Empty(body) if is_over => Ok(Some(Some(body))),
+            Changes::HistoryDropped => Ok(Some(None)),
+            Changes::CopyOutdated if is_over => Err(not_ready()),
+            Changes::Empty(_) | Changes::CopyOutdated => Ok(None),
         },
     }
 }
--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -79,7 +79,7 @@
             Some(Err(_)) => return,
             None => {}
         }
-        record.note_known(&core.read(|it| it.named_versions(core.clock.now())));
+        record.note_known(&core.read(|it| it.announced_versions(core.clock.now())));
         if let Some(call) = record.due(core.clock.now()) {
             perform_call(&core, &mut record, &mut client, call).await;
         }
@@ -103,13 +103,13 @@
     };
     core.metrics.count_platform(call_name(&call), outcome_name(&answer));
     log_outcome(&call, &answer);
-    let named_versions = record.apply_answer(core.clock.now(), rand::random(), &call, answer);
-    for named in &named_versions {
+    let announced_versions = record.apply_answer(core.clock.now(), rand::random(), &call, answer);
+    for named in &announced_versions {
         let model = named.model.0.as_str();
         log::info!(model = model, version = named.version, age_ms = named.age_ms; "version's age read");
         core.dispatch(Event::VersionAnnounced(named.clone()));
     }
-    if !named_versions.is_empty() {
+    if !announced_versions.is_empty() {
         core.notify_sidecars();
     }
 }
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -119,7 +119,7 @@
             return Err(Error::new(Code::NotFound, "the store came back from an older copy"));
         }
         changes.extend(page.changes);
-        match page.next {
+        match page.next_key {
             Some(next) => {
                 from = next;
                 Timer::after(paging.pause()).await;
--- a/components/edge/src/message/tests.rs
+++ b/components/edge/src/message/tests.rs
@@ -2,7 +2,7 @@
 
 use fleet::{Evacuation, Millis};
 use gateway::{GatewayList, KnownGateway};
-use quarantine::{CrashLedger, LifeDigest, RequestDigest, Told};
+use quarantine::{CrashLedger, IncarnationDigest, ListScope, RequestDigest};
 
 use super::*;
 
@@ -51,11 +51,11 @@
     for request in 0..requests {
         let digest = RequestDigest(u64::MAX - request);
         for number in 0..crashes_of_each {
-            let life = LifeDigest::of(&format!("i-{number}").as_str().into(), Some(1));
+            let life = IncarnationDigest::of(&format!("i-{number}").as_str().into(), Some(1));
             ledger.note_crash(Millis(1_000_000), digest, life, Millis(500_000));
         }
     }
-    encode(&ledger.list(Millis(1_000_000), Told::Suspects, 0)).len()
+    encode(&ledger.list(Millis(1_000_000), ListScope::Suspects, 0)).len()
 }
 
 #[test]
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -12,7 +12,7 @@
     ModelName, Place,
 };
 use gateway::{KnownGateways, KnownLimits, RunnerLoad};
-use quarantine::{CrashLedger, CrashList, Told};
+use quarantine::{CrashLedger, CrashList, ListScope};
 use rand::seq::IteratorRandom;
 use rollout::{Effect, Event, Rollout, RolloutOptions};
 use settings::SidecarSettings;
@@ -51,7 +51,7 @@
     /// The chunks.
     pub chunks: Rc<RefCell<ChunkStore>>,
     /// The versions that were named for each model.
-    pub named_versions: Rc<RefCell<BTreeMap<ModelName, Announcements>>>,
+    pub announced_versions: Rc<RefCell<BTreeMap<ModelName, Announcements>>>,
     /// The gateways that subscribed to reports.
     pub subscribers: Rc<RefCell<BTreeMap<SocketAddr, Subscription>>>,
     /// The gateways that were received from lately.
@@ -127,7 +127,7 @@
             place: options.place.clone(),
             rollout: Rc::new(RefCell::new(Rollout::new(options))),
             chunks: Rc::default(),
-            named_versions: Rc::default(),
+            announced_versions: Rc::default(),
             subscribers: Rc::default(),
             gateways: Rc::new(RefCell::new(KnownGateways::new(repeat_window_ms))),
             crashes: Rc::default(),
@@ -193,7 +193,7 @@
     pub fn record_versions(&self, named: &[AnnouncedVersion]) {
         let now = self.clock.now();
         for it in named {
-            let mut names = self.named_versions.borrow_mut();
+            let mut names = self.announced_versions.borrow_mut();
             let names = names.entry(it.model.clone()).or_default();
             let previous = names.get(it.version);
             names.add(Announcement::received_at(now, it));
@@ -201,8 +201,9 @@
             names.keep_newest(MAX_VERSIONS);
         }
         let model = self.rollout.borrow().plan().map(|it| it.model.clone());
-        let own =
-            model.and_then(|it| self.named_versions.borrow().get(&it).cloned()).unwrap_or_default();
+        let own = model
+            .and_then(|it| self.announced_versions.borrow().get(&it).cloned())
+            .unwrap_or_default();
         let newest = own.newest().map_or(0, |it| it.version);
         if self.rollout.borrow().newest_announced() < newest {
             // One pending message is enough.
@@ -223,7 +224,7 @@
     /// The named version that a load report carries. It has room for one, so a random relevant version is
     /// chosen: a receiver of several reports receives all of them.
     fn version_to_report(&self) -> Option<AnnouncedVersion> {
-        let named = self.rollout.borrow().named_versions(self.clock.now());
+        let named = self.rollout.borrow().announced_versions(self.clock.now());
         named.into_iter().choose(&mut rand::rng())
     }
 
@@ -253,13 +254,13 @@
 
     /// Applies a gateway's report of requests that crashed runners.
     pub fn apply_crashes(&self, list: &CrashList) {
-        for change in self.crashes.borrow_mut().take(self.clock.now(), list) {
+        for change in self.crashes.borrow_mut().merge(self.clock.now(), list) {
             note_crash_change(&self.metrics, &change, false);
         }
     }
 
     /// The report of such requests to gateways.
-    pub fn crash_list(&self, part: Told) -> CrashList {
+    pub fn crash_list(&self, part: ListScope) -> CrashList {
         self.crashes.borrow().list(self.clock.now(), part, 0)
     }
 
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -11,7 +11,7 @@
 use async_net::{TcpListener, TcpStream};
 use errors::{Code, Error};
 use net::{write_paced, Pacer};
-use quarantine::Told;
+use quarantine::ListScope;
 use rollout::{Denial, Event, ReservationReply, ReservationRequest};
 use uptime::Instant;
 
@@ -166,7 +166,7 @@
                 if wants_gateways {
                     let list = core.gateways.borrow().list(now, sender);
                     socket.send(sender, &Datagram::Gateways(list)).await;
-                    let crashes = core.crash_list(Told::Suspects);
+                    let crashes = core.crash_list(ListScope::Suspects);
                     let limits = core.limits.borrow().list(now, &mut rand::rng());
                     if !crashes.0.is_empty() || !limits.is_empty() {
                         socket.send(sender, &Datagram::Crashes { crashes, limits }).await;
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -9,9 +9,9 @@
 use errors::{Code, Error, Result};
 use fleet::{Bitmap, ModelName};
 use gateway::RunnerLoad;
-use platform::headers::AnswerFacts;
+use platform::headers::ResponseHeaders;
 use platform::{headers, runner, weights, Call};
-use quarantine::Told;
+use quarantine::ListScope;
 use rollout::{Event, OrderOutcome, Recipients, Reports, Subscribers};
 use uptime::Instant;
 
@@ -118,7 +118,7 @@
         clock_ms: clock_ms.filter(|_| load.named.is_some()),
         load,
         evacuations: core.evacuations(),
-        crashes: core.crash_list(Told::FreshSuspects),
+        crashes: core.crash_list(ListScope::FreshSuspects),
     };
     for gateway in gateways {
         socket.send(*gateway, &datagram).await;
@@ -129,9 +129,9 @@
 async fn read_report(
     core: &Core,
     client: &mut HttpClient,
-) -> Result<(runner::Report, AnswerFacts)> {
+) -> Result<(runner::Report, ResponseHeaders)> {
     let answer = client.call(runner::report(), CALL_TIMEOUT).await?;
-    let facts = headers::read_answer(&answer.headers);
+    let facts = headers::read_response(&answer.headers);
     let report = runner::read_report(&answer.success()?, *core.layers.borrow())?;
     Ok((report, facts))
 }
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -71,7 +71,7 @@
     loop {
         for id in watch.delayed_removals.take_due(Instant::now()) {
             deliver(TableEvent::Change {
-                change: Change::RunnerGone(id),
+                change: Change::RunnerRemoved(id),
                 date: ChangeDate::default(),
             });
         }
@@ -108,7 +108,7 @@
                 watch.record_cached();
                 watch.pause(spacing)
             }
-            Err(ref error) if is_history_gone(error) => {
+            Err(ref error) if is_history_unavailable(error) => {
                 let pause = watch.options.timeouts.pause_before_listing(failures);
                 failures = 0;
                 random_pause(pause)
@@ -128,7 +128,7 @@
 }
 
 /// Whether the store answered that the history of the known revision is gone.
-fn is_history_gone(error: &Error) -> bool {
+fn is_history_unavailable(error: &Error) -> bool {
     error.code == Code::NotFound
 }
 
@@ -205,7 +205,7 @@
         let gone: Vec<InstanceId> = self.runners.difference(&listed).cloned().collect();
         let removals = RemovalCount { gone: gone.len(), known: self.runners.len() };
         for id in gone {
-            self.deliver_change(Change::RunnerGone(id), reader_age, removals, deliver);
+            self.deliver_change(Change::RunnerRemoved(id), reader_age, removals, deliver);
         }
         if self.options.table == Table::Operator {
             let evacuated = self.evacuated.apply_listing(Instant::now(), position, &changes);
@@ -272,7 +272,7 @@
                 immediate.ok_or_else(interrupted)??
             }
         };
-        if store::is_history_gone(answer.status) {
+        if store::is_history_unavailable(answer.status) {
             return Err(
                 self.reset_position("the store no longer has the history after the known revision")
             );
@@ -295,7 +295,7 @@
         let waited_for = Some(self.wait).filter(|_| page.rows == 0);
         let produced_at = self.record_answer_time(waited_for, page.clock_ms, reader_age);
         let read = StorePosition { era, revision: page.revision };
-        if page.is_newest {
+        if page.is_up_to_date {
             self.record_store_reading(read, page.clock_ms, produced_at);
         }
         self.logged_faults.log_new(self.options.table, &self.options.metrics, &page.faults);
@@ -305,7 +305,7 @@
         let summary = AnswerSummary { rows: page.rows, position: read };
         let evacuated = self.evacuated.apply_feed(now, read, &page.changes, late);
         evacuated.into_iter().for_each(|list| deliver(TableEvent::Evacuations(list)));
-        let is_gone = |change: &&Change| matches!(change, Change::RunnerGone(_));
+        let is_gone = |change: &&Change| matches!(change, Change::RunnerRemoved(_));
         let gone = page.changes.iter().filter(is_gone).count();
         let removals = RemovalCount { gone, known: self.runners.len() };
         if self.reader.is_none() {
@@ -393,7 +393,7 @@
                 self.delayed_removals.record_listed(&record.id);
                 self.delayed_returns.record_listed(&record.id);
             }
-            Change::RunnerGone(id) => {
+            Change::RunnerRemoved(id) => {
                 if self.runners.remove(id) {
                     self.delayed_returns.record_removed(Instant::now(), id);
                 }
@@ -402,10 +402,10 @@
                     return;
                 }
             }
-            Change::RunnerUnreadable(id) => {
+            Change::RunnerInvalid(id) => {
                 // Another writer has replaced the earlier row.
                 if self.runners.remove(id) {
-                    let change = Change::RunnerGone(id.clone());
+                    let change = Change::RunnerRemoved(id.clone());
                     deliver(TableEvent::Change { change, date: ChangeDate::default() });
                 }
                 return;
@@ -413,7 +413,7 @@
             Change::Configuration(_)
             | Change::Version { .. }
             | Change::Evacuated(_)
-            | Change::Reopened(_) => {}
+            | Change::EvacuationEnded(_) => {}
         }
         let date = self.date_change(&change, reader_age);
         deliver(TableEvent::Change { change, date });
--- a/components/edge/src/watch/source.rs
+++ b/components/edge/src/watch/source.rs
@@ -5,7 +5,7 @@
 use errors::{Code, Error, Result};
 use gateway::readers::Source;
 
-use super::{is_history_gone, TableWatch};
+use super::{is_history_unavailable, TableWatch};
 use crate::gateway::ReportedAge;
 use crate::http_client::HttpClient;
 use crate::listing::call_name;
@@ -56,7 +56,7 @@
             return false;
         };
         match result {
-            Err(error) if !is_history_gone(error) => {
+            Err(error) if !is_history_unavailable(error) => {
                 self.options.readers.record_failure(reader, error, self.sent_at.elapsed());
                 true
             }
--- a/components/gateway/src/limits.rs
+++ b/components/gateway/src/limits.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use fleet::{InstanceId, Millis, Rate, RateLimit, ReportedLimit};
-use quarantine::LifeDigest;
+use quarantine::IncarnationDigest;
 use rand::seq::IteratorRandom;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationLimit {
     /// Digest of the runner's life.
-    pub life: LifeDigest,
+    pub life: IncarnationDigest,
     /// The rate limit.
     pub limit: ReportedLimit,
 }
@@ -127,7 +127,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct KnownLimits {
     /// The limits, and when each was last reported.
-    received: BTreeMap<LifeDigest, (RateLimit, Millis)>,
+    received: BTreeMap<IncarnationDigest, (RateLimit, Millis)>,
 }
 
 impl KnownLimits {
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -7,7 +7,7 @@
     AnnouncedVersion, Evacuations, Hall, IncarnationChange, IncarnationReport, InstanceId, Millis,
     ModelName, ReportedLimit, ServiceName,
 };
-use quarantine::LifeDigest;
+use quarantine::IncarnationDigest;
 
 use crate::event::{GatewayOptions, IncarnationEvent, NoticeChange};
 use crate::followed::{self, Candidate};
@@ -72,7 +72,7 @@
             self.replace(now, record, restarts);
             return None;
         }
-        let news = life_news(runner, record.life, true);
+        let news = incarnation_event(runner, record.life, true);
         match news.as_ref().map(|it| it.change) {
             None | Some(IncarnationChange::Same) if runner.record.address != record.address => {
                 self.replace(now, record, restarts);
@@ -171,7 +171,7 @@
     }
 
     /// Applies the rate limit of a life of a runner that another gateway reported.
-    pub fn apply_life_limit(
+    pub fn apply_incarnation_limit(
         &mut self,
         now: Millis,
         reported: &IncarnationLimit,
@@ -186,7 +186,7 @@
     }
 
     /// The runners in a given life.
-    pub fn of_life(&self, life: LifeDigest) -> impl Iterator<Item = &Runner> {
+    pub fn of_life(&self, life: IncarnationDigest) -> impl Iterator<Item = &Runner> {
         self.runners.values().filter(move |it| it.life.digest == life)
     }
 
@@ -199,7 +199,7 @@
     ) -> Option<IncarnationEvent> {
         let runner = self.runners.get_mut(&id)?;
         self.silent.note_heard(&runner.record.hall);
-        let news = life_news(runner, load.life, false);
+        let news = incarnation_event(runner, load.life, false);
         match news.as_ref().map(|it| it.change) {
             None | Some(IncarnationChange::Same) => runner.apply_load(now, load),
             Some(IncarnationChange::Restarted) => {
@@ -235,7 +235,7 @@
     }
 
     /// Records an announced version.
-    pub fn name_version(&mut self, now: Millis, named: AnnouncedVersion) {
+    pub fn announce_version(&mut self, now: Millis, named: AnnouncedVersion) {
         self.named.record(now, named);
     }
 
@@ -252,7 +252,7 @@
     }
 
     /// The versions of each model to report to other processes, oldest first.
-    pub fn named_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
+    pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
         self.named.to_report(now)
     }
 
@@ -262,7 +262,11 @@
     }
 
     /// Returns a runner for modification if it is in this life.
-    pub fn life_mut(&mut self, id: &InstanceId, life: RunnerIncarnation) -> Option<&mut Runner> {
+    pub fn incarnation_mut(
+        &mut self,
+        id: &InstanceId,
+        life: RunnerIncarnation,
+    ) -> Option<&mut Runner> {
         self.runners.get_mut(id).filter(|it| it.life == life)
     }
 
@@ -353,7 +357,7 @@
 
 /// Compares the life in a report about a runner with the known one, and returns the difference if
 /// there is one.
-fn life_news(
+fn incarnation_event(
     runner: &Runner,
     reported: IncarnationReport,
     is_listed: bool,
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -113,8 +113,8 @@
 
     /// The announced versions of each model whose time bounds still apply, as reported to other
     /// processes.
-    pub fn named_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
-        let mut named = self.pool.named_versions(now);
+    pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
+        let mut named = self.pool.announced_versions(now);
         if !self.options.ablation.keeps(Mechanism::VersionAges) {
             named.iter_mut().for_each(|it| (it.age_ms, it.after_ms) = (None, None));
         }
@@ -178,7 +178,7 @@
                 self.dispatch(now, &mut random)
             }
             Event::VersionAnnounced(named) => {
-                self.pool.name_version(now, named);
+                self.pool.announce_version(now, named);
                 Vec::new()
             }
             Event::Evacuations(list) => {
@@ -326,7 +326,7 @@
         self.queue.retain(|position| position.key != key);
         self.crashes.end(key, progress.arrival.digest);
         let current = progress.current.as_ref();
-        if let Some(runner) = current.and_then(|it| self.pool.life_mut(&it.id, it.life)) {
+        if let Some(runner) = current.and_then(|it| self.pool.incarnation_mut(&it.id, it.life)) {
             runner.end_request(progress.is_suspect);
             runner.notices.backoff.note_end(key);
         }
@@ -357,7 +357,7 @@
         let Some(selected) = current else {
             return Vec::new();
         };
-        let runner = self.pool.life_mut(&selected.id, selected.life);
+        let runner = self.pool.incarnation_mut(&selected.id, selected.life);
         let news = runner.map_or(Notice::default(), |it| it.notices.apply(now, sent_at, notice));
         if news.is_empty() {
             return Vec::new();
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -38,7 +38,7 @@
             progress.answered = true;
             let took = now.since(progress.sent_at);
             self.pool.note_answered(now, &selected.id, selected.life);
-            if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
+            if let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) {
                 runner.notices.backoff.note_run(key);
             }
             self.note_wait(now, &selected, took);
@@ -79,7 +79,7 @@
 
     /// Records how long a request waited at a runner.
     fn note_wait(&mut self, now: Millis, selected: &SelectedRunner, waited: Millis) {
-        if let Some(runner) = self.pool.life_mut(&selected.id, selected.life) {
+        if let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) {
             runner.note_first_byte(now, waited);
         }
     }
@@ -95,7 +95,7 @@
     ) {
         let is_suspicion_enabled = self.is_enabled(Mechanism::Suspicion);
         // Results of an earlier life say nothing about the current one.
-        let Some(runner) = self.pool.life_mut(&selected.id, selected.life) else {
+        let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) else {
             return;
         };
         runner.end_request(was_suspect);
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -2,7 +2,10 @@
 
 use errors::Code;
 use fleet::{InstanceId, Millis};
-use quarantine::{Admission, CrashList, CrashNews, Crashes, LifeDigest, RequestDigest, Sign, Told};
+use quarantine::{
+    Admission, CrashList, CrashNews, Crashes, IncarnationDigest, ListScope, RequestDigest,
+    RunnerLiveness,
+};
 use rand::rngs::SmallRng;
 
 use super::{Gateway, Progress, SelectedRunner};
@@ -77,11 +80,13 @@
     pub(super) fn classify_crashes(&mut self, now: Millis) -> Vec<Effect> {
         self.crashes.ledger.forget_old(now);
         let pool = &self.pool;
-        let sign = |id: &InstanceId, life: LifeDigest| match pool.runner(id) {
-            Some(runner) if runner.life.digest == life => Sign::Heard(runner.last_alive_at),
-            Some(_) | None => Sign::Over,
+        let liveness = |id: &InstanceId, life: IncarnationDigest| match pool.runner(id) {
+            Some(runner) if runner.life.digest == life => {
+                RunnerLiveness::ReportedAt(runner.last_alive_at)
+            }
+            Some(_) | None => RunnerLiveness::Gone,
         };
-        effects(self.crashes.settle(now, sign))
+        effects(self.crashes.resolve_suspicions(now, liveness))
     }
 
     /// Merges the crashes that other processes report.
@@ -91,7 +96,7 @@
         random: &mut SmallRng,
         list: &CrashList,
     ) -> Vec<Effect> {
-        let mut effects = effects(self.crashes.take(now, list));
+        let mut effects = effects(self.crashes.merge(now, list));
         if !effects.is_empty() {
             effects.extend(self.dispatch(now, random));
         }
@@ -101,7 +106,7 @@
     /// The crashes to report to other processes. `draw` selects what is reported in addition to
     /// news.
     pub fn crash_list(&self, now: Millis, draw: u64) -> CrashList {
-        self.crashes.ledger.list(now, Told::Fresh, draw)
+        self.crashes.ledger.list(now, ListScope::Fresh, draw)
     }
 
     /// The lives that ended while running a quarantined request. With `unrecorded`, only if the
@@ -110,8 +115,8 @@
         &self,
         digest: RequestDigest,
         unrecorded: bool,
-    ) -> Option<Vec<LifeDigest>> {
-        self.crashes.ledger.lives_under(digest, unrecorded)
+    ) -> Option<Vec<IncarnationDigest>> {
+        self.crashes.ledger.incarnations_under(digest, unrecorded)
     }
 
     /// The quarantined requests.
--- a/components/gateway/src/reducer/limits.rs
+++ b/components/gateway/src/reducer/limits.rs
@@ -18,7 +18,7 @@
     ) -> Vec<Effect> {
         let mut news = Vec::new();
         for it in reported {
-            news.extend(self.pool.apply_life_limit(now, it));
+            news.extend(self.pool.apply_incarnation_limit(now, it));
             // A process may not know that a limit has ended, so the runner is added again and its
             // end is reported once more.
             let runners = self.pool.of_life(it.life).map(|it| it.record.id.clone());
@@ -63,7 +63,7 @@
     /// Updates the rate share for a runner, depending on whether this gateway is responsible for
     /// it.
     fn update_limit_share(&mut self, now: Millis, id: &InstanceId) {
-        let runner = self.pool.runner(id).filter(|it| it.told_limit(now).is_some());
+        let runner = self.pool.runner(id).filter(|it| it.limit_to_report(now).is_some());
         let Some(runner) = runner else {
             self.limits.forget(id);
             return;
@@ -81,7 +81,7 @@
     pub fn limits_to_report(&self, now: Millis, random: &mut impl Rng) -> Vec<IncarnationLimit> {
         let runners = self.limits.runners().filter_map(|id| self.pool.runner(id));
         let reported = runners.filter(|it| !it.is_limit_enforced).filter_map(|it| {
-            Some(IncarnationLimit { life: it.life.digest, limit: it.told_limit(now)? })
+            Some(IncarnationLimit { life: it.life.digest, limit: it.limit_to_report(now)? })
         });
         draw_limits(reported, random)
     }
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -224,7 +224,7 @@
         runner.begin_request(is_suspect);
         runner.notices.backoff.note_sent(key);
         let address = runner.record.address;
-        let limit = runner.told_limit(now);
+        let limit = runner.limit_to_report(now);
         let selected = SelectedRunner { id: id.clone(), life: runner.life, has_token };
         progress.tried.push(id.clone());
         progress.current = Some(selected);
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -6,7 +6,7 @@
     AdvertisedLimit, AnnouncedVersion, Hall, IncarnationChange, IncarnationReport, InstanceId,
     Millis, ModelName, ReportedLimit, ServiceName,
 };
-use quarantine::LifeDigest;
+use quarantine::IncarnationDigest;
 use serde::{Deserialize, Serialize};
 
 use crate::notices::{Notice, Notices};
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunnerIncarnation {
     /// Digest by which all processes know the life.
-    pub digest: LifeDigest,
+    pub digest: IncarnationDigest,
     /// Number of observed restarts of a runner that does not report its start time.
     pub restarts: u32,
 }
@@ -178,7 +178,7 @@
     pub fn new(now: Millis, record: RunnerRecord, restarts: u32) -> Self {
         Self {
             life: RunnerIncarnation {
-                digest: LifeDigest::of(&record.id, record.life.born),
+                digest: IncarnationDigest::of(&record.id, record.life.born),
                 // The start time distinguishes its lives, also if the entry was missing for a
                 // while.
                 restarts: if record.life.born.is_some() { 0 } else { restarts },
@@ -306,7 +306,7 @@
     }
 
     /// The rate limit to report to its sidecar.
-    pub fn told_limit(&self, now: Millis) -> Option<ReportedLimit> {
+    pub fn limit_to_report(&self, now: Millis) -> Option<ReportedLimit> {
         self.notices.limit.to_report(now, self.born)
     }
 
--- a/components/gateway/tests/crashes.rs
+++ b/components/gateway/tests/crashes.rs
@@ -272,8 +272,8 @@
     CrashNews::Changed { change: CrashChange::Quarantined(REQUEST), is_own }
 }
 
-fn lives(_: RequestDigest, _: bool) -> Option<Vec<LifeDigest>> {
-    Some(vec![LifeDigest::of(&"r1".into(), None)])
+fn lives(_: RequestDigest, _: bool) -> Option<Vec<IncarnationDigest>> {
+    Some(vec![IncarnationDigest::of(&"r1".into(), None)])
 }
 
 /// A quarantine record that has been read from the store.
@@ -281,7 +281,7 @@
     let mut record = QuarantineRecord::new(Millis(0));
     let next_call = record.due(Millis(0), lives).unwrap();
     assert_eq!(next_call, QuarantineCall::Read);
-    record.take(Millis(0), 0, &next_call, &QuarantineAnswer::Rows(Default::default()));
+    record.handle_answer(Millis(0), 0, &next_call, &QuarantineAnswer::Rows(Default::default()));
     assert_eq!(record.next_at(), None);
     record
 }
@@ -289,12 +289,12 @@
 #[test]
 fn the_gateway_that_finds_the_quarantine_writes_at_once_and_others_only_if_it_does_not() {
     let mut own = record();
-    own.hear(Millis(0), 900, &quarantined(true));
+    own.handle_change(Millis(0), 900, &quarantined(true));
     let next_call = own.due(Millis(0), lives).unwrap();
-    assert_eq!(own.take(Millis(5), 0, &next_call, &QuarantineAnswer::Done), Some(REQUEST));
+    assert_eq!(own.handle_answer(Millis(5), 0, &next_call, &QuarantineAnswer::Done), Some(REQUEST));
     assert_eq!(own.next_at(), None);
     let mut other = record();
-    other.hear(Millis(0), 900, &quarantined(false));
+    other.handle_change(Millis(0), 900, &quarantined(false));
     assert_eq!(other.next_at(), Some(Millis(900)));
     assert_eq!(other.due(Millis(1000), |_, _| None), None, "the row was reported as written");
     assert_eq!(other.next_at(), None);
@@ -307,7 +307,7 @@
 fn a_quarantine_found_from_reports_of_several_gateways_is_written_within_half_of_the_time() {
     for seed in [0, 799, 1_000_003, u64::MAX] {
         let mut record = record();
-        record.hear(Millis(0), seed, &quarantined(false));
+        record.handle_change(Millis(0), seed, &quarantined(false));
         let at = record.next_at().expect("it is written").0;
         assert!((1..=1500).contains(&at), "{at} ms");
     }
@@ -316,18 +316,18 @@
 #[test]
 fn calls_to_a_failing_store_are_delayed_increasingly_until_the_row_is_written() {
     let mut record = record();
-    record.hear(Millis(0), 0, &quarantined(true));
+    record.handle_change(Millis(0), 0, &quarantined(true));
     let (mut now, mut pauses) = (Millis(0), Vec::new());
     for _ in 0..6 {
         let next_call = record.due(now, lives).unwrap();
-        record.take(now, 0, &next_call, &QuarantineAnswer::Failed);
+        record.handle_answer(now, 0, &next_call, &QuarantineAnswer::Failed);
         let next = record.next_at().unwrap();
         pauses.push(next.since(now).0);
         now = next;
     }
     assert_eq!(pauses, [125, 250, 500, 1000, 2000, 2000]);
     let next_call = record.due(now, lives).unwrap();
-    assert_eq!(record.take(now, 0, &next_call, &QuarantineAnswer::Done), Some(REQUEST));
+    assert_eq!(record.handle_answer(now, 0, &next_call, &QuarantineAnswer::Done), Some(REQUEST));
 }
 
 #[test]
@@ -337,25 +337,25 @@
         is_own: true,
     };
     let mut record = record();
-    record.hear(Millis(0), 0, &cleared(false));
+    record.handle_change(Millis(0), 0, &cleared(false));
     assert_eq!(record.next_at(), None);
-    record.hear(Millis(0), 0, &cleared(true));
+    record.handle_change(Millis(0), 0, &cleared(true));
     assert_eq!(record.due(Millis(0), |_, _| None), Some(QuarantineCall::Remove(REQUEST)));
 }
 
 /// The lives ended by a request whose row is known to be written.
-fn recorded(digest: RequestDigest, unrecorded: bool) -> Option<Vec<LifeDigest>> {
+fn recorded(digest: RequestDigest, unrecorded: bool) -> Option<Vec<IncarnationDigest>> {
     lives(digest, unrecorded).filter(|_| !unrecorded)
 }
 
 #[test]
 fn recorded_rows_are_written_again_after_the_store_was_restored_from_an_older_copy() {
     let mut record = record();
-    record.note_went_back(Millis(0), 700, [REQUEST]);
+    record.handle_store_restore(Millis(0), 700, [REQUEST]);
     assert_eq!(record.next_at(), Some(Millis(700)));
     let next_call = record.due(Millis(700), recorded).unwrap();
     assert!(matches!(next_call, QuarantineCall::Write(REQUEST, _)), "{next_call:?}");
-    record.take(Millis(705), 0, &next_call, &QuarantineAnswer::Done);
+    record.handle_answer(Millis(705), 0, &next_call, &QuarantineAnswer::Done);
     assert_eq!(record.next_at(), None);
 }
 
@@ -363,12 +363,12 @@
 fn a_recently_removed_row_is_removed_again_and_an_earlier_one_is_not() {
     let change = CrashChange::Cleared { digest: REQUEST, was_quarantined: true };
     let mut record = record();
-    record.hear(Millis(0), 0, &CrashNews::Changed { change, is_own: true });
+    record.handle_change(Millis(0), 0, &CrashNews::Changed { change, is_own: true });
     let next_call = record.due(Millis(0), recorded).unwrap();
-    record.take(Millis(5), 0, &next_call, &QuarantineAnswer::Done);
-    record.note_went_back(Millis(4000), 0, []);
+    record.handle_answer(Millis(5), 0, &next_call, &QuarantineAnswer::Done);
+    record.handle_store_restore(Millis(4000), 0, []);
     assert_eq!(record.due(Millis(4000), recorded), Some(QuarantineCall::Remove(REQUEST)));
-    record.take(Millis(4005), 0, &next_call, &QuarantineAnswer::Done);
-    record.note_went_back(Millis(90_000), 0, []);
+    record.handle_answer(Millis(4005), 0, &next_call, &QuarantineAnswer::Done);
+    record.handle_store_restore(Millis(90_000), 0, []);
     assert_eq!(record.next_at(), None);
 }
--- a/components/gateway/tests/versions.rs
+++ b/components/gateway/tests/versions.rs
@@ -20,11 +20,11 @@
     fixture.feed(named(3, Some(0)));
     let now = fleet::Millis(fixture.now);
     let reported: Vec<(u64, Option<u64>)> =
-        fixture.gateway.named_versions(now).iter().map(|it| (it.version, it.age_ms)).collect();
+        fixture.gateway.announced_versions(now).iter().map(|it| (it.version, it.age_ms)).collect();
     assert_eq!(reported, [(2, Some(2000)), (3, Some(0))], "a receiver uses the last one");
     let later = fleet::Millis(fixture.now + VERSION_MS);
     let reported: Vec<u64> =
-        fixture.gateway.named_versions(later).iter().map(|it| it.version).collect();
+        fixture.gateway.announced_versions(later).iter().map(|it| it.version).collect();
     assert_eq!(reported, [3], "versions without an active bound need not be reported");
 }
 
@@ -55,7 +55,7 @@
     fixture.feed(named(3, Some(VERSION_MS - 600)));
     let now = fleet::Millis(fixture.now);
     let reported: Vec<u64> =
-        fixture.gateway.named_versions(now).iter().map(|it| it.version).collect();
+        fixture.gateway.announced_versions(now).iter().map(|it| it.version).collect();
     assert_eq!(reported, [2, 3]);
 }
 
--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -9,8 +9,8 @@
 use fleet::{InstanceId, Millis};
 
 use crate::digest::RequestDigest;
+use crate::incarnation::IncarnationDigest;
 use crate::ledger::{CrashChange, CrashLedger, RequestStatus, SUCCESS_GRACE_MS};
-use crate::life::LifeDigest;
 use crate::messages::CrashList;
 
 /// How long to wait for a report of the runner before a suspicion is confirmed as a crash. Longer than the
@@ -30,11 +30,11 @@
 
 /// Whether a runner is still running, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum RunnerLiveness {
     /// The runner is listed; its last report was received at this time.
-    Heard(Millis),
+    ReportedAt(Millis),
     /// The runner is no longer listed, or has restarted.
-    Over,
+    Gone,
 }
 
 /// An attempt that failed midway and may have crashed its runner.
@@ -42,7 +42,7 @@
 struct Suspicion {
     digest: RequestDigest,
     runner: InstanceId,
-    life: LifeDigest,
+    life: IncarnationDigest,
     at: Millis,
 }
 
@@ -124,25 +124,27 @@
         now: Millis,
         digest: RequestDigest,
         runner: InstanceId,
-        life: LifeDigest,
+        life: IncarnationDigest,
     ) {
         self.pending.push(Suspicion { digest, runner, life, at: now });
     }
 
-    /// Confirms or drops pending suspicions according to the state of their runners. `sign` returns that
+    /// Confirms or drops pending suspicions according to the state of their runners. `liveness` returns that
     /// state.
-    pub fn settle(
+    pub fn resolve_suspicions(
         &mut self,
         now: Millis,
-        sign: impl Fn(&InstanceId, LifeDigest) -> Sign,
+        liveness: impl Fn(&InstanceId, IncarnationDigest) -> RunnerLiveness,
     ) -> Vec<CrashNews> {
         let mut news = Vec::new();
         for suspicion in std::mem::take(&mut self.pending) {
             let is_due = now.since(suspicion.at).0 >= CRASH_CONFIRM_DELAY_MS;
-            match sign(&suspicion.runner, suspicion.life) {
-                Sign::Heard(at) if at >= suspicion.at.plus(REPORT_TRANSIT_MS) => {}
-                Sign::Heard(_) if !is_due => self.pending.push(suspicion),
-                Sign::Heard(_) | Sign::Over => news.extend(self.confirm(now, suspicion)),
+            match liveness(&suspicion.runner, suspicion.life) {
+                RunnerLiveness::ReportedAt(at) if at >= suspicion.at.plus(REPORT_TRANSIT_MS) => {}
+                RunnerLiveness::ReportedAt(_) if !is_due => self.pending.push(suspicion),
+                RunnerLiveness::ReportedAt(_) | RunnerLiveness::Gone => {
+                    news.extend(self.confirm(now, suspicion))
+                }
             }
         }
         news
@@ -154,7 +156,7 @@
         now: Millis,
         digest: RequestDigest,
         runner: InstanceId,
-        life: LifeDigest,
+        life: IncarnationDigest,
     ) -> Vec<CrashNews> {
         self.confirm(now, Suspicion { digest, runner, life, at: now })
     }
@@ -190,8 +192,8 @@
     }
 
     /// Merges a crash list from a sidecar or from the platform's store.
-    pub fn take(&mut self, now: Millis, list: &CrashList) -> Vec<CrashNews> {
-        let changes = self.ledger.take(now, list).into_iter();
+    pub fn merge(&mut self, now: Millis, list: &CrashList) -> Vec<CrashNews> {
+        let changes = self.ledger.merge(now, list).into_iter();
         let mut news: Vec<CrashNews> =
             changes.map(|change| CrashNews::Changed { change, is_own: false }).collect();
         // A request that others report may have succeeded here recently.
@@ -256,7 +258,7 @@
     /// cannot reach more runners than the quarantine threshold.
     fn status(&self, now: Millis, digest: RequestDigest) -> RequestStatus {
         let pending = self.pending.iter().filter(|it| it.digest == digest);
-        let lives: BTreeSet<LifeDigest> = pending.map(|it| it.life).collect();
+        let lives: BTreeSet<IncarnationDigest> = pending.map(|it| it.life).collect();
         self.ledger.status(now, digest, &lives)
     }
 
--- a/components/quarantine/src/life.rs
+++ b/components/quarantine/src/incarnation.rs
@@ -6,9 +6,9 @@
 /// A short digest of one incarnation of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct LifeDigest(u32);
+pub struct IncarnationDigest(u32);
 
-impl LifeDigest {
+impl IncarnationDigest {
     /// Computes the digest from the id of a runner and the start time that it reports.
     pub fn of(id: &InstanceId, born: Option<u64>) -> Self {
         let mut hasher = blake3::Hasher::new();
--- a/components/quarantine/src/ledger.rs
+++ b/components/quarantine/src/ledger.rs
@@ -13,8 +13,8 @@
 pub(crate) use self::entry::SUCCESS_GRACE_MS;
 use self::entry::{Entry, QUARANTINE_THRESHOLD};
 use crate::digest::RequestDigest;
-use crate::life::LifeDigest;
-use crate::messages::{CrashList, Told, ToldRequest};
+use crate::incarnation::IncarnationDigest;
+use crate::messages::{CrashList, ListScope, RequestReport};
 
 /// Most requests that are kept, a few hundred bytes each.
 const MAX_REQUESTS: usize = 1024;
@@ -61,7 +61,7 @@
         &mut self,
         now: Millis,
         digest: RequestDigest,
-        life: LifeDigest,
+        life: IncarnationDigest,
         at: Millis,
     ) -> Option<CrashChange> {
         self.change(now, digest, |entry| entry.add(life, at))
@@ -81,8 +81,8 @@
     }
 
     /// Merges a list from another process.
-    pub fn take(&mut self, now: Millis, list: &CrashList) -> Vec<CrashChange> {
-        let take = |report: &ToldRequest| {
+    pub fn merge(&mut self, now: Millis, list: &CrashList) -> Vec<CrashChange> {
+        let take = |report: &RequestReport| {
             self.change(now, report.digest, |entry| entry.merge(now, report))
         };
         list.0.iter().filter_map(take).collect()
@@ -150,10 +150,11 @@
         &self,
         now: Millis,
         digest: RequestDigest,
-        suspected: &BTreeSet<LifeDigest>,
+        suspected: &BTreeSet<IncarnationDigest>,
     ) -> RequestStatus {
         let known = self.requests.get(&digest);
-        let is_new = |life: &&LifeDigest| known.is_none_or(|it| !it.crashes.contains_key(life));
+        let is_new =
+            |life: &&IncarnationDigest| known.is_none_or(|it| !it.crashes.contains_key(life));
         let crashes = known.map_or(0, |it| it.crashes.len());
         match crashes + suspected.iter().filter(is_new).count() {
             0 => RequestStatus::Clear,
@@ -172,7 +173,11 @@
 
     /// The runner incarnations that crashed under a quarantined request. With `unrecorded`, only if the
     /// platform's store is not known to contain the quarantine.
-    pub fn lives_under(&self, digest: RequestDigest, unrecorded: bool) -> Option<Vec<LifeDigest>> {
+    pub fn incarnations_under(
+        &self,
+        digest: RequestDigest,
+        unrecorded: bool,
+    ) -> Option<Vec<IncarnationDigest>> {
         let entry = self.requests.get(&digest).filter(|it| it.is_quarantined())?;
         let is_selected = !unrecorded || !entry.is_recorded;
         is_selected.then(|| entry.crashes.keys().copied().collect())
@@ -200,13 +205,13 @@
     }
 
     /// The list for another process. If the entries exceed one list, those with the most crashes are included
-    /// first and, among these, the most recent. With `Told::Fresh`, one older quarantine is added, selected
-    /// by `draw`.
-    pub fn list(&self, now: Millis, part: Told, draw: u64) -> CrashList {
+    /// first and, among these, the most recent. With `ListScope::Fresh`, one older quarantine is added,
+    /// selected by `draw`.
+    pub fn list(&self, now: Millis, part: ListScope, draw: u64) -> CrashList {
         let is_included = |entry: &Entry| match part {
-            Told::Fresh => entry.is_fresh(now),
-            Told::FreshSuspects => entry.is_fresh(now) && entry.crashes.len() != 1,
-            Told::Suspects => entry.crashes.len() > 1 || entry.is_fresh(now),
+            ListScope::Fresh => entry.is_fresh(now),
+            ListScope::FreshSuspects => entry.is_fresh(now) && entry.crashes.len() != 1,
+            ListScope::Suspects => entry.crashes.len() > 1 || entry.is_fresh(now),
         };
         let mut entries: Vec<_> = self.requests.iter().filter(|it| is_included(it.1)).collect();
         entries.sort_by_key(|(_, it)| std::cmp::Reverse((it.crashes.len(), it.changed_at)));
@@ -217,7 +222,7 @@
         });
         let mut list: Vec<_> =
             entries.iter().map(|(digest, it)| it.to_message(now, **digest)).collect();
-        if part == Told::Fresh {
+        if part == ListScope::Fresh {
             list.extend(self.older_quarantine(now, draw));
         }
         CrashList(list)
@@ -225,7 +230,7 @@
 
     /// One quarantined request that has not changed recently, so that processes that lost it receive it
     /// again.
-    fn older_quarantine(&self, now: Millis, draw: u64) -> Option<ToldRequest> {
+    fn older_quarantine(&self, now: Millis, draw: u64) -> Option<RequestReport> {
         let is_older =
             |it: &&(&RequestDigest, &Entry)| it.1.is_quarantined() && !it.1.is_fresh(now);
         let older: Vec<_> = self.requests.iter().filter(|it| is_older(&it)).collect();
--- a/components/quarantine/src/ledger/entry.rs
+++ b/components/quarantine/src/ledger/entry.rs
@@ -5,8 +5,8 @@
 use fleet::Millis;
 
 use crate::digest::RequestDigest;
-use crate::life::LifeDigest;
-use crate::messages::{ToldCrash, ToldRequest};
+use crate::incarnation::IncarnationDigest;
+use crate::messages::{CrashReport, RequestReport};
 
 /// Number of runners that must crash under a request, with no success in between, to quarantine it. One or
 /// two may crash under a harmless request, because every request on a runner fails when another one crashes
@@ -37,7 +37,7 @@
 /// The crashes and the last success of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    pub(super) crashes: BTreeMap<LifeDigest, Millis>,
+    pub(super) crashes: BTreeMap<IncarnationDigest, Millis>,
     succeeded_at: Option<Millis>,
     /// When the entry last changed.
     pub(super) changed_at: Millis,
@@ -77,7 +77,7 @@
     }
 
     /// Adds a crash. Returns whether the entry changed.
-    pub(super) fn add(&mut self, life: LifeDigest, at: Millis) -> bool {
+    pub(super) fn add(&mut self, life: IncarnationDigest, at: Millis) -> bool {
         if self.succeeded_at.is_some_and(|it| at <= it.plus(SUCCESS_GRACE_MS)) {
             return false;
         }
@@ -105,7 +105,7 @@
     }
 
     /// Merges what another process reports of the request. Returns whether the entry changed.
-    pub(super) fn merge(&mut self, now: Millis, report: &ToldRequest) -> bool {
+    pub(super) fn merge(&mut self, now: Millis, report: &RequestReport) -> bool {
         let is_recorded = report.is_recorded && !self.is_recorded;
         self.is_recorded |= report.is_recorded;
         let success = report.success_age_ms.map(|age| now.minus(u64::from(age)));
@@ -125,11 +125,13 @@
     }
 
     /// The entry in the form that is sent to other processes.
-    pub(super) fn to_message(&self, now: Millis, digest: RequestDigest) -> ToldRequest {
+    pub(super) fn to_message(&self, now: Millis, digest: RequestDigest) -> RequestReport {
         let age = |at: Millis| u32::try_from(now.since(at).0).unwrap_or(u32::MAX);
-        let crash =
-            |(life, at): (&LifeDigest, &Millis)| ToldCrash { life: *life, age_ms: age(*at) };
-        ToldRequest {
+        let crash = |(life, at): (&IncarnationDigest, &Millis)| CrashReport {
+            life: *life,
+            age_ms: age(*at),
+        };
+        RequestReport {
             digest,
             crashes: self.crashes.iter().map(crash).collect(),
             success_age_ms: self.succeeded_at.map(age),
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -6,14 +6,14 @@
 
 mod crashes;
 mod digest;
+mod incarnation;
 mod ledger;
-mod life;
 mod messages;
 mod record;
 
-pub use crashes::{Admission, CrashNews, Crashes, Sign};
+pub use crashes::{Admission, CrashNews, Crashes, RunnerLiveness};
 pub use digest::RequestDigest;
+pub use incarnation::IncarnationDigest;
 pub use ledger::{CrashChange, CrashLedger, RequestStatus};
-pub use life::LifeDigest;
-pub use messages::{CrashList, Told, ToldCrash, ToldRequest};
+pub use messages::{CrashList, CrashReport, ListScope, RequestReport};
 pub use record::{QuarantineAnswer, QuarantineCall, QuarantineRecord};
--- a/components/quarantine/src/messages.rs
+++ b/components/quarantine/src/messages.rs
@@ -3,24 +3,24 @@
 use serde::{Deserialize, Serialize};
 
 use crate::digest::RequestDigest;
-use crate::life::LifeDigest;
+use crate::incarnation::IncarnationDigest;
 
 /// A crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldCrash {
+pub struct CrashReport {
     /// The runner incarnation that crashed.
-    pub life: LifeDigest,
+    pub life: IncarnationDigest,
     /// How long ago the crash was, in milliseconds.
     pub age_ms: u32,
 }
 
 /// What one process knows of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldRequest {
+pub struct RequestReport {
     /// The request.
     pub digest: RequestDigest,
     /// The crashes under the request.
-    pub crashes: Vec<ToldCrash>,
+    pub crashes: Vec<CrashReport>,
     /// How long ago the request last succeeded, in milliseconds, if that success is still kept.
     pub success_age_ms: Option<u32>,
     /// Whether the platform's store contains the quarantine of the request.
@@ -30,11 +30,11 @@
 /// A part of a ledger, in the form that is sent to other processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct CrashList(pub Vec<ToldRequest>);
+pub struct CrashList(pub Vec<RequestReport>);
 
 /// Which part of a ledger is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ListScope {
     /// The entries that changed recently.
     Fresh,
     /// The recently changed entries of requests that at least two runners crashed under, whose next crash may
--- a/components/quarantine/src/record.rs
+++ b/components/quarantine/src/record.rs
@@ -9,8 +9,8 @@
 
 use crate::crashes::CrashNews;
 use crate::digest::RequestDigest;
+use crate::incarnation::IncarnationDigest;
 use crate::ledger::CrashChange;
-use crate::life::LifeDigest;
 use crate::messages::CrashList;
 
 /// Delay before a gateway writes the row of a request that another gateway quarantined: time for two calls by
@@ -30,7 +30,7 @@
     Read,
     /// Write the row of a request, with the runner incarnations that crashed under it. The call is
     /// idempotent.
-    Write(RequestDigest, Vec<LifeDigest>),
+    Write(RequestDigest, Vec<IncarnationDigest>),
     /// Remove the row of a request that succeeded.
     Remove(RequestDigest),
 }
@@ -79,7 +79,7 @@
     }
 
     /// Schedules the write or removal that follows from a change of status.
-    pub fn hear(&mut self, now: Millis, seed: u64, news: &CrashNews) {
+    pub fn handle_change(&mut self, now: Millis, seed: u64, news: &CrashNews) {
         let CrashNews::Changed { change, is_own } = news else {
             return;
         };
@@ -101,7 +101,7 @@
     /// Handles that the store was restored from an older copy. The rows of the `quarantined` requests are
     /// written again, and those that were removed recently are removed again, because the copy may contain
     /// them.
-    pub fn note_went_back(
+    pub fn handle_store_restore(
         &mut self,
         now: Millis,
         seed: u64,
@@ -122,7 +122,7 @@
     pub fn due(
         &mut self,
         now: Millis,
-        lives: impl Fn(RequestDigest, bool) -> Option<Vec<LifeDigest>>,
+        lives: impl Fn(RequestDigest, bool) -> Option<Vec<IncarnationDigest>>,
     ) -> Option<QuarantineCall> {
         if self.read_at.is_some_and(|at| at <= now) {
             return Some(QuarantineCall::Read);
@@ -150,7 +150,7 @@
     }
 
     /// Handles the result of a call. Returns the request whose row was written.
-    pub fn take(
+    pub fn handle_answer(
         &mut self,
         now: Millis,
         seed: u64,
--- a/components/quarantine/tests/ledger.rs
+++ b/components/quarantine/tests/ledger.rs
@@ -4,13 +4,15 @@
 
 use fleet::Millis;
 use proptest::prelude::*;
-use quarantine::{CrashChange, CrashLedger, LifeDigest, RequestDigest, RequestStatus, Told};
+use quarantine::{
+    CrashChange, CrashLedger, IncarnationDigest, ListScope, RequestDigest, RequestStatus,
+};
 
 const REQUEST: RequestDigest = RequestDigest(7);
 const SECOND_MS: u64 = 1000;
 
-fn life(number: u8) -> LifeDigest {
-    LifeDigest::of(&format!("i-{number}").as_str().into(), None)
+fn life(number: u8) -> IncarnationDigest {
+    IncarnationDigest::of(&format!("i-{number}").as_str().into(), None)
 }
 
 fn at(ms: u64) -> Millis {
@@ -51,7 +53,7 @@
     let mut ledger = crashed(2);
     assert_eq!(crash(&mut ledger, 2000, 1), None);
     assert_eq!(status(&mut ledger, 2000), RequestStatus::Suspect);
-    let restarted = LifeDigest::of(&"i-1".into(), Some(1));
+    let restarted = IncarnationDigest::of(&"i-1".into(), Some(1));
     assert_ne!(restarted, life(1));
     ledger.note_crash(at(2000), REQUEST, restarted, at(2000));
     assert!(is_quarantined(status(&mut ledger, 2000)));
@@ -68,13 +70,13 @@
 #[test]
 fn a_success_clears_a_request_and_older_reports_do_not_restore_its_crashes() {
     let mut ledger = crashed(3);
-    let older = ledger.list(at(2500), Told::Suspects, 0);
+    let older = ledger.list(at(2500), ListScope::Suspects, 0);
     let cleared = ledger.note_success(at(3000), REQUEST, at(3000));
     let change = CrashChange::Cleared { digest: REQUEST, was_quarantined: true };
     assert_eq!(cleared, Some(change));
     assert_eq!(status(&mut ledger, 3000), RequestStatus::Clear);
     // The list was in transit for 900 ms; its ages are as of when it was sent.
-    assert_eq!(ledger.take(at(2900), &older), []);
+    assert_eq!(ledger.merge(at(2900), &older), []);
     assert_eq!(status(&mut ledger, 3400), RequestStatus::Clear);
 }
 
@@ -82,12 +84,12 @@
 fn a_success_is_reported_to_processes_that_know_of_the_crashes() {
     let mut ledger = crashed(3);
     let mut other = CrashLedger::default();
-    other.take(at(2500), &ledger.list(at(2500), Told::FreshSuspects, 0));
+    other.merge(at(2500), &ledger.list(at(2500), ListScope::FreshSuspects, 0));
     assert!(is_quarantined(status(&mut other, 2500)));
     ledger.note_success(at(4000), REQUEST, at(4000));
-    let report = ledger.list(at(5000), Told::FreshSuspects, 0);
+    let report = ledger.list(at(5000), ListScope::FreshSuspects, 0);
     let change = CrashChange::Cleared { digest: REQUEST, was_quarantined: true };
-    assert_eq!(other.take(at(5000), &report), [change]);
+    assert_eq!(other.merge(at(5000), &report), [change]);
 }
 
 #[test]
@@ -108,7 +110,7 @@
 fn a_success_of_an_unsuspected_request_is_not_kept() {
     let mut ledger = CrashLedger::default();
     assert_eq!(ledger.note_success(at(0), REQUEST, at(0)), None);
-    assert_eq!(ledger.list(at(0), Told::Fresh, 0).0, []);
+    assert_eq!(ledger.list(at(0), ListScope::Fresh, 0).0, []);
 }
 
 #[test]
@@ -144,7 +146,7 @@
         ledger.note_crash(at(4000), RequestDigest(number), life(9), at(4000));
     }
     assert_eq!(ledger.count(), (1024, 1));
-    let report = ledger.list(at(4500), Told::Fresh, 0);
+    let report = ledger.list(at(4500), ListScope::Fresh, 0);
     assert_eq!(report.0[0].digest, REQUEST);
     let crashes: usize = report.0.iter().map(|it| it.crashes.len()).sum();
     assert_eq!(crashes, 32);
@@ -160,9 +162,9 @@
     }
     let mut other = CrashLedger::default();
     for draw in 0..3 {
-        let report = ledger.list(at(60_000), Told::Fresh, draw);
+        let report = ledger.list(at(60_000), ListScope::Fresh, draw);
         assert_eq!(report.0.len(), 1);
-        other.take(at(60_000), &report);
+        other.merge(at(60_000), &report);
     }
     assert_eq!(other.count(), (3, 3));
 }
@@ -202,15 +204,15 @@
                 Observation::Success => {}
             }
             for (from, to, _) in exchanges.iter().filter(|it| it.2 == step) {
-                let report = ledgers[*from].list(at(now), Told::Fresh, 0);
-                ledgers[*to].take(at(now), &report);
+                let report = ledgers[*from].list(at(now), ListScope::Fresh, 0);
+                ledgers[*to].merge(at(now), &report);
             }
         }
         let end = observations.len() as u64 * 100;
         for _ in 0..2 {
             for from in 0..4 {
-                let report = ledgers[from].list(at(end), Told::Fresh, 0);
-                ledgers.iter_mut().for_each(|it| { it.take(at(end), &report); });
+                let report = ledgers[from].list(at(end), ListScope::Fresh, 0);
+                ledgers.iter_mut().for_each(|it| { it.merge(at(end), &report); });
             }
         }
         let crashes: BTreeSet<usize> = ledgers.iter().map(|it| it.crashes(REQUEST)).collect();
--- a/components/reducer/src/entry/crashes.rs
+++ b/components/reducer/src/entry/crashes.rs
@@ -6,7 +6,9 @@
 
 use errors::Code;
 use fleet::{InstanceId, Millis, Process, RequestId};
-use quarantine::{Admission, CrashList, CrashNews, Crashes, LifeDigest, RequestDigest, Told};
+use quarantine::{
+    Admission, CrashList, CrashNews, Crashes, IncarnationDigest, ListScope, RequestDigest,
+};
 use wire::DatagramBody;
 
 use super::{Arrival, Entry, EntryEffect};
@@ -51,7 +53,7 @@
         if !matches!(code, Code::ConnectionLost | Code::CutShort) {
             return Vec::new();
         }
-        let life = LifeDigest::of(agent, None);
+        let life = IncarnationDigest::of(agent, None);
         let changes = self.known_crashes.crashes.note_crash(now, digest, agent.clone(), life);
         self.schedule_report(now, changes)
     }
@@ -73,7 +75,7 @@
 
     /// Merges a crash list from another entry.
     pub(super) fn merge_crashes(&mut self, now: Millis, list: &CrashList) -> Vec<EntryEffect> {
-        let changes = self.known_crashes.crashes.take(now, list);
+        let changes = self.known_crashes.crashes.merge(now, list);
         changes.into_iter().map(EntryEffect::Crash).collect()
     }
 
@@ -92,7 +94,7 @@
         self.known_crashes.report_at = now.plus(REPORT_INTERVAL_MS);
         let ledger = &mut self.known_crashes.crashes.ledger;
         ledger.forget_old(now);
-        let list = ledger.list(now, Told::Fresh, seed.below(u64::MAX));
+        let list = ledger.list(now, ListScope::Fresh, seed.below(u64::MAX));
         if list.0.is_empty() {
             return Vec::new();
         }
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -353,7 +353,7 @@
     }
 
     /// The announced versions to report to gateways, each until its deadline, oldest first.
-    pub fn named_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
+    pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
         let Some(plan) = &self.plan else {
             return Vec::new();
         };
