--- a/components/reducer/src/agent/engine.rs
+++ b/components/reducer/src/agent/engine.rs
@@ -56,7 +56,7 @@
     }
 
     /// The next action for one deployment: reading the manifest or sending the order to load. Chunks are
-    /// downloaded by the spread.
+    /// fetched by the spread.
     fn next_action(&mut self, now: Millis, required: &RequiredModel) -> Vec<AgentEffect> {
         let version = required.release.version;
         let role = required.role;
@@ -91,7 +91,8 @@
             self.manifest_retry_at.insert(version, now.plus(MEMORY_RECHECK_MS));
             return vec![AgentEffect::CountRefusal(Code::TooLarge)];
         }
-        // The result of the read removes or replaces this entry; the distant time prevents a second read until then.
+        // The result of the read removes or replaces this entry; the distant time prevents a second read until
+        // then.
         self.manifest_retry_at.insert(version, Millis(u64::MAX));
         let holders =
             self.control.members.others().filter(|it| {
@@ -136,8 +137,8 @@
         self.reconcile(now)
     }
 
-    /// Stops the download of versions that are no longer required and drops their chunks. A version that the
-    /// engine still serves is kept, because peers may download it; a separate order unloads it.
+    /// Stops the fetch of versions that are no longer required and drops their chunks. A version that the
+    /// engine still serves is kept, because peers may fetch it; a separate order unloads it.
     fn drop_unrequired(&mut self, required: &[RequiredModel]) -> Vec<AgentEffect> {
         let is_required =
             |version: &VersionId| required.iter().any(|it| &it.release.version == version);
--- a/components/reducer/src/agent/event.rs
+++ b/components/reducer/src/agent/event.rs
@@ -47,7 +47,7 @@
         /// The chunks that the sender holds, and the length of its upload queue.
         sender: Option<(Bitmap, u32)>,
     },
-    /// The download of a chunk failed.
+    /// The fetch of a chunk failed.
     ChunkFailed {
         /// The version.
         version: VersionId,
@@ -118,14 +118,14 @@
         /// Peers that may hold the manifest.
         peers: Vec<SocketAddr>,
     },
-    /// Download a chunk.
+    /// Fetch a chunk.
     Draw {
         /// The chunk and its source.
         draw: Draw,
         /// The chunks that this agent holds.
         have: Bitmap,
     },
-    /// Drop the staged chunks of a version and stop its downloads.
+    /// Drop the staged chunks of a version and stop its fetches.
     Drop(VersionId),
     /// Send a chunk to the peer that requested it.
     Upload {
--- a/components/reducer/src/agent/tests.rs
+++ b/components/reducer/src/agent/tests.rs
@@ -1,12 +1,12 @@
 //! Stateful property test of the agent's reducer. The oracle records which verified chunks were delivered,
-//! which downloads are pending, and which orders the engine has executed.
+//! which fetches are pending, and which orders the engine has executed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::weights::{DOWNLOAD_WINDOW, UPLOAD_QUEUE_LIMIT};
+use super::weights::{FETCH_WINDOW, UPLOAD_QUEUE_LIMIT};
 use super::*;
 use crate::spread::{Draw, DrawSource, SpreadOptions};
 use crate::Choice;
@@ -31,8 +31,8 @@
     Deploy(Option<usize>),
     /// The oldest pending read of a manifest succeeds or fails.
     Manifest(bool),
-    /// A pending download succeeds, delivers a corrupt chunk, or fails.
-    Chunk { which: usize, outcome: DownloadOutcome },
+    /// A pending fetch succeeds, delivers a corrupt chunk, or fails.
+    Chunk { which: usize, outcome: FetchOutcome },
     /// A peer reports which chunks it holds, truthfully or not.
     Summary { peer: usize, version: usize, held: u8 },
     /// The oldest order succeeds or fails.
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum DownloadOutcome {
+enum FetchOutcome {
     Verified,
     Corrupt,
     Stalled,
@@ -53,10 +53,10 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let outcome = prop_oneof![
-        6 => Just(DownloadOutcome::Verified),
-        1 => Just(DownloadOutcome::Corrupt),
-        1 => Just(DownloadOutcome::Stalled),
-        1 => Just(DownloadOutcome::Missing),
+        6 => Just(FetchOutcome::Verified),
+        1 => Just(FetchOutcome::Corrupt),
+        1 => Just(FetchOutcome::Stalled),
+        1 => Just(FetchOutcome::Missing),
     ];
     prop_oneof![
         1 => proptest::option::of(0usize..2).prop_map(Step::Deploy),
@@ -169,13 +169,13 @@
             self.check_effect(effect);
         }
         let from_peers = self.draws.iter().filter(|it| it.source != DrawSource::Origin).count();
-        assert!(from_peers <= DOWNLOAD_WINDOW, "more chunks in flight than the window");
+        assert!(from_peers <= FETCH_WINDOW, "more chunks in flight than the window");
         assert!(self.draws.len() - from_peers <= 2, "more chunks from the origin than allowed");
     }
 
     fn check_effect(&mut self, effect: AgentEffect) {
         match effect {
-            AgentEffect::Draw { draw, .. } => self.check_draw(draw),
+            AgentEffect::Draw { draw, .. } => self.check_fetch(draw),
             AgentEffect::ReadManifest { version, .. } => self.manifest_reads.push_back(version),
             AgentEffect::Drop(version) => {
                 self.delivered.remove(&version);
@@ -191,7 +191,7 @@
         }
     }
 
-    fn check_draw(&mut self, draw: Draw) {
+    fn check_fetch(&mut self, draw: Draw) {
         assert_eq!(
             Some(draw.version),
             self.required(),
@@ -250,21 +250,21 @@
         }
     }
 
-    fn end_draw(&mut self, which: usize, outcome: DownloadOutcome) {
+    fn end_fetch(&mut self, which: usize, outcome: FetchOutcome) {
         if self.draws.is_empty() {
             return;
         }
         let Draw { version, index, source, .. } = self.draws.remove(which % self.draws.len());
         let event = match outcome {
-            DownloadOutcome::Verified | DownloadOutcome::Corrupt => {
-                let verified = matches!(outcome, DownloadOutcome::Verified);
+            FetchOutcome::Verified | FetchOutcome::Corrupt => {
+                let verified = matches!(outcome, FetchOutcome::Verified);
                 if verified {
                     self.delivered.entry(version).or_default().insert(index);
                 }
                 AgentEvent::ChunkArrived { version, index, source, verified, sender: None }
             }
-            DownloadOutcome::Stalled | DownloadOutcome::Missing => {
-                let lost = matches!(outcome, DownloadOutcome::Stalled);
+            FetchOutcome::Stalled | FetchOutcome::Missing => {
+                let lost = matches!(outcome, FetchOutcome::Stalled);
                 let code = if lost { Code::PeerStalled } else { Code::ChunkMissing };
                 AgentEvent::ChunkFailed { version, index, source, code, retry_after_ms: 0 }
             }
@@ -317,7 +317,7 @@
         match step {
             Step::Deploy(which) => self.deploy(*which),
             Step::Manifest(found) => self.answer_manifest(*found),
-            Step::Chunk { which, outcome } => self.end_draw(*which, *outcome),
+            Step::Chunk { which, outcome } => self.end_fetch(*which, *outcome),
             Step::Summary { peer, version, held } => self.summarize(*peer, *version, *held),
             Step::Order(succeeded) => self.end_order(*succeeded),
             Step::Ask { version, index } => {
@@ -349,7 +349,7 @@
                 return;
             }
             self.run_step(&Step::Manifest(true));
-            self.run_step(&Step::Chunk { which: 0, outcome: DownloadOutcome::Verified });
+            self.run_step(&Step::Chunk { which: 0, outcome: FetchOutcome::Verified });
             self.run_step(&Step::Order(true));
             self.run_step(&Step::Tick(500));
         }
--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -1,4 +1,4 @@
-//! Distribution of weights at an agent: the order in which versions are downloaded, and the chunks that are
+//! Distribution of weights at an agent: the order in which versions are fetched, and the chunks that are
 //! sent to peers.
 
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 use crate::spread::{DrawSource, Participant, Spread, SpreadEffect, SpreadPhase};
 
 /// Most chunks in flight to this instance over all spreads.
-pub(super) const DOWNLOAD_WINDOW: usize = 8;
+pub(super) const FETCH_WINDOW: usize = 8;
 /// Chunks in flight that every spread may have, whatever its priority.
 const MIN_SPREAD_WINDOW: usize = 2;
 /// Most chunks in the upload queue.
@@ -137,12 +137,12 @@
         effects
     }
 
-    /// Starts downloads for every spread in order of priority. Each spread has a minimum window, so that an
+    /// Starts fetches for every spread in order of priority. Each spread has a minimum window, so that an
     /// adapter does not wait behind a large model.
     pub(super) fn draw(&mut self, now: Millis) -> Vec<AgentEffect> {
         let ordered = self.spreads_by_priority();
         let active = ordered.len();
-        let mut remaining = DOWNLOAD_WINDOW.saturating_sub(MIN_SPREAD_WINDOW * active);
+        let mut remaining = FETCH_WINDOW.saturating_sub(MIN_SPREAD_WINDOW * active);
         let mut effects = Vec::new();
         for version in ordered {
             let Some(spread) = self.spreads.get_mut(&version) else {
--- a/components/reducer/src/planner/draft.rs
+++ b/components/reducer/src/planner/draft.rs
@@ -29,7 +29,7 @@
     let base = fleet.configuration.revision;
     let Draft { bytes, receivers, .. } = draft;
     let bound = fleet.estimate.bound_seconds(bytes, receivers);
-    // Each group of halls may download one copy, so there are never more copies than halls.
+    // Each group of halls may fetch one copy, so there are never more copies than halls.
     let halls = count_halls(&draft.change) as u32;
     let copies =
         if draft.held_by_peers { 0 } else { fleet.estimate.copies.min(receivers).min(halls) };
--- a/components/reducer/src/planner/estimate.rs
+++ b/components/reducer/src/planner/estimate.rs
@@ -7,7 +7,7 @@
     pub origin_bytes_per_s: f64,
     /// Rate of an instance's link in each direction, in bytes per second.
     pub link_bytes_per_s: f64,
-    /// Number of copies that may be downloaded from the origin.
+    /// Number of copies that may be fetched from the origin.
     pub copies: u32,
 }
 
--- a/components/reducer/src/spread/gate.rs
+++ b/components/reducer/src/spread/gate.rs
@@ -1,4 +1,4 @@
-//! Decides which receiver may download a chunk from the origin, and when.
+//! Decides which receiver may fetch a chunk from the origin, and when.
 //!
 //! The receivers that share one copy form a group. Each chunk has an owner in the group, which every receiver
 //! computes alike, and a scheduled time at which the origin is asked for it. If the owner is dead, the next
@@ -16,18 +16,18 @@
 /// Time that a receiver waits for the one ranked before it, as a share of the ideal time to distribute the
 /// version.
 const PATIENCE_SHARE: f64 = 0.25;
-/// Factor on that time if only one copy may be downloaded. Reports of what peers hold arrive with a delay,
-/// and a receiver that waits too little downloads chunks that are already on their way.
+/// Factor on that time if only one copy may be fetched. Reports of what peers hold arrive with a delay,
+/// and a receiver that waits too little fetches chunks that are already on their way.
 const ONE_COPY_PATIENCE_FACTOR: u64 = 3;
 /// Shortest interval between two scheduled chunks, as a share of the time that the origin's link takes for
-/// one. With intervals as long as that time, the link is idle whenever a download starts late; shorter ones
-/// keep a few downloads queued at the origin.
+/// one. With intervals as long as that time, the link is idle whenever a fetch starts late; shorter ones
+/// keep a few fetches queued at the origin.
 const MIN_INTERVAL_SHARE: f64 = 0.8;
-/// Longest queueing time at the origin at the end of the schedule, as a share of the patience. A download
+/// Longest queueing time at the origin at the end of the schedule, as a share of the patience. A fetch
 /// that is queued for nearly the patience is started a second time by the next receiver, which lengthens the
 /// queue for all others.
 const MAX_QUEUEING_SHARE: f64 = 0.1;
-/// Most ranks whose patience a receiver waits before it downloads as a last resort.
+/// Most ranks whose patience a receiver waits before it fetches as a last resort.
 const LAST_RESORT_RANKS: u64 = 6;
 
 /// The schedule and the ranks for one version at one receiver.
@@ -40,7 +40,7 @@
     /// The other receivers that are known to be down.
     down: BTreeSet<InstanceId>,
     /// For each chunk, the number of other receivers that are up and ranked before this one. Cached, because
-    /// it is read for each download.
+    /// it is read for each fetch.
     ranks: Vec<u32>,
     /// For each chunk, the index in `others` of the first-ranked receiver that is up.
     first_others: Vec<Option<usize>>,
@@ -55,7 +55,7 @@
 /// Settings of a gate.
 #[derive(Clone, Copy, Debug)]
 pub struct GateOptions {
-    /// Number of copies that may be downloaded; each group of halls downloads one.
+    /// Number of copies that may be fetched; each group of halls fetches one.
     pub copies: u32,
     /// Time that the origin's link takes for one chunk, in milliseconds.
     pub chunk_ms: f64,
@@ -160,18 +160,18 @@
         self.ranks = ranks;
     }
 
-    /// When this receiver may download a chunk, if nobody in its group holds it by then.
+    /// When this receiver may fetch a chunk, if nobody in its group holds it by then.
     pub fn due(&self, started: Millis, chunk: u32) -> Millis {
         let rank = self.rank(chunk);
         self.scheduled_at(started, chunk).plus(rank.saturating_mul(self.patience_ms))
     }
 
-    /// When a chunk should have reached other receivers, if the receiver that downloaded it is alive.
+    /// When a chunk should have reached other receivers, if the receiver that fetched it is alive.
     pub fn overdue(&self, started: Millis, chunk: u32) -> Millis {
         self.due(started, chunk).plus(self.patience_ms)
     }
 
-    /// When this receiver may download a chunk although peers report that they hold it.
+    /// When this receiver may fetch a chunk although peers report that they hold it.
     pub fn last_resort(&self, started: Millis, chunk: u32) -> Millis {
         let ranks = self.rank(chunk).min(LAST_RESORT_RANKS) + LAST_RESORT_RANKS;
         self.scheduled_at(started, chunk).plus(ranks * self.patience_ms)
@@ -184,7 +184,7 @@
     }
 
     /// Schedules the missing chunks again without gaps, in their previous order. All other chunks may be
-    /// downloaded at once, should they go missing again.
+    /// fetched at once, should they go missing again.
     pub fn reschedule(&mut self, missing: &[u32]) {
         let mut ordered: Vec<u32> = missing.to_vec();
         ordered.sort_by_key(|chunk| self.schedule.get(*chunk as usize));
--- a/components/reducer/src/spread/gate/tests.rs
+++ b/components/reducer/src/spread/gate/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn downloads_follow_the_schedule_of_the_origin() {
+fn fetches_follow_the_schedule_of_the_origin() {
     let gates = gates(12, 1);
     let owner = |chunk| gates.iter().find(|gate| gate.rank(chunk) == 0).unwrap();
     assert_eq!(owner(0).due(Millis(100), 0), Millis(100));
@@ -43,7 +43,7 @@
 }
 
 /// Guards against chunks with several owners: while a fleet grows, the lists of receivers differ by one or
-/// two entries. Receivers must not disagree on nearly every owner then, or half of the version is downloaded
+/// two entries. Receivers must not disagree on nearly every owner then, or half of the version is fetched
 /// twice.
 #[test]
 fn receivers_with_slightly_different_lists_agree_on_most_owners() {
--- a/components/reducer/src/spread/mod.rs
+++ b/components/reducer/src/spread/mod.rs
@@ -1,4 +1,4 @@
-//! Distribution of one version to this instance: which chunk is downloaded next, from whom, and when the
+//! Distribution of one version to this instance: which chunk is fetched next, from whom, and when the
 //! origin may be asked. Every receiver decides for itself; there is no coordinator.
 
 mod gate;
--- a/components/reducer/src/spread/neighbour.rs
+++ b/components/reducer/src/spread/neighbour.rs
@@ -26,7 +26,7 @@
     pub address: SocketAddr,
     /// 0 in the same hall, 1 in the same region, 2 elsewhere.
     pub distance: u32,
-    /// Whether it shares the copy that this group downloads from the origin.
+    /// Whether it shares the copy that this group fetches from the origin.
     pub in_group: bool,
     /// Whether its engine already serves the version. It then holds chunks for others and needs none.
     pub serves: bool,
@@ -42,7 +42,7 @@
     pub not_before: Millis,
     /// Failures since the last good chunk.
     bad_chunks: u32,
-    /// Whether a download from it has failed since its last message. It may be down, and its chunks lost.
+    /// Whether a fetch from it has failed since its last message. It may be down, and its chunks lost.
     is_doubtful: bool,
     /// Refusals because of a full queue since the last good chunk.
     refusals: u32,
@@ -129,9 +129,9 @@
         self.average_ms = Some(before + SMOOTHING_FACTOR * (elapsed - before));
     }
 
-    /// Records a refusal because of a full queue. After `REFUSALS_BEFORE_BACKOFF` consecutive refusals the delay
-    /// doubles with each further one: otherwise a neighbour behind a stalled link would be asked fifty times
-    /// a second. It does not double from the first refusal on, because few receivers hold chunks when a
+    /// Records a refusal because of a full queue. After `REFUSALS_BEFORE_BACKOFF` consecutive refusals the
+    /// delay doubles with each further one: otherwise a neighbour behind a stalled link would be asked fifty
+    /// times a second. It does not double from the first refusal on, because few receivers hold chunks when a
     /// spread starts, and long delays would leave their links idle.
     pub fn record_refusal(&mut self, now: Millis, retry_after: u64) {
         let doublings = self.refusals.saturating_sub(REFUSALS_BEFORE_BACKOFF).min(MAX_DOUBLINGS);
--- a/components/reducer/src/spread/tests.rs
+++ b/components/reducer/src/spread/tests.rs
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn downloads_one_copy_if_one_is_allowed_and_at_most_one_per_hall_otherwise() {
+fn fetches_one_copy_if_one_is_allowed_and_at_most_one_per_hall_otherwise() {
     let one = run(24, 128, Choice::Rarest, 1);
     assert!(one.origin_draws <= 128 * 105 / 100, "{one:?}");
     let three = run(24, 128, Choice::Rarest, 4);
--- a/components/reducer/src/spread/version/arrivals.rs
+++ b/components/reducer/src/spread/version/arrivals.rs
@@ -1,9 +1,9 @@
-//! Completion and failure of chunk downloads.
+//! Completion and failure of chunk fetches.
 
 use errors::Code;
 use fleet::Millis;
 
-use super::{DrawSource, PendingDownload, Spread};
+use super::{DrawSource, PendingFetch, Spread};
 
 /// Weight of a new measurement in the moving average of chunk times.
 const CHUNK_SMOOTHING_FACTOR: f64 = 0.25;
@@ -18,10 +18,10 @@
         source: &DrawSource,
         verified: bool,
     ) -> bool {
-        let Some(download) = self.remove_download(index, source) else {
+        let Some(fetch) = self.remove_fetch(index, source) else {
             return false;
         };
-        let took = now.since(download.sent).0 as f64;
+        let took = now.since(fetch.sent).0 as f64;
         self.chunk_ms += CHUNK_SMOOTHING_FACTOR * (took - self.chunk_ms);
         if source == &DrawSource::Origin {
             self.origin_failures = 0;
@@ -33,9 +33,7 @@
         if let DrawSource::Peer(id, _) = source {
             self.record_message(id);
             match self.neighbours.get_mut(id) {
-                Some(neighbour) if verified => {
-                    neighbour.record_good_chunk(now.since(download.sent))
-                }
+                Some(neighbour) if verified => neighbour.record_good_chunk(now.since(fetch.sent)),
                 Some(neighbour) => neighbour.record_bad_chunk(now),
                 None => {}
             }
@@ -48,7 +46,7 @@
         true
     }
 
-    /// Handles the failure of a download.
+    /// Handles the failure of a fetch.
     pub fn fail_chunk(
         &mut self,
         now: Millis,
@@ -57,7 +55,7 @@
         code: Code,
         retry_after: u64,
     ) {
-        if self.remove_download(index, source).is_none() {
+        if self.remove_fetch(index, source).is_none() {
             return;
         }
         self.second_copies.handle_failure(now, index);
@@ -81,9 +79,9 @@
         }
     }
 
-    /// Removes a download that is no longer in flight. Returns `None` if the chunk had not been requested
+    /// Removes a fetch that is no longer in flight. Returns `None` if the chunk had not been requested
     /// from this source.
-    fn remove_download(&mut self, index: u32, source: &DrawSource) -> Option<PendingDownload> {
+    fn remove_fetch(&mut self, index: u32, source: &DrawSource) -> Option<PendingFetch> {
         if self.in_flight.get(&index).is_none_or(|it| &it.source != source) {
             return None;
         }
--- a/components/reducer/src/spread/version/choice.rs
+++ b/components/reducer/src/spread/version/choice.rs
@@ -2,7 +2,7 @@
 
 use fleet::{InstanceId, Millis};
 
-use super::{millis_for, Choice, Draw, DrawSource, PendingDownload, Spread, SpreadEffect};
+use super::{millis_for, Choice, Draw, DrawSource, PendingFetch, Spread, SpreadEffect};
 use crate::seed::shared_hash;
 use crate::spread::neighbour::Neighbour;
 
@@ -18,19 +18,19 @@
 const ASSUMED_QUEUE_CHUNKS: f64 = 16.0;
 
 impl Spread {
-    /// Returns the downloads to start now, up to `window` chunks in flight from peers. Downloads from the
+    /// Returns the fetches to start now, up to `window` chunks in flight from peers. Fetches from the
     /// origin are not limited by it, because all receivers wait for a chunk whose owner is late.
     pub fn draw(&mut self, now: Millis, window: usize) -> Vec<SpreadEffect> {
         let mut effects = Vec::new();
-        while let Some(draw) = self.draw_from_origin(now) {
+        while let Some(draw) = self.fetch_from_origin(now) {
             effects.push(SpreadEffect::Draw(draw));
         }
         let mut counts = None;
         while self.in_flight() < window {
             let counts = counts.get_or_insert_with(|| self.count_holders());
             let next = match self.options.choice {
-                Choice::Rarest => self.draw_from_peer(now, counts),
-                Choice::Random => self.draw_at_random(now),
+                Choice::Rarest => self.fetch_from_peer(now, counts),
+                Choice::Random => self.fetch_random_chunk(now),
                 Choice::OriginOnly => None,
             };
             match next {
@@ -55,7 +55,7 @@
 
     /// Selects the least busy source, then the rarest of its chunks. Using an idle link is worth more than a
     /// rare chunk behind a queue.
-    fn draw_from_peer(&mut self, now: Millis, counts: &[u32]) -> Option<Draw> {
+    fn fetch_from_peer(&mut self, now: Millis, counts: &[u32]) -> Option<Draw> {
         let chunk_ms =
             millis_for(u64::from(self.manifest.chunk_bytes), self.options.download_bytes_per_s);
         let mut sources: Vec<(&InstanceId, &Neighbour)> = self.neighbours.iter().collect();
@@ -68,11 +68,11 @@
             let index = self.rarest(now, neighbour, counts)?;
             Some((index, DrawSource::Peer(id.clone(), neighbour.address)))
         })?;
-        Some(self.start_download(now, index, source, false))
+        Some(self.start_fetch(now, index, source, false))
     }
 
     /// The baseline `Choice::Random`: any missing chunk from any neighbour that holds it.
-    fn draw_at_random(&mut self, now: Millis) -> Option<Draw> {
+    fn fetch_random_chunk(&mut self, now: Millis) -> Option<Draw> {
         let pseudorandom = |salt: u32| {
             shared_hash(&[self.me.0.as_bytes(), &now.0.to_le_bytes(), &salt.to_le_bytes()])
         };
@@ -89,7 +89,7 @@
         }
         let pick = pseudorandom(self.in_flight.len() as u32) as usize % offers.len().max(1);
         let (index, source) = offers.get(pick)?.clone();
-        Some(self.start_download(now, index, source, false))
+        Some(self.start_fetch(now, index, source, false))
     }
 
     /// The rarest chunk that a neighbour holds and that is neither held here nor in flight. Among equally
@@ -105,8 +105,8 @@
         wanted.min_by_key(|index| (counts[*index as usize], (index + chunks - start) % chunks))
     }
 
-    /// Whether a chunk may be downloaded from another hall: by its owner in this hall, or by the next in rank
-    /// once the owner has had time to download it since a neighbour first offered it.
+    /// Whether a chunk may be fetched from another hall: by its owner in this hall, or by the next in rank
+    /// once the owner has had time to fetch it since a neighbour first offered it.
     fn may_draw_from_other_hall(&self, now: Millis, index: u32) -> bool {
         let Some(gate) = &self.hall_gate else {
             return true;
@@ -116,7 +116,7 @@
         !held_near && now >= gate.due(offered_at, index)
     }
 
-    pub(super) fn start_download(
+    pub(super) fn start_fetch(
         &mut self,
         now: Millis,
         index: u32,
@@ -134,7 +134,7 @@
             }
         }
         let span = (expected_ms * DEADLINE_FACTOR).clamp(MIN_DEADLINE_MS, MAX_DEADLINE_MS) as u64;
-        self.in_flight.insert(index, PendingDownload { source: source.clone(), sent: now });
+        self.in_flight.insert(index, PendingFetch { source: source.clone(), sent: now });
         let deadline = now.plus(span);
         Draw { version: self.version, index, source, deadline, last_resort }
     }
--- a/components/reducer/src/spread/version/mod.rs
+++ b/components/reducer/src/spread/version/mod.rs
@@ -25,9 +25,9 @@
 use super::gate::{Gate, GateOptions};
 use super::neighbour::Neighbour;
 
-/// A chunk that is being downloaded.
+/// A chunk that is being fetched.
 #[derive(Clone, Debug)]
-struct PendingDownload {
+struct PendingFetch {
     source: DrawSource,
     sent: Millis,
 }
@@ -45,20 +45,20 @@
     receivers: Vec<(InstanceId, Hall)>,
     gate_options: GateOptions,
     gate: Gate,
-    /// Decides which receiver downloads a chunk into this hall, if each chunk is to enter a hall only once.
+    /// Decides which receiver fetches a chunk into this hall, if each chunk is to enter a hall only once.
     hall_gate: Option<Gate>,
     have: Bitmap,
     /// When each chunk was first reported by a neighbour.
     offered_at: Vec<Option<Millis>>,
     started: Millis,
     neighbours: BTreeMap<InstanceId, Neighbour>,
-    in_flight: BTreeMap<u32, PendingDownload>,
+    in_flight: BTreeMap<u32, PendingFetch>,
     origin_not_before: Millis,
     /// The part of the origin that may be used.
     origin_share: OriginShare,
     /// When a chunk that nobody had held before was last received or reported.
     last_new_chunk_at: Millis,
-    /// Consecutive failed downloads from the origin.
+    /// Consecutive failed fetches from the origin.
     origin_failures: u32,
     /// Moving average of the time of a chunk, in milliseconds.
     chunk_ms: f64,
--- a/components/reducer/src/spread/version/origin.rs
+++ b/components/reducer/src/spread/version/origin.rs
@@ -1,4 +1,4 @@
-//! Downloads from the origin: when a chunk may be requested, and the detection of whether the origin is
+//! Fetches from the origin: when a chunk may be requested, and the detection of whether the origin is
 //! unavailable, available again, or busy with another version.
 
 use fleet::{Bitmap, Millis};
@@ -7,25 +7,25 @@
 
 /// Most chunks in flight from the origin.
 const MAX_IN_FLIGHT_FROM_ORIGIN: usize = 2;
-/// Number of chunks that are used to test whether the origin responds. Each one that is downloaded while the
+/// Number of chunks that are used to test whether the origin responds. Each one that is fetched while the
 /// link is needed for another version delays that version by the time of a chunk.
 const PROBED_CHUNKS: u32 = 4;
 /// How long the origin must be silent before the first receiver after a chunk's owner may test whether it is
 /// available again; it grows with the square of the rank, to four times this for the second.
 const PROBE_DELAY_MS: u64 = 700;
-/// Delay after a failed download before the origin is asked again. Its link is idle for up to this time once
+/// Delay after a failed fetch before the origin is asked again. Its link is idle for up to this time once
 /// it is available again.
 const ORIGIN_RETRY_DELAY_MS: u64 = 300;
 /// Most doublings of that delay. Only few, because an origin that accepts few connections rejects the rest.
 const MAX_ORIGIN_DOUBLINGS: u32 = 1;
-/// Number of consecutive failed downloads after which the origin counts as unavailable.
+/// Number of consecutive failed fetches after which the origin counts as unavailable.
 const MAX_ORIGIN_FAILURES: u32 = 4;
 /// Shortest time without a new chunk after which the origin counts as unavailable, also for receivers that
 /// did not ask it. After that time the scheduled times of all lower-ranked receivers have passed.
 const ORIGIN_SILENCE_MS: u64 = 700;
 /// The same time as a multiple of the time that the origin's link takes for a chunk.
 const ORIGIN_SILENCE_CHUNKS: f64 = 10.0;
-/// Number of neighbours that must hold a chunk so that the next in rank does not download it from the origin
+/// Number of neighbours that must hold a chunk so that the next in rank does not fetch it from the origin
 /// again.
 const MIN_HOLDERS: usize = 2;
 
@@ -72,7 +72,7 @@
 
     /// Handles the chunks that a neighbour reports to hold. A chunk that nobody held before came from the
     /// origin, which is therefore available. If it was unavailable before, the schedule restarts with the
-    /// chunks that nobody holds yet, so that the link is used at once and no chunk is downloaded twice.
+    /// chunks that nobody holds yet, so that the link is used at once and no chunk is fetched twice.
     pub(super) fn handle_offers(&mut self, now: Millis, have: &Bitmap) {
         let mut is_new = false;
         for (index, offered_at) in (0..).zip(&mut self.offered_at) {
@@ -93,19 +93,19 @@
         }
     }
 
-    /// Handles a failed download from the origin.
+    /// Handles a failed fetch from the origin.
     pub(super) fn record_origin_failure(&mut self, now: Millis) {
         let delay = ORIGIN_RETRY_DELAY_MS << self.origin_failures.min(MAX_ORIGIN_DOUBLINGS);
         self.origin_not_before = now.plus(delay);
         // While the origin is unavailable, the scheduled times of all receivers pass. The schedule restarts
-        // when it is available again, as otherwise every receiver would download every chunk.
+        // when it is available again, as otherwise every receiver would fetch every chunk.
         self.origin_failures += 1;
         if self.origin_failures >= MAX_ORIGIN_FAILURES {
             self.restart_schedule(self.origin_not_before);
         }
     }
 
-    /// Returns the downloads from the origin of the chunks that this receiver owns. Receivers that need no
+    /// Returns the fetches from the origin of the chunks that this receiver owns. Receivers that need no
     /// chunks hold their share this way, so that later receivers need not ask the origin.
     pub fn draw_own(&mut self, now: Millis) -> Vec<SpreadEffect> {
         let mut effects = Vec::new();
@@ -113,7 +113,7 @@
             let Some(index) = self.next_own_chunk(now) else {
                 break;
             };
-            effects.push(SpreadEffect::Draw(self.start_download(
+            effects.push(SpreadEffect::Draw(self.start_fetch(
                 now,
                 index,
                 DrawSource::Origin,
@@ -133,8 +133,8 @@
             .find(|index| self.gate.rank(*index) == 0 && now >= self.gate.due(self.started, *index))
     }
 
-    /// Starts the next download from the origin, if one is due.
-    pub(super) fn draw_from_origin(&mut self, now: Millis) -> Option<Draw> {
+    /// Starts the next fetch from the origin, if one is due.
+    pub(super) fn fetch_from_origin(&mut self, now: Millis) -> Option<Draw> {
         if !self.may_use_origin(now) {
             return None;
         }
@@ -143,10 +143,10 @@
             .missing()
             .filter(|index| !self.in_flight.contains_key(index) && self.is_in_share(*index));
         // Selects the chunk for which this receiver has the best rank. If all receivers took the first
-        // missing chunk, they would all download the same one.
+        // missing chunk, they would all fetch the same one.
         let due = missing.filter_map(|index| self.may_ask_origin(now, index));
         let (index, last_resort) = due.min_by_key(|(index, _)| self.gate.rank(*index))?;
-        Some(self.start_download(now, index, DrawSource::Origin, last_resort))
+        Some(self.start_fetch(now, index, DrawSource::Origin, last_resort))
     }
 
     /// Whether another chunk may be requested from the origin now.
@@ -188,7 +188,7 @@
     /// Whether a chunk may be requested from an origin that seems to be unavailable. Allowed for its owner
     /// and a few lower-ranked receivers, more of them the longer the silence lasts, and only for the first
     /// chunks that nobody holds. Whichever receiver asks when the origin becomes available again gets a chunk
-    /// before the others learn of it. If every lower-ranked receiver asked, chunks would be downloaded more
+    /// before the others learn of it. If every lower-ranked receiver asked, chunks would be fetched more
     /// than once and the last ones would be late.
     fn may_probe(&self, now: Millis, index: u32) -> bool {
         let silence = now.since(self.last_new_chunk_at).0;
--- a/components/reducer/src/spread/version/second_copies.rs
+++ b/components/reducer/src/spread/version/second_copies.rs
@@ -9,7 +9,7 @@
 use super::{DrawSource, Spread, SpreadEffect};
 use crate::spread::gate::second_copies_of;
 
-/// Delay after the first failed download of a second copy; it doubles with each further failure. The owner
+/// Delay after the first failed fetch of a second copy; it doubles with each further failure. The owner
 /// may not have the chunk yet, and second copies are not urgent.
 const FIRST_RETRY_DELAY_MS: u64 = 100;
 /// Most doublings of the delay.
@@ -21,9 +21,9 @@
     /// The chunks with their owners. `None` if they have to be computed, initially and after the set of
     /// available receivers has changed.
     owners: Option<BTreeMap<u32, InstanceId>>,
-    /// Consecutive failed downloads.
+    /// Consecutive failed fetches.
     failures: u32,
-    /// No download starts before this time.
+    /// No fetch starts before this time.
     not_before: Millis,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Handles the failure of a download.
+    /// Handles the failure of a fetch.
     pub(super) fn handle_failure(&mut self, now: Millis, index: u32) {
         if self.is_second_copy(index) {
             let delay = FIRST_RETRY_DELAY_MS << self.failures.min(MAX_DOUBLINGS);
@@ -55,8 +55,8 @@
 }
 
 impl Spread {
-    /// Returns the downloads of the chunks to hold for others: this receiver's share from the origin and, one
-    /// at a time, second copies from their owners. Second copies are not downloaded from the origin, which
+    /// Returns the fetches of the chunks to hold for others: this receiver's share from the origin and, one
+    /// at a time, second copies from their owners. Second copies are not fetched from the origin, which
     /// sends one copy.
     pub fn draw_kept(&mut self, now: Millis) -> Vec<SpreadEffect> {
         let mut effects = self.draw_own(now);
@@ -64,12 +64,12 @@
             return effects;
         }
         if let Some((index, source)) = self.missing_second_copy() {
-            effects.push(SpreadEffect::Draw(self.start_download(now, index, source, false)));
+            effects.push(SpreadEffect::Draw(self.start_fetch(now, index, source, false)));
         }
         effects
     }
 
-    /// A second copy that is missing here, and its owner. Owners download their chunks at different times and
+    /// A second copy that is missing here, and its owner. Owners fetch their chunks at different times and
     /// refuse a request for one that they do not have yet, so each failure moves on to the next missing copy.
     fn missing_second_copy(&mut self) -> Option<(u32, DrawSource)> {
         self.compute_second_copies();
--- a/components/reducer/src/spread/version/silence.rs
+++ b/components/reducer/src/spread/version/silence.rs
@@ -116,8 +116,8 @@
     }
 
     /// Probes whether another hall is still reachable, if no chunk arrives or an instance of the hall did not
-    /// answer. Downloads from other halls that take too long fail. Two instances of the hall that holds, or
-    /// is to download, most of the missing chunks are asked for some. Nothing else reports the loss of a
+    /// answer. Fetches from other halls that take too long fail. Two instances of the hall that holds, or
+    /// is to fetch, most of the missing chunks are asked for some. Nothing else reports the loss of a
     /// hall: its instances seem to hold chunks, and their scheduled times at the origin pass. Needed only if
     /// each chunk enters a hall once, because all receivers of the hall then wait for one instance.
     pub(super) fn probe_halls(&mut self, now: Millis) -> Vec<SpreadEffect> {
@@ -137,8 +137,7 @@
         let answer_by = now.plus(self.answer_timeout_ms());
         let probes = self.select_probes(now);
         let start_probe = |(index, source)| {
-            let draw =
-                Draw { deadline: answer_by, ..self.start_download(now, index, source, false) };
+            let draw = Draw { deadline: answer_by, ..self.start_fetch(now, index, source, false) };
             SpreadEffect::Draw(draw)
         };
         probes.into_iter().map(start_probe).collect()
--- a/components/reducer/src/spread/version/summaries.rs
+++ b/components/reducer/src/spread/version/summaries.rs
@@ -22,7 +22,7 @@
 impl Spread {
     /// Selects the daemons that are informed at once of a chunk that has just arrived, because nobody else
     /// can inform them. For a chunk from the origin, these are the first two receivers of each hall: they
-    /// download it into their hall next, or would download it from the origin again. For a chunk from the
+    /// fetch it into their hall next, or would fetch it from the origin again. For a chunk from the
     /// origin or another hall, these are also the neighbours in this hall.
     pub(super) fn announce(&mut self, index: u32, source: &DrawSource) {
         let is_new_here = match source {
@@ -67,7 +67,7 @@
     }
 
     /// Returns the summaries that are sent at once. They reduce the budget but do not wait for it, because an
-    /// instance downloads few chunks from other halls or the origin.
+    /// instance fetches few chunks from other halls or the origin.
     fn announcements(&mut self, now: Millis, cost: f64) -> Vec<SpreadEffect> {
         let targets = std::mem::take(&mut self.announce_to);
         self.summary_budget_bytes =
--- a/components/reducer/src/spread/version/types.rs
+++ b/components/reducer/src/spread/version/types.rs
@@ -11,7 +11,7 @@
     /// The least busy source, then the rarest of its chunks; the origin according to its schedule.
     #[default]
     Rarest,
-    /// Every receiver downloads every chunk from the origin.
+    /// Every receiver fetches every chunk from the origin.
     OriginOnly,
     /// A random chunk from a random source, regardless of load and rarity; the origin according to its
     /// schedule.
@@ -27,9 +27,9 @@
     pub near: usize,
     /// Most neighbours, including those that selected this receiver.
     pub most: usize,
-    /// How long a receiver waits for the one ranked before it in its hall before it downloads a chunk from
+    /// How long a receiver waits for the one ranked before it in its hall before it fetches a chunk from
     /// another hall, in milliseconds. A chunk then enters a hall about once, which suits links between halls
-    /// that are narrow or expensive. `None` allows all downloads from other halls.
+    /// that are narrow or expensive. `None` allows all fetches from other halls.
     pub hall_patience_ms: Option<u64>,
 }
 
@@ -42,7 +42,7 @@
 /// Settings of a spread.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpreadOptions {
-    /// Number of copies that may be downloaded from the origin; each group of halls downloads one.
+    /// Number of copies that may be fetched from the origin; each group of halls fetches one.
     pub copies: u32,
     /// Rate of the origin's link, in bytes per second.
     pub origin_bytes_per_s: u64,
@@ -50,7 +50,7 @@
     pub download_bytes_per_s: u64,
     /// Bandwidth for control messages, in bytes per second.
     pub control_bytes_per_s: u64,
-    /// How long a receiver waits for the one ranked before it to download from the origin, in milliseconds.
+    /// How long a receiver waits for the one ranked before it to fetch from the origin, in milliseconds.
     /// `None` derives it from the time that the whole version takes.
     pub patience_ms: Option<u64>,
     /// Limits on the neighbours.
@@ -79,7 +79,7 @@
     Peer(InstanceId, SocketAddr),
 }
 
-/// A download of a chunk.
+/// A fetch of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draw {
     /// The version.
@@ -88,7 +88,7 @@
     pub index: u32,
     /// The source.
     pub source: DrawSource,
-    /// When the download fails, in the time of the reducer.
+    /// When the fetch fails, in the time of the reducer.
     pub deadline: Millis,
     /// Whether the origin is asked although peers report to hold the chunk.
     pub last_resort: bool,
@@ -97,7 +97,7 @@
 /// An action for the driver of a spread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadEffect {
-    /// Download a chunk.
+    /// Fetch a chunk.
     Draw(Draw),
     /// Send a neighbour a summary of the chunks held.
     Summarize {
