--- a/components/edge/src/catch_up/tests.rs
+++ b/components/edge/src/catch_up/tests.rs
@@ -10,8 +10,8 @@
     catch_up
 }
 
-/// Guards against dating a version too late. Two versions that are named during an outage of the store arrive
-/// in two answers; the second one, taken for a current change, was dated six seconds late.
+/// Guards against dating a version too late. Two versions that are announced during an outage of the store
+/// arrive in two answers; the second one, taken for a current change, was dated six seconds late.
 #[test]
 fn every_answer_after_a_silence_is_old_until_an_empty_one() {
     let mut catch_up = caught_up();
--- a/components/edge/src/extensions.rs
+++ b/components/edge/src/extensions.rs
@@ -20,7 +20,7 @@
 const LIMIT: u16 = 3;
 /// Rate limits of runners that gateways have received.
 const LIMITS: u16 = 4;
-/// The times at which the versions in the datagram were named, by the store's clock.
+/// The times at which the versions in the datagram were announced, by the store's clock.
 const VERSION_DATES: u16 = 5;
 
 /// A numbered extension with its encoded value.
@@ -48,7 +48,7 @@
     limit: Option<ReportedLimit>,
     /// Rate limits of runners that gateways have received.
     limits: Vec<IncarnationLimit>,
-    /// The times at which its versions were named, by the store's clock.
+    /// The times at which its versions were announced, by the store's clock.
     version_dates: Option<VersionDates>,
     /// The number of extensions that this build does not know.
     pub unknown: usize,
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -18,7 +18,7 @@
 use super::reservations::Reservations;
 use super::table_state::Tables;
 use crate::clock::Clock;
-use crate::life_change_log::log_life_change;
+use crate::incarnation_log::log_incarnation_change;
 use crate::metrics::record_evacuation;
 
 /// Number of gateways that rewrite a row which the store may have lost. It is more than one because a gateway
@@ -121,7 +121,7 @@
                 }
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
                 Effect::ReportHomeFaults(faults) => home_fault_log::log_home_faults(&faults),
-                Effect::Life(news) => log_life_change(&self.metrics, &news),
+                Effect::Life(news) => log_incarnation_change(&self.metrics, &news),
                 Effect::Notice(news) => log_notice(&news),
                 Effect::Crash(news) => {
                     note_crash(&self.metrics, &news);
--- a/components/edge/src/gateway/follow_table.rs
+++ b/components/edge/src/gateway/follow_table.rs
@@ -184,8 +184,8 @@
     }
 }
 
-/// Whether sidecars should be updated at once: about a named version, or because one of them is new and waits
-/// to learn which version its runner should hold.
+/// Whether sidecars should be updated at once: about an announced version, or because one of them is new and
+/// waits to learn which version its runner should hold.
 fn should_notify_sidecars(change: &Change) -> bool {
     match change {
         Change::Version { .. } => true,
--- a/components/edge/src/gateway/sidecar_datagrams/tests.rs
+++ b/components/edge/src/gateway/sidecar_datagrams/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what sidecars are told about their runners.
+//! Tests of what is reported to sidecars about their runners.
 
 use std::rc::Rc;
 use std::sync::Arc;
--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -27,7 +27,7 @@
     pub model: ModelName,
     /// The version.
     pub version: u64,
-    /// The store's clock at a time when the version was not yet named. `None` if no such time is known.
+    /// The store's clock at a time when the version was not yet announced. `None` if no such time is known.
     pub not_before_ms: Option<u64>,
 }
 
--- a/components/edge/src/incarnation_log.rs
+++ b/components/edge/src/incarnation_log.rs
@@ -5,7 +5,7 @@
 use telemetry::Metrics;
 
 /// Logs and counts a report that belongs to another start of the runner's process than the known one.
-pub fn log_life_change(metrics: &Metrics, news: &IncarnationEvent) {
+pub fn log_incarnation_change(metrics: &Metrics, news: &IncarnationEvent) {
     let runner = news.runner.0.as_str();
     let (born, known) = (news.reported.born, news.known_born);
     match news.change {
@@ -20,10 +20,10 @@
             log::error!(runner = runner, known = known; "a runner that told when it started does not tell it any more");
         }
     }
-    metrics.count_life(change_name(news.change));
+    metrics.count_life(change_text(news.change));
 }
 
-fn change_name(change: IncarnationChange) -> &'static str {
+fn change_text(change: IncarnationChange) -> &'static str {
     match change {
         IncarnationChange::Same => "same",
         IncarnationChange::Restarted => "began",
--- a/components/edge/src/lib.rs
+++ b/components/edge/src/lib.rs
@@ -16,7 +16,7 @@
 mod gateway;
 mod http_client;
 mod http_connection;
-mod life_change_log;
+mod incarnation_log;
 mod link_yield;
 mod listing;
 mod message;
--- a/components/edge/src/message.rs
+++ b/components/edge/src/message.rs
@@ -24,7 +24,7 @@
     Subscribe {
         /// The data hall of the gateway: gateways in the receiver's hall receive the load more often.
         hall: Hall,
-        /// The named versions that the gateway knows: a sidecar that does not reach the store learns them
+        /// The announced versions that the gateway knows: a sidecar that does not reach the store learns them
         /// from this.
         named: Vec<AnnouncedVersion>,
         /// What its configuration says about the weights of each model service. Empty until the gateway has
@@ -68,14 +68,14 @@
         evacuations: EvacuationList,
         /// Requests that crashed two or more runners, if that changed lately.
         crashes: CrashList,
-        /// The store's clock at the time of sending, in milliseconds, if it dates a named version. Sent as an
-        /// extension.
+        /// The store's clock at the time of sending, in milliseconds, if it dates an announced version. Sent as
+        /// an extension.
         #[serde(skip)]
         clock_ms: Option<u64>,
     },
     /// A gateway asks for a slot at the receiver's runner, to send a request to it.
     Reserve {
-        /// Identifies the question.
+        /// Identifies the request.
         question: u64,
         /// The request, by the id from its caller, for the log.
         request: String,
@@ -86,7 +86,7 @@
         /// What is left of the request's latency target, in milliseconds. Zero for a retry of a caller that
         /// was refused.
         left_ms: u32,
-        /// How long the question may be queued, in milliseconds.
+        /// How long the request may be queued, in milliseconds.
         wait_ms: u64,
         /// The runner's rate limit that the gateway received lately. Sent as an extension.
         #[serde(skip)]
@@ -94,7 +94,7 @@
     },
     /// The answer to `Reserve`.
     Reserved {
-        /// Identifies the question.
+        /// Identifies the request.
         question: u64,
         /// The answer.
         reply: Reply,
@@ -109,7 +109,7 @@
     },
     /// A sidecar asks for the other sidecars of its service.
     WantSidecars {
-        /// Identifies the question.
+        /// Identifies the request.
         question: u64,
         /// The service.
         service: ServiceName,
@@ -209,18 +209,18 @@
     }
 }
 
-/// The times at which the versions in a datagram were named, by the store's clock.
+/// The times at which the versions in a datagram were announced, by the store's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionDates {
     /// The clock when the datagram is sent, in milliseconds.
     pub clock_ms: u64,
-    /// For each version, in the datagram's order, the clock at a time when it was not yet named, in
+    /// For each version, in the datagram's order, the clock at a time when it was not yet announced, in
     /// milliseconds. `None` if the store did not send it.
     pub after_ms: Vec<Option<u64>>,
 }
 
 impl Datagram {
-    /// The times at which its versions were named.
+    /// The times at which its versions were announced.
     pub fn version_dates(&self) -> Option<VersionDates> {
         match self {
             Self::Subscribe { clock_ms, named, .. } => {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Sets the times at which its versions were named.
+    /// Sets the times at which its versions were announced.
     pub fn set_version_dates(&mut self, dates: Option<VersionDates>) {
         let (VersionDates { clock_ms: sent_clock_ms, after_ms }, clock_ms, named) =
             match (dates, self) {
@@ -255,7 +255,7 @@
 /// A part of a gateway's answer to a sidecar that asks for the other sidecars.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SidecarsPart {
-    /// Identifies the question.
+    /// Identifies the request.
     pub question: u64,
     /// The index of this part.
     pub part: u32,
@@ -299,7 +299,7 @@
 pub enum Reply {
     /// The request may be sent now.
     Granted,
-    /// The question is queued. Another reply follows.
+    /// The request is queued. Another reply follows.
     Queued,
     /// The request must not be sent there.
     Denied {
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -50,7 +50,7 @@
     pub rollout: Rc<RefCell<Rollout>>,
     /// The chunks.
     pub chunks: Rc<RefCell<ChunkStore>>,
-    /// The versions that were named for each model.
+    /// The versions that were announced for each model.
     pub announced_versions: Rc<RefCell<BTreeMap<ModelName, Announcements>>>,
     /// The gateways that subscribed to reports.
     pub subscribers: Rc<RefCell<BTreeMap<SocketAddr, Subscription>>>,
@@ -97,8 +97,8 @@
     /// Receives a message when a request starts to wait for a slot.
     pub report_requested: Receiver<()>,
     request_report: Sender<()>,
-    /// Receives a message when a version is named: the sidecars that are present determine which one fetches
-    /// which chunk.
+    /// Receives a message when a version is announced: the sidecars that are present determine which one
+    /// fetches which chunk.
     pub list_requested: Receiver<()>,
     request_list: Sender<()>,
     effects: Sender<Effect>,
@@ -188,8 +188,8 @@
         named
     }
 
-    /// Records named versions of any model. They are kept until the configuration says which model the runner
-    /// has.
+    /// Records announced versions of any model. They are kept until the configuration says which model the
+    /// runner has.
     pub fn record_versions(&self, named: &[AnnouncedVersion]) {
         let now = self.clock.now();
         for it in named {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// The named version that a load report carries. It has room for one, so a random relevant version is
+    /// The announced version that a load report carries. It has room for one, so a random relevant version is
     /// chosen: a receiver of several reports receives all of them.
     fn version_to_report(&self) -> Option<AnnouncedVersion> {
         let named = self.rollout.borrow().announced_versions(self.clock.now());
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -131,7 +131,7 @@
     socket: DatagramSocket,
     parts: Receiver<SidecarsPart>,
     client: HttpClient,
-    /// The number of questions so far.
+    /// The number of requests so far.
     questions: u64,
     /// Whether a list was applied.
     has_list: bool,
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -26,7 +26,7 @@
 use crate::datagram_socket::DatagramSocket;
 use crate::evacuated::EvacuatedHalls;
 use crate::http_client::HttpClient;
-use crate::life_change_log::log_life_change;
+use crate::incarnation_log::log_incarnation_change;
 use crate::listing::{list, log_faults, Listing};
 use crate::message::{weights_services, Datagram};
 use crate::metrics::{record_evacuation, serve_metrics, StallDetector};
@@ -34,7 +34,7 @@
 use crate::server::listen;
 use crate::spawner::Spawner;
 
-/// The interval of listing the named versions in a sidecar without a gateway.
+/// The interval of listing the announced versions in a sidecar without a gateway.
 const VERSIONS_INTERVAL: Duration = Duration::from_millis(30_000);
 /// How often a sidecar checks whether it still has no gateway.
 const ALONE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -171,7 +171,7 @@
                     reported,
                     known_born: None,
                 };
-                log_life_change(&core.metrics, &news);
+                log_incarnation_change(&core.metrics, &news);
             }
             Effect::LogLimitChange(rate) => {
                 let per_s = rate.map(Rate::per_s);
@@ -232,7 +232,7 @@
     }
 }
 
-/// Reads the named versions from the store while no gateway reports them.
+/// Reads the announced versions from the store while no gateway reports them.
 async fn follow_versions(core: Core, store: SocketAddr) {
     let mut client = HttpClient::new(store);
     loop {
--- a/components/edge/src/sidecar/peers.rs
+++ b/components/edge/src/sidecar/peers.rs
@@ -178,7 +178,7 @@
                 }
                 core.record_versions(&core.set_version_ages(clock_ms, named));
                 if !services.is_empty() {
-                    // This gateway has read the operator table, including the named versions.
+                    // This gateway has read the operator table, including the announced versions.
                     core.dispatch(Event::VersionsKnown);
                 }
             }
--- a/components/edge/src/watch/change_dates.rs
+++ b/components/edge/src/watch/change_dates.rs
@@ -22,8 +22,8 @@
         }
     }
 
-    /// When a version was named, as far as the store's history shows. Its first row counts, since the row of
-    /// a known version may be written again. A reader of the hall may know the age if this process has read
+    /// When a version was announced, as far as the store's history shows. Its first row counts, since the row
+    /// of a known version may be written again. A reader of the hall may know the age if this process has read
     /// nothing from before.
     pub(super) fn date_change(
         &mut self,
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -264,8 +264,8 @@
     pub reserve: bool,
     /// The request's priority for the reservation; zero is the highest.
     pub rank: u8,
-    /// Time left of the request's target latency, in milliseconds. Zero for a later try, whose
-    /// caller was refused before.
+    /// Time left of the request's target latency, in milliseconds. Zero for a repeated attempt,
+    /// whose caller was refused before.
     pub left_ms: u64,
     /// Maximum time to wait for the reservation, in milliseconds.
     pub wait_ms: u64,
@@ -320,16 +320,16 @@
     GiveUp(Code),
 }
 
-/// A report about a runner whose life differs from the known one.
+/// A report about a runner whose incarnation differs from the known one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncarnationEvent {
     /// The runner.
     pub runner: InstanceId,
-    /// How the reported life differs from the known one; never `IncarnationChange::Same`.
+    /// How the reported incarnation differs from the known one; never `IncarnationChange::Same`.
     pub change: IncarnationChange,
-    /// The reported life.
+    /// The reported incarnation.
     pub reported: IncarnationReport,
-    /// The known start time of the runner's current life.
+    /// The known start time of the runner's current incarnation.
     pub known_born: Option<u64>,
 }
 
@@ -355,7 +355,8 @@
     ReportHomeFaults(Vec<HomeFault>),
     /// Log that the evacuation of a data hall began or ended, and report it to sidecars.
     Evacuation(EvacuationChange),
-    /// Log that a runner has restarted, or that a report about it is not from its known life.
+    /// Log that a runner has restarted, or that a report about it is not from its known
+    /// incarnation.
     Life(IncarnationEvent),
     /// Log that a runner is draining, asks for a backoff or changed its rate limit, according to
     /// its own response.
--- a/components/gateway/src/limits.rs
+++ b/components/gateway/src/limits.rs
@@ -106,10 +106,10 @@
     }
 }
 
-/// The rate limit of one life of a runner, as processes exchange it.
+/// The rate limit of one incarnation of a runner, as processes exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationLimit {
-    /// Digest of the runner's life.
+    /// Digest of the runner's incarnation.
     pub life: IncarnationDigest,
     /// The rate limit.
     pub limit: ReportedLimit,
--- a/components/gateway/src/notices.rs
+++ b/components/gateway/src/notices.rs
@@ -31,10 +31,10 @@
     }
 }
 
-/// The information that one life of a runner has sent in its responses.
+/// The information that one incarnation of a runner has sent in its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notices {
-    /// A runner that is draining never returns to service in the same life.
+    /// A runner that is draining never returns to service in the same incarnation.
     is_leaving: bool,
     /// The backoff that it asked for.
     pub backoff: Backoff<RequestKey>,
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -58,8 +58,8 @@
         self.named.set_version_ms(version_ms);
     }
 
-    /// Applies an entry of the runner list. Returns a report if the entry's life differs from the
-    /// known one.
+    /// Applies an entry of the runner list. Returns a report if the entry's incarnation differs
+    /// from the known one.
     pub fn list(&mut self, now: Millis, record: RunnerRecord) -> Option<IncarnationEvent> {
         let Some(runner) = self.runners.get_mut(&record.id) else {
             self.add(now, record, 0);
@@ -67,7 +67,7 @@
         };
         let restarts = runner.life.restarts;
         // A runner never changes its service, so an entry with another service is not its own,
-        // whatever life it contains.
+        // whatever incarnation it contains.
         if runner.record.service != record.service {
             self.replace(now, record, restarts);
             return None;
@@ -93,7 +93,7 @@
         self.add(now, record, restarts);
     }
 
-    /// Adds a life of a runner.
+    /// Adds an incarnation of a runner.
     fn add(&mut self, now: Millis, record: RunnerRecord, restarts: u32) {
         let id = record.id.clone();
         let at_address = self.by_address.entry(record.address).or_default();
@@ -106,7 +106,7 @@
         let listed = self.by_service.get(&runner.record.service).map_or(0, Vec::len);
         runner.is_followed = listed <= followed::most(listed, None);
         if let Some((life, notices, _)) = self.unlisted.remove(&id) {
-            // The entry has come back, and its life is the same.
+            // The entry has come back, and its incarnation is the same.
             if life == runner.life {
                 runner.notices = notices;
             }
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Applies a load report for the runner at an address. Returns reports of lives that differ
-    /// from the known ones.
+    /// Applies a load report for the runner at an address. Returns reports of incarnations that
+    /// differ from the known ones.
     pub fn apply_load(
         &mut self,
         now: Millis,
@@ -170,7 +170,7 @@
         ids.into_iter().filter_map(apply).collect()
     }
 
-    /// Applies the rate limit of a life of a runner that another gateway reported.
+    /// Applies the rate limit of an incarnation of a runner that another gateway reported.
     pub fn apply_incarnation_limit(
         &mut self,
         now: Millis,
@@ -185,7 +185,7 @@
         news.collect()
     }
 
-    /// The runners in a given life.
+    /// The runners in a given incarnation.
     pub fn of_life(&self, life: IncarnationDigest) -> impl Iterator<Item = &Runner> {
         self.runners.values().filter(move |it| it.life.digest == life)
     }
@@ -203,7 +203,8 @@
         match news.as_ref().map(|it| it.change) {
             None | Some(IncarnationChange::Same) => runner.apply_load(now, load),
             Some(IncarnationChange::Restarted) => {
-                // The entry is still that of the previous life: the weights in it no longer apply.
+                // The entry is still that of the previous incarnation: the weights in it no longer
+                // apply.
                 let entry = runner.record.clone();
                 let record = RunnerRecord { life: load.life, weights: None, ..entry };
                 let restarts = runner.life.restarts + 1;
@@ -261,7 +262,7 @@
         self.runners.get(id)
     }
 
-    /// Returns a runner for modification if it is in this life.
+    /// Returns a runner for modification if it is in this incarnation.
     pub fn incarnation_mut(
         &mut self,
         id: &InstanceId,
@@ -355,8 +356,8 @@
     }
 }
 
-/// Compares the life in a report about a runner with the known one, and returns the difference if
-/// there is one.
+/// Compares the incarnation in a report about a runner with the known one, and returns the
+/// difference if there is one.
 fn incarnation_event(
     runner: &Runner,
     reported: IncarnationReport,
--- a/components/gateway/src/readers.rs
+++ b/components/gateway/src/readers.rs
@@ -215,8 +215,8 @@
     }
 
     /// Records that a reader refused or gave no answer in time. A gateway whose query timed out
-    /// (`has_waited`) does not wait for another reader: the time bound for applying a configuration
-    /// leaves room for one timeout only.
+    /// (`has_waited`) does not wait for another reader: the time limit for applying a
+    /// configuration leaves room for one timeout only.
     pub fn record_timeout(&mut self, now: Millis, seed: u64, reader: SocketAddr, has_waited: bool) {
         let since = self.silent.get(&reader).map_or(now, |it| it.since);
         let pause_ms =
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -4,8 +4,8 @@
 //! newest version and a time of the store's clock at which that version had not been announced yet.
 //! A process that receives the announcement of a version writes the row, on condition that it is
 //! unchanged since it was last seen. A process that finds a version in the store reads the row to
-//! learn the version's age. The age from a row is never less than the true one, so a time bound
-//! computed from it ends no later than the true bound.
+//! learn the version's age. The age from a row is never less than the true one, so a version
+//! deadline computed from it ends no later than the true deadline.
 
 use std::collections::BTreeMap;
 
@@ -31,8 +31,8 @@
     pub version: u64,
     /// Time of the store's clock at which the version had not been announced yet, in milliseconds.
     pub not_before_ms: u64,
-    /// Earlier versions that still have a time bound. They are kept here because there is one row
-    /// per model and it outlives every process. Rows of earlier builds contain none.
+    /// Earlier versions that still have a version deadline. They are kept here because there is one
+    /// row per model and it outlives every process. Rows of earlier builds contain none.
     pub older: Vec<OlderVersion>,
 }
 
@@ -98,8 +98,8 @@
     version_ms: u64,
     /// The newest known version of each model.
     newest: BTreeMap<ModelName, u64>,
-    /// Announcement times of versions that may still have a time bound, by model and version, and
-    /// when that bound ends.
+    /// Announcement times of versions that may still have a version deadline, by model and version,
+    /// and when that deadline passes.
     known: BTreeMap<ModelName, BTreeMap<u64, (OlderVersion, Millis)>>,
     /// Versions whose age no process has reported yet.
     unknown: BTreeMap<ModelName, u64>,
@@ -215,14 +215,14 @@
         Some(RecordCall::Write(FirstSeenVersion { older, ..pending.heard.clone() }, revision))
     }
 
-    /// Remembers a version for as long as its time bound can apply.
+    /// Remembers a version for as long as its version deadline can apply.
     fn remember(&mut self, now: Millis, model: &ModelName, name: OlderVersion) {
         let versions = self.known.entry(model.clone()).or_default();
         versions.retain(|_, (_, until)| now < *until);
         versions.entry(name.version).or_insert((name, now.plus(self.version_ms)));
     }
 
-    /// The versions before a newer one whose time bound may still apply.
+    /// The versions before a newer one whose version deadline may still apply.
     fn older(&self, now: Millis, newer: &FirstSeenVersion) -> Vec<OlderVersion> {
         let versions = self.known.get(&newer.model).into_iter().flatten();
         let older = versions.filter(|(version, _)| **version < newer.version);
@@ -308,7 +308,8 @@
     }
 
     /// The age of a version before the newest one. The version is returned without an age if the
-    /// age is not useful: no other process reports it, and its time bound applies all the same.
+    /// age is not useful: no other process reports it, and its version deadline applies all the
+    /// same.
     fn older_age(&self, model: &ModelName, name: &OlderVersion, clock_ms: u64) -> AnnouncedVersion {
         let OlderVersion { version, not_before_ms } = *name;
         let heard =
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -32,11 +32,11 @@
 };
 use crate::home_demand::HomeDemand;
 use crate::home_faults::{self, HomeFault};
-use crate::later_tries::UsualDeadlines;
 use crate::limits::LimitRateShares;
 use crate::members::GatewayMembers;
 use crate::notices::Notice;
 use crate::pool::Pool;
+use crate::repeated_attempts::UsualDeadlines;
 use crate::resume_hold::ResumeHold;
 use crate::retry_delay::Shortage;
 
@@ -111,8 +111,8 @@
         &self.members
     }
 
-    /// The announced versions of each model whose time bounds still apply, as reported to other
-    /// processes.
+    /// The announced versions of each model whose version deadlines still apply, as reported to
+    /// other processes.
     pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
         let mut named = self.pool.announced_versions(now);
         if !self.options.ablation.keeps(Mechanism::VersionAges) {
@@ -296,11 +296,11 @@
         let wait = (arrival.target_latency_ms as f64 * share) as u64;
         let scope = arrival.scope();
         let is_calm = self.shortages.get(&scope).is_none_or(|it| it.is_over(now));
-        let looks_later = self.usual_deadlines.is_later(&arrival, is_calm);
+        let looks_repeated = self.usual_deadlines.is_repeated(&arrival, is_calm);
         let progress = Progress {
             wait_until: now.plus(wait).min(arrival.deadline),
             on_time_until: now.plus(arrival.target_latency_ms),
-            is_later: looks_later && self.is_enabled(Mechanism::FirstTries),
+            is_repeated: looks_repeated && self.is_enabled(Mechanism::FirstTries),
             tried: Vec::new(),
             current: None,
             sent_at: now,
@@ -333,7 +333,7 @@
         self.dispatch(now, random)
     }
 
-    /// Applies reports of lives of runners that differ from the known ones.
+    /// Applies reports of incarnations of runners that differ from the known ones.
     fn handle_life_news(
         &mut self,
         news: impl IntoIterator<Item = IncarnationEvent>,
@@ -348,7 +348,7 @@
     }
 
     /// Applies information that the runner of an attempt sent about itself. Information from before
-    /// its current life is ignored.
+    /// its current incarnation is ignored.
     fn apply_notice(&mut self, now: Millis, key: RequestKey, notice: Notice) -> Vec<Effect> {
         let Some(progress) = self.requests.get(&key) else {
             return Vec::new();
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -94,7 +94,7 @@
         was_suspect: bool,
     ) {
         let is_suspicion_enabled = self.is_enabled(Mechanism::Suspicion);
-        // Results of an earlier life say nothing about the current one.
+        // Results of an earlier incarnation say nothing about the current one.
         let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) else {
             return;
         };
@@ -176,7 +176,7 @@
         progress.wait_until =
             progress.wait_until.max(now.plus(wait)).min(progress.arrival.deadline);
         let position =
-            QueuePosition { priority: 0, is_later: progress.yields_to_first_tries(), key };
+            QueuePosition { priority: 0, is_repeated: progress.yields_to_first_attempts(), key };
         self.queue.insert(position);
         if matches!(outcome, AttemptOutcome::Denied { .. }) {
             return Vec::new();
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -109,8 +109,8 @@
         self.crashes.ledger.list(now, ListScope::Fresh, draw)
     }
 
-    /// The lives that ended while running a quarantined request. With `unrecorded`, only if the
-    /// platform's store is not known to hold the quarantine.
+    /// The incarnations that ended while running a quarantined request. With `unrecorded`, only if
+    /// the platform's store is not known to hold the quarantine.
     pub fn crashed_incarnations(
         &self,
         digest: RequestDigest,
--- a/components/gateway/src/reducer/progress.rs
+++ b/components/gateway/src/reducer/progress.rs
@@ -9,7 +9,7 @@
 use crate::event::{Arrival, RunnerScope};
 use crate::runner::RunnerIncarnation;
 
-/// The life of a runner that a request was sent to.
+/// The incarnation of a runner that a request was sent to.
 #[derive(Clone, Debug)]
 pub(super) struct SelectedRunner {
     pub(super) id: InstanceId,
@@ -38,8 +38,8 @@
     pub(super) wait_until: Millis,
     /// Until when a response is on time.
     pub(super) on_time_until: Millis,
-    /// Whether it looks like a later try of a caller that was refused.
-    pub(super) is_later: bool,
+    /// Whether it looks like a repeated attempt of a caller that was refused.
+    pub(super) is_repeated: bool,
     /// Whether the last runner selected for it denied the reservation.
     pub(super) was_denied: bool,
     /// How long reservations have been short at the runners that denied one, in milliseconds.
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -20,17 +20,17 @@
 /// The first reservation query, counted from one, that may wait at a sidecar. Earlier queries go to
 /// runners that may have a slot at once.
 const FIRST_WAITING_QUERY: u32 = 5;
-/// Maximum number of reservation queries for a later try when sidecars keep their slots for first
-/// tries. They deny at once, and the queried ones are those that seem to have the most free
+/// Maximum number of reservation queries for a repeated attempt when sidecars keep their slots for
+/// first attempts. They deny at once, and the queried ones are those that seem to have the most free
 /// capacity.
 const MAX_LATER_TRY_QUERIES: u32 = 4;
 
-/// A position in the queue, ordered by priority, then first tries before later ones, then order of
-/// arrival.
+/// A position in the queue, ordered by priority, then first attempts before repeated ones, then
+/// order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     pub(super) priority: u8,
-    pub(super) is_later: bool,
+    pub(super) is_repeated: bool,
     pub(super) key: RequestKey,
 }
 
@@ -50,22 +50,22 @@
 
 impl Progress {
     /// Whether another reservation query would only delay it: its waiting time is over, or it is a
-    /// later try and sidecars keep their slots for first tries.
+    /// repeated attempt and sidecars keep their slots for first attempts.
     fn has_queried_enough(&self, now: Millis) -> bool {
         now >= self.wait_until
-            || (self.yields_to_first_tries() && self.queries >= MAX_LATER_TRY_QUERIES)
+            || (self.yields_to_first_attempts() && self.queries >= MAX_LATER_TRY_QUERIES)
     }
 
-    /// Whether first tries of others are served first. A request that may have run already has
+    /// Whether first attempts of others are served first. A request that may have run already has
     /// precedence over new ones.
-    pub(super) fn yields_to_first_tries(&self) -> bool {
-        self.is_later && !self.may_have_run
+    pub(super) fn yields_to_first_attempts(&self) -> bool {
+        self.is_repeated && !self.may_have_run
     }
 
-    /// Time left of its target latency, in milliseconds: zero for a later try, and for nothing
-    /// else.
+    /// Time left of its target latency, in milliseconds: zero for a repeated attempt, and for
+    /// nothing else.
     fn left_ms(&self, now: Millis) -> u64 {
-        if self.yields_to_first_tries() {
+        if self.yields_to_first_attempts() {
             return 0;
         }
         self.on_time_until.since(now).0.max(1)
@@ -77,7 +77,7 @@
     pub(super) fn enqueue(&mut self, key: RequestKey, progress: &Progress) {
         let priority =
             if self.is_enabled(Mechanism::Ranks) { progress.arrival.priority } else { 0 };
-        self.queue.insert(QueuePosition { priority, is_later: progress.is_later, key });
+        self.queue.insert(QueuePosition { priority, is_repeated: progress.is_repeated, key });
     }
 
     /// Sends queued requests that have a slot, and refuses those that have waited too long.
@@ -124,7 +124,7 @@
             return QueueDecision::Finish;
         }
         if progress.was_denied && progress.has_queried_enough(now) {
-            if progress.yields_to_first_tries() {
+            if progress.yields_to_first_attempts() {
                 progress.reason = Code::LaterTry;
             }
             return QueueDecision::Finish;
--- a/components/gateway/src/repeated_attempts.rs
+++ b/components/gateway/src/repeated_attempts.rs
@@ -1,13 +1,14 @@
-//! Detects later tries of callers that were refused before.
+//! Detects repeated attempts of callers that were refused before.
 //!
 //! Nothing on the wire marks them. But a caller that comes back has less time left than before: its
-//! deadline is shorter than usual on its route by the time that it stayed away. A first try that is
-//! served is on time and a later one is late, so first tries are preferred when capacity is short.
+//! deadline is shorter than usual on its route by the time that it stayed away. A first attempt
+//! that is served is on time and a repeated one is late, so first attempts are preferred when
+//! capacity is short.
 //!
 //! A caller whose deadline is always short looks the same. The usual deadline is therefore learned
-//! for each workspace as well, and sidecars keep a part of their slots for later tries. If many
-//! requests look like later tries although none was refused, the deadline is no evidence, and no
-//! request is treated as a later try.
+//! for each workspace as well, and sidecars keep a part of their slots for repeated attempts. If
+//! many requests look like repeated attempts although none was refused, the deadline is no
+//! evidence, and no request is treated as a repeated attempt.
 
 use std::collections::BTreeMap;
 
@@ -15,8 +16,8 @@
 
 use crate::event::Arrival;
 
-/// Part of the usual deadline below which a request counts as a later try. First tries of one route
-/// differ by less, and a caller that stayed away comes back with less.
+/// Part of the usual deadline below which a request counts as a repeated attempt. First attempts of
+/// one route differ by less, and a caller that stayed away comes back with less.
 const LATER_TRY_DEADLINE_SHARE: f64 = 0.8;
 /// The shortest deadline used in the estimate, in milliseconds: an estimate of zero would never
 /// change again.
@@ -31,9 +32,9 @@
 const WORKSPACE_STEP: f64 = 0.02;
 /// Factor by which a request above the estimate changes it more than one below.
 const UPWARD_FACTOR: f64 = 3.0;
-/// Maximum share of requests that look like later tries without a shortage. Above it the deadline
-/// is no evidence: it is about twice the part of the slots that sidecars keep for later tries, and
-/// with a larger share few callers whose deadline is always short would be served.
+/// Maximum share of requests that look like repeated attempts without a shortage. Above it the
+/// deadline is no evidence: it is about twice the part of the slots that sidecars keep for repeated
+/// attempts, and with a larger share few callers whose deadline is always short would be served.
 const MAX_LOOKALIKE_SHARE: f64 = 0.1;
 /// Weight of one request in that share, which is thus an average of about the last fifty.
 const LOOKALIKE_STEP: f64 = 0.02;
@@ -57,19 +58,19 @@
     }
 
     /// Uses the lowest of the first deadlines. Otherwise a single deadline far longer than usual
-    /// would affect thousands of requests, and first tries would look like later ones.
+    /// would affect thousands of requests, and first attempts would look like repeated ones.
     fn lower_initial(&mut self, deadline_ms: f64) {
         if self.requests < MIN_REQUESTS {
             self.deadline_ms = self.deadline_ms.min(deadline_ms);
         }
     }
 
-    fn note_without_shortage(&mut self, looks_later: bool) {
+    fn note_without_shortage(&mut self, looks_repeated: bool) {
         self.lookalike_share +=
-            LOOKALIKE_STEP * (f64::from(u8::from(looks_later)) - self.lookalike_share);
+            LOOKALIKE_STEP * (f64::from(u8::from(looks_repeated)) - self.lookalike_share);
     }
 
-    /// Whether a deadline far below the estimate shows that a request is a later try.
+    /// Whether a deadline far below the estimate shows that a request is a repeated attempt.
     fn is_evidence(&self) -> bool {
         self.requests >= MIN_REQUESTS && self.lookalike_share <= MAX_LOOKALIKE_SHARE
     }
@@ -88,10 +89,10 @@
 }
 
 impl UsualDeadlines {
-    /// Updates the estimates with a request and returns whether it looks like a later try. A
+    /// Updates the estimates with a request and returns whether it looks like a repeated attempt. A
     /// request without a deadline does not. `is_calm` means that no caller was refused recently, so
     /// that none comes back.
-    pub(crate) fn is_later(&mut self, arrival: &Arrival, is_calm: bool) -> bool {
+    pub(crate) fn is_repeated(&mut self, arrival: &Arrival, is_calm: bool) -> bool {
         let Some(deadline) = arrival.deadline_ms.map(|it| it.max(MIN_DEADLINE_MS) as f64) else {
             return false;
         };
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -48,11 +48,11 @@
     pub whole: bool,
 }
 
-/// One life of a runner, that is one lifetime of its process, as this gateway distinguishes it from
-/// others.
+/// One incarnation of a runner, that is one lifetime of its process, as this gateway distinguishes
+/// it from others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunnerIncarnation {
-    /// Digest by which all processes know the life.
+    /// Digest by which all processes know the incarnation.
     pub digest: IncarnationDigest,
     /// Number of observed restarts of a runner that does not report its start time.
     pub restarts: u32,
@@ -63,7 +63,7 @@
 pub struct RunnerRecord {
     /// Name of the runner. It may restart under the same name.
     pub id: InstanceId,
-    /// The life that the entry is from.
+    /// The incarnation that the entry is from.
     pub life: IncarnationReport,
     /// The service that it belongs to.
     pub service: ServiceName,
@@ -91,7 +91,7 @@
 /// The load report that the sidecar of a runner sends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunnerLoad {
-    /// The life that the report is from.
+    /// The incarnation that the report is from.
     pub life: IncarnationReport,
     /// Requests that it is processing.
     pub running: u32,
@@ -127,15 +127,15 @@
 pub struct Runner {
     /// Its entry in the list.
     pub record: RunnerRecord,
-    /// Its current life.
+    /// Its current incarnation.
     pub life: RunnerIncarnation,
-    /// Start time of that life, from any report about it.
+    /// Start time of that incarnation, from any report about it.
     pub born: Option<u64>,
-    /// Start time of the previous life, if the sidecar reported the start of this life without its
-    /// start time.
+    /// Start time of the previous incarnation, if the sidecar reported the start of this
+    /// incarnation without its start time.
     pub previous_born: Option<u64>,
-    /// The last life reported by the list, and by the sidecar. They are kept apart because each
-    /// counts orders at different times.
+    /// The last incarnation reported by the list, and by the sidecar. They are kept apart because
+    /// each counts orders at different times.
     listed_life: IncarnationReport,
     reported_life: Option<IncarnationReport>,
     /// Requests of this gateway at the runner.
@@ -173,14 +173,14 @@
 }
 
 impl Runner {
-    /// Creates a life of a runner from its list entry. `restarts` is the number of restarts of a
-    /// runner that does not report its start time.
+    /// Creates an incarnation of a runner from its list entry. `restarts` is the number of restarts
+    /// of a runner that does not report its start time.
     pub fn new(now: Millis, record: RunnerRecord, restarts: u32) -> Self {
         Self {
             life: RunnerIncarnation {
                 digest: IncarnationDigest::of(&record.id, record.life.born),
-                // The start time distinguishes its lives, also if the entry was missing for a
-                // while.
+                // The start time distinguishes its incarnations, also if the entry was missing for
+                // a while.
                 restarts: if record.life.born.is_some() { 0 } else { restarts },
             },
             born: record.life.born,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Compares the life reported by the list or a sidecar with the known one.
+    /// Compares the incarnation reported by the list or a sidecar with the known one.
     pub fn compare(&self, other: IncarnationReport, is_listed: bool) -> IncarnationChange {
         let last = if is_listed { Some(self.listed_life) } else { self.reported_life };
         let sequence = last.map_or(other.sequence, |it| it.sequence);
@@ -218,7 +218,7 @@
         }
         if !is_listed && other.born.is_none() && !self.reports_contain_start_time() {
             // Reports of this runner have no start time, even if its entry has one: the order count
-            // distinguishes its lives.
+            // distinguishes its incarnations.
             return IncarnationReport { born: None, ..known }.compare(other);
         }
         known.compare(other)
@@ -236,8 +236,8 @@
         self.note_listed_state(now);
     }
 
-    /// Remembers for the life of the runner that the list showed it as draining. A store that is
-    /// restored from an older copy lists it as ready again.
+    /// Remembers for the incarnation of the runner that the list showed it as draining. A store
+    /// that is restored from an older copy lists it as ready again.
     pub fn note_listed_state(&mut self, now: Millis) {
         let is_leaving = self.record.state == RunnerState::Draining;
         self.notices.apply(now, now, Notice { is_leaving, ..Notice::default() });
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -4,7 +4,7 @@
 
 use fleet::{AnnouncedVersion, Announcement, Announcements, Millis, ModelName};
 
-/// Margin before its time bound at which an older version is no longer used, in milliseconds:
+/// Margin before its version deadline at which an older version is no longer used, in milliseconds:
 /// before a request starts it may wait for a reservation, the reservation may be used a little
 /// later, and the request then waits in the runner's queue.
 const VERSION_MARGIN_MS: u64 = 1200;
@@ -29,9 +29,9 @@
         self.version_ms = version_ms;
     }
 
-    /// Records a version. Each version keeps its own time bound when a newer one is announced, also
-    /// if the newer one was received first. A process that receives a version late, or starts after
-    /// the announcement, learns its age from other processes.
+    /// Records a version. Each version keeps its own version deadline when a newer one is
+    /// announced, also if the newer one was received first. A process that receives a version late,
+    /// or starts after the announcement, learns its age from other processes.
     pub(crate) fn record(&mut self, now: Millis, named: AnnouncedVersion) {
         let heard = Announcement::received_at(now, &named);
         let names = self.by_model.entry(named.model).or_default();
--- a/components/gateway/tests/cold_plain.rs
+++ b/components/gateway/tests/cold_plain.rs
@@ -1,5 +1,5 @@
-//! Cold plain runners: what the responsible gateways send to them, and what sidecars are told about
-//! cold runners.
+//! Cold plain runners: what the responsible gateways send to them, and what is reported to sidecars
+//! about cold runners.
 
 mod support;
 
--- a/components/gateway/tests/crashes.rs
+++ b/components/gateway/tests/crashes.rs
@@ -343,7 +343,7 @@
     assert_eq!(record.due(Millis(0), |_, _| None), Some(QuarantineCall::Remove(REQUEST)));
 }
 
-/// The lives ended by a request whose row is known to be written.
+/// The incarnations ended by a request whose row is known to be written.
 fn recorded(digest: RequestDigest, unrecorded: bool) -> Option<Vec<IncarnationDigest>> {
     lives(digest, unrecorded).filter(|_| !unrecorded)
 }
--- a/components/gateway/tests/foreign_entries.rs
+++ b/components/gateway/tests/foreign_entries.rs
@@ -1,8 +1,8 @@
 //! Valid list entries that another writer has written in place of correct ones.
 //!
-//! A runner keeps its service and its address for its whole life. Guards against gateways that find
-//! runners by the service of the first entry they read: a runner whose entry was overwritten with
-//! an unknown service was still used, at whatever address that entry had.
+//! A runner keeps its service and its address for the whole incarnation. Guards against gateways
+//! that find runners by the service of the first entry they read: a runner whose entry was
+//! overwritten with an unknown service was still used, at whatever address that entry had.
 
 mod support;
 
--- a/components/gateway/tests/fuzz.rs
+++ b/components/gateway/tests/fuzz.rs
@@ -90,7 +90,7 @@
     sends: u32,
     may_have_run: bool,
     current: Option<InstanceId>,
-    /// The life of the current runner that the request was sent to.
+    /// The incarnation of the current runner that the request was sent to.
     life: u64,
     /// Whether the response of the current attempt has begun.
     answered: bool,
@@ -101,8 +101,8 @@
 #[derive(Default)]
 struct Model {
     usable: BTreeSet<InstanceId>,
-    /// Draining runners, until they restart: a runner never returns to service in the same life,
-    /// whatever the list says.
+    /// Draining runners, until they restart: a runner never returns to service in the same
+    /// incarnation, whatever the list says.
     leaving: BTreeSet<InstanceId>,
     /// Number of restarts of each runner.
     lives: BTreeMap<InstanceId, u64>,
@@ -167,7 +167,7 @@
 }
 
 impl Model {
-    /// The list entry of a runner in its current life.
+    /// The list entry of a runner in its current incarnation.
     fn listed(&self, runner: u8) -> RunnerRecord {
         let lives = self.lives.get(&id(runner)).copied().unwrap_or(0);
         let life = IncarnationReport { born: Some(lives), sequence: 0 };
--- a/components/gateway/tests/record.rs
+++ b/components/gateway/tests/record.rs
@@ -16,7 +16,7 @@
     FirstSeenVersion { model: model(), version, not_before_ms, older: Vec::new() }
 }
 
-/// The same with an earlier version whose time bound still applies.
+/// The same with an earlier version whose version deadline still applies.
 fn first_heard_with_older(version: u64, not_before_ms: u64, older: (u64, u64)) -> FirstSeenVersion {
     let (older, before) = older;
     let older = vec![OlderVersion { version: older, not_before_ms: before }];
@@ -294,7 +294,7 @@
     let reported: Vec<(u64, Option<u64>)> =
         reported.iter().map(|it| (it.version, it.age_ms)).collect();
     assert_eq!(reported, [(2, Some(3000)), (3, Some(1000))]);
-    // The first time bound has nearly passed: a process that has just started may use older
+    // The first version deadline has nearly passed: a process that has just started may use older
     // versions as long as with an unknown age.
     let mut record = VersionRecord::new(VERSION_MS);
     record.record_version(Millis(0), 7, model(), 3, None);
--- a/components/gateway/tests/repeated_attempts.rs
+++ b/components/gateway/tests/repeated_attempts.rs
@@ -9,7 +9,7 @@
 
 const STREAM: RouteKind = RouteKind::Stream { resumable: true };
 
-/// A gateway that has received first tries with deadlines of 5 to 6 s and served each at once.
+/// A gateway that has received first attempts with deadlines of 5 to 6 s and served each at once.
 fn fixture() -> Fixture {
     let mut fixture = Fixture::new();
     fixture.list("r1", MODEL_SERVICE, 1);
@@ -158,7 +158,7 @@
 }
 
 /// Guards against an estimate that one caller with a deadline of days raises so much that every
-/// later first try looks like a later try.
+/// later first attempt looks like a repeated attempt.
 #[test]
 fn one_long_deadline_does_not_distort_the_estimate_of_a_new_gateway() {
     let mut fixture = Fixture::new();
@@ -184,8 +184,8 @@
     assert_eq!(left_ms_of(&mut fixture, 2000, 3700), 0);
 }
 
-/// Sidecars keep one slot in 21 for later tries: if one caller in seven counted as a later try, far
-/// fewer of them would be served.
+/// Sidecars keep one slot in 21 for repeated attempts: if one caller in seven counted as a repeated
+/// attempt, far fewer of them would be served.
 #[test]
 fn no_request_is_a_later_try_if_one_caller_in_seven_has_a_short_deadline() {
     let mut fixture = Fixture::new();
--- a/components/gateway/tests/routing.rs
+++ b/components/gateway/tests/routing.rs
@@ -61,8 +61,8 @@
     assert_eq!(fixture.arrive(arrival(1, MODEL_SERVICE, STREAM)), None);
 }
 
-/// With two versions announced three seconds apart, the second announcement replaced the time bound
-/// of the first, and requests started for too long on the version before both.
+/// With two versions announced three seconds apart, the second announcement replaced the version
+/// deadline of the first, and requests started for too long on the version before both.
 #[test]
 fn each_announced_version_keeps_its_own_bound() {
     let mut fixture = Fixture::new();
@@ -81,8 +81,8 @@
     assert!(matches!(step, Some(NextStep::Refuse { .. })), "version 3 is required now: {step:?}");
 }
 
-/// On a slow link, a request that waits at its runner for a second starts after the time bound
-/// although it was sent before it.
+/// On a slow link, a request that waits at its runner for a second starts after the version
+/// deadline although it was sent before it.
 #[test]
 fn a_runner_with_slow_starts_is_no_longer_used_earlier_before_a_bound() {
     let mut fixture = Fixture::new();
--- a/components/gateway/tests/runner_incarnations.rs
+++ b/components/gateway/tests/runner_incarnations.rs
@@ -12,7 +12,7 @@
     IncarnationReport { born: Some(born), sequence }
 }
 
-/// A list entry of a life of `r1`.
+/// A list entry of an incarnation of `r1`.
 fn entry(life: IncarnationReport) -> RunnerRecord {
     RunnerRecord { life, ..record("r1", MODEL_SERVICE, 1) }
 }
@@ -21,8 +21,8 @@
     Event::Load(([127, 0, 0, 1], 1).into(), RunnerLoad { life, ..load(1, running) })
 }
 
-/// A gateway that knows a life of `r1` with start time 5, and has sent this number of requests to
-/// it.
+/// A gateway that knows an incarnation of `r1` with start time 5, and has sent this number of
+/// requests to it.
 fn fixture(requests: u64) -> Fixture {
     let mut fixture = Fixture::new();
     fixture.feed(Event::Listed(entry(life_at(5, 2))));
@@ -55,7 +55,7 @@
     let mut fixture = fixture(3);
     fixture.feed(load_report(life_at(8, 2), 0));
     assert_eq!(occupancy(&mut fixture, 9), 0);
-    // The list still has the entry of the previous life, and is updated later.
+    // The list still has the entry of the previous incarnation, and is updated later.
     fixture.feed(Event::Listed(entry(life_at(5, 2))));
     fixture.feed(Event::Listed(entry(life_at(8, 0))));
     assert_eq!(occupancy(&mut fixture, 10), 1);
@@ -100,7 +100,7 @@
     fixture.feed(Event::Listed(entry(without_birth(3))));
     fixture.feed(load_report(without_birth(3), 2));
     assert_eq!(occupancy(&mut fixture, 1), 2);
-    // An entry that is older than the report is not another life.
+    // An entry that is older than the report is not another incarnation.
     fixture.feed(Event::Listed(entry(without_birth(3))));
     fixture.feed(load_report(without_birth(4), 2));
     fixture.feed(Event::Listed(entry(without_birth(3))));
@@ -122,7 +122,7 @@
     fixture.feed(Event::Listed(entry(life_at(5, 3))));
     fixture.feed(load_report(without_birth(3), 2));
     assert_eq!(occupancy(&mut fixture, 2), 2);
-    // A lower order count than before means another life; the list shows it later.
+    // A lower order count than before means another incarnation; the list shows it later.
     fixture.feed(load_report(without_birth(0), 0));
     assert_eq!(occupancy(&mut fixture, 3), 0);
     let late = fixture.feed(Event::Listed(entry(life_at(5, 4))));
@@ -167,8 +167,8 @@
     assert!(matches!(step, Some(NextStep::Refuse { code: Code::Quarantined, .. })), "{step:?}");
 }
 
-/// A report of a life of `r1` from its list entry or its sidecar. Reports that pass through other
-/// processes arrive in any order.
+/// A report of an incarnation of `r1` from its list entry or its sidecar. Reports that pass through
+/// other processes arrive in any order.
 #[derive(Clone, Debug)]
 struct LifeReport {
     born: u64,
@@ -183,8 +183,8 @@
 }
 
 proptest! {
-    /// The known state is that of the latest life in any report, according to the reports of that
-    /// life alone.
+    /// The known state is that of the latest incarnation in any report, according to the reports of
+    /// that incarnation alone.
     #[test]
     fn reports_of_earlier_lives_are_ignored_in_any_order_of_arrival(life_reports in life_reports()) {
         let mut fixture = Fixture::new();
--- a/components/gateway/tests/shortage.rs
+++ b/components/gateway/tests/shortage.rs
@@ -61,7 +61,7 @@
     sidecars: Vec<Rollout>,
     /// For each runner, the end times of its requests, with the gateway and the key.
     ends: Vec<Vec<(u64, usize, u64)>>,
-    /// Start times of tries, by key: twice the caller's number, plus one for its later try.
+    /// Start times of attempts, by key: twice the caller's number, plus one for its repeated attempt.
     starts: BTreeMap<u64, Vec<u64>>,
     first_at: BTreeMap<u64, u64>,
     by_priority: [Count; 2],
--- a/components/gateway/tests/versions.rs
+++ b/components/gateway/tests/versions.rs
@@ -11,7 +11,7 @@
 
 /// Guards against reporting only the newest version. A gateway that started between two
 /// announcements, or missed the first, never received it, and sent requests to runners on the
-/// version before both until the time bound of the second one.
+/// version before both until the version deadline of the second one.
 #[test]
 fn a_gateway_reports_every_version_whose_bound_has_not_passed() {
     let mut fixture = Fixture::new();
@@ -43,8 +43,8 @@
     assert!(matches!(step, Some(NextStep::Refuse { .. })), "{step:?}");
 }
 
-/// A gateway stops using a version before its time bound, but other processes have to receive that
-/// bound until it has passed.
+/// A gateway stops using a version before its version deadline, but other processes have to receive
+/// that deadline until it has passed.
 #[test]
 fn a_gateway_reports_a_version_until_its_bound_although_it_stopped_using_older_ones() {
     let mut fixture = Fixture::new();
--- a/components/quarantine/src/record.rs
+++ b/components/quarantine/src/record.rs
@@ -117,19 +117,19 @@
         }
     }
 
-    /// The call that is due. `lives` returns the runner incarnations that crashed under a quarantined
+    /// The call that is due. `incarnations` returns the runner incarnations that crashed under a quarantined
     /// request; if its second argument is true, only for a request whose row is not known to be stored.
     pub fn due(
         &mut self,
         now: Millis,
-        lives: impl Fn(RequestDigest, bool) -> Option<Vec<IncarnationDigest>>,
+        incarnations: impl Fn(RequestDigest, bool) -> Option<Vec<IncarnationDigest>>,
     ) -> Option<QuarantineCall> {
         if self.read_at.is_some_and(|at| at <= now) {
             return Some(QuarantineCall::Read);
         }
         let written = |digest: &RequestDigest, target: &TargetState| match target {
-            TargetState::Present => lives(*digest, true),
-            TargetState::PresentAgain => lives(*digest, false),
+            TargetState::Present => incarnations(*digest, true),
+            TargetState::PresentAgain => incarnations(*digest, false),
             TargetState::Absent => None,
         };
         self.rows.retain(|digest, (target, _)| {
@@ -138,9 +138,8 @@
         let (digest, (target, _)) = self.rows.iter().find(|(_, (_, at))| *at <= now)?;
         match target {
             TargetState::Absent => Some(QuarantineCall::Remove(*digest)),
-            TargetState::Present | TargetState::PresentAgain => {
-                written(digest, target).map(|lives| QuarantineCall::Write(*digest, lives))
-            }
+            TargetState::Present | TargetState::PresentAgain => written(digest, target)
+                .map(|incarnations| QuarantineCall::Write(*digest, incarnations)),
         }
     }
 
