--- a/components/edge/src/gateway/notice_log.rs
+++ b/components/edge/src/gateway/notice_log.rs
@@ -5,8 +5,8 @@
 
 /// Logs that a runner is leaving, asks for a pause or reports a rate limit. The reducer emits this once for
 /// each process start of a runner, each pause and each change of its limit.
-pub fn log_notice(news: &NoticeChange) {
-    let (runner, notice) = (news.runner.0.as_str(), news.notice);
+pub fn log_notice(change: &NoticeChange) {
+    let (runner, notice) = (change.runner.0.as_str(), change.notice);
     if notice.is_leaving {
         log::info!(runner = runner; "the runner says that it leaves");
     }
--- a/components/edge/src/gateway/quarantine_record.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -61,9 +61,9 @@
             }
             None => {}
         }
-        let lives =
+        let incarnations =
             |digest, unrecorded| core.read(|it| it.crashed_incarnations(digest, unrecorded));
-        if let Some(call) = record.due(core.clock.now(), lives) {
+        if let Some(call) = record.due(core.clock.now(), incarnations) {
             perform_call(&core, &mut record, &mut client, call).await;
             has_read.set(true);
         }
@@ -119,9 +119,9 @@
             };
             log::info!(outcome = outcome, rows = rows; "record of the quarantine read");
         }
-        QuarantineCall::Write(digest, lives) => {
+        QuarantineCall::Write(digest, incarnations) => {
             let digest = digest.to_string();
-            log::info!(digest = digest.as_str(), crashes = lives.len(), outcome = outcome; "quarantine recorded");
+            log::info!(digest = digest.as_str(), crashes = incarnations.len(), outcome = outcome; "quarantine recorded");
         }
         QuarantineCall::Remove(digest) => {
             let digest = digest.to_string();
--- a/components/edge/src/gateway/table_server.rs
+++ b/components/edge/src/gateway/table_server.rs
@@ -18,13 +18,13 @@
 
 /// Answers another gateway that asks for a table.
 pub async fn answer(readers: HallReaders, request: Request<Incoming>) -> Response<AnswerBody> {
-    let Some(question) = table_copy::parse_request(request.uri()) else {
+    let Some(table_request) = table_copy::parse_request(request.uri()) else {
         return error_answer(StatusCode::NOT_FOUND, None, Code::UnknownTarget);
     };
     readers.record_call();
     let received_at = Instant::now();
-    match wait_for_body(&readers, question).await {
-        Ok(Some(body)) => answer_with_age(&readers, question, received_at, body),
+    match wait_for_body(&readers, table_request).await {
+        Ok(Some(body)) => answer_with_age(&readers, table_request, received_at, body),
         Ok(None) => error_answer(StatusCode::GONE, None, Code::NotFound),
         Err(error) => {
             log::debug!(reason = error.to_string().as_str(); "table not served to another gateway");
@@ -35,15 +35,15 @@
 
 fn answer_with_age(
     readers: &HallReaders,
-    question: TableRequest,
+    table_request: TableRequest,
     received_at: Instant,
     body: Vec<u8>,
 ) -> Response<AnswerBody> {
-    let Some(known) = readers.age(question.table) else {
+    let Some(known) = readers.age(table_request.table) else {
         return error_answer(StatusCode::SERVICE_UNAVAILABLE, None, Code::NotReady);
     };
-    let cached = readers.of(question.table);
-    let changes_age = match question.kind {
+    let cached = readers.of(table_request.table);
+    let changes_age = match table_request.kind {
         RequestKind::Listing => None,
         RequestKind::Changes { after, .. } => {
             cached.earliest_change_after(after).map(|it| it.elapsed())
@@ -65,9 +65,12 @@
 }
 
 /// Waits for the body of the answer. `None` if the requested changes are no longer cached.
-async fn wait_for_body(readers: &HallReaders, question: TableRequest) -> Result<Option<Vec<u8>>> {
-    let cached = readers.of(question.table);
-    let wait = match question.kind {
+async fn wait_for_body(
+    readers: &HallReaders,
+    table_request: TableRequest,
+) -> Result<Option<Vec<u8>>> {
+    let cached = readers.of(table_request.table);
+    let wait = match table_request.kind {
         RequestKind::Listing => FIRST_LISTING_TIMEOUT,
         RequestKind::Changes { wait_ms, .. } => {
             Duration::from_millis(wait_ms).min(readers.feed_wait())
@@ -77,10 +80,10 @@
     loop {
         let changed = cached.changed.listen();
         let is_over = Instant::now() >= until;
-        if let Some(answer) = available_body(readers, question, is_over)? {
+        if let Some(answer) = available_body(readers, table_request, is_over)? {
             return Ok(answer);
         }
-        let stale_at = cached.known_until.get().map(|it| it + readers.max_age(question.table));
+        let stale_at = cached.known_until.get().map(|it| it + readers.max_age(table_request.table));
         let stale_at = stale_at.filter(|it| *it > Instant::now());
         let wake_at = stale_at.map_or(until, |it| it.min(until));
         future::or(changed, uptime::sleep_until(wake_at)).await;
@@ -91,20 +94,20 @@
 /// cached.
 fn available_body(
     readers: &HallReaders,
-    question: TableRequest,
+    table_request: TableRequest,
     is_over: bool,
 ) -> Result<Option<Option<Vec<u8>>>> {
     let not_ready =
         || Error::new(Code::NotReady, "not a reader of this table, or its content is outdated");
-    let copy = readers.of(question.table).copy.borrow();
-    let copy = copy.as_ref().filter(|_| readers.age(question.table).is_some());
+    let copy = readers.of(table_request.table).copy.borrow();
+    let copy = copy.as_ref().filter(|_| readers.age(table_request.table).is_some());
     let Some(copy) = copy else {
         // A gateway that is named in the row of readers may be about to become a reader, so it waits. A
         // reader with outdated content does not.
-        let may_become_reader = question.kind == RequestKind::Listing && readers.is_listed();
+        let may_become_reader = table_request.kind == RequestKind::Listing && readers.is_listed();
         return if may_become_reader && !is_over { Ok(None) } else { Err(not_ready()) };
     };
-    match question.kind {
+    match table_request.kind {
         RequestKind::Listing => copy.listing().map(|it| Some(Some(it))),
         RequestKind::Changes { after, .. } => match copy.changes(after)? {
             Changes::Rows(body) => Ok(Some(Some(body))),
--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -104,10 +104,10 @@
     core.metrics.count_platform(call_name(&call), outcome_name(&answer));
     log_outcome(&call, &answer);
     let announced_versions = record.apply_answer(core.clock.now(), rand::random(), &call, answer);
-    for named in &announced_versions {
-        let model = named.model.0.as_str();
-        log::info!(model = model, version = named.version, age_ms = named.age_ms; "version's age read");
-        core.dispatch(Event::VersionAnnounced(named.clone()));
+    for announced in &announced_versions {
+        let model = announced.model.0.as_str();
+        log::info!(model = model, version = announced.version, age_ms = announced.age_ms; "version's age read");
+        core.dispatch(Event::VersionAnnounced(announced.clone()));
     }
     if !announced_versions.is_empty() {
         core.notify_sidecars();
@@ -129,10 +129,10 @@
     let outcome = outcome_name(answer);
     match call {
         RecordCall::Read => log::info!(outcome = outcome; "version record read"),
-        RecordCall::Write(heard, revision) => log::info!(
-            model = heard.model.0.as_str(),
-            version = heard.version,
-            not_before_ms = heard.not_before_ms,
+        RecordCall::Write(first_seen, revision) => log::info!(
+            model = first_seen.model.0.as_str(),
+            version = first_seen.version,
+            not_before_ms = first_seen.not_before_ms,
             revision = *revision,
             outcome = outcome;
             "version's first hearing recorded"
--- a/components/edge/src/incarnation_log.rs
+++ b/components/edge/src/incarnation_log.rs
@@ -5,13 +5,13 @@
 use telemetry::Metrics;
 
 /// Logs and counts a report that belongs to another start of the runner's process than the known one.
-pub fn log_incarnation_change(metrics: &Metrics, news: &IncarnationEvent) {
-    let runner = news.runner.0.as_str();
-    let (born, known) = (news.reported.born, news.known_born);
-    match news.change {
+pub fn log_incarnation_change(metrics: &Metrics, event: &IncarnationEvent) {
+    let runner = event.runner.0.as_str();
+    let (born, known) = (event.reported.born, event.known_born);
+    match event.change {
         IncarnationChange::Same => return,
         IncarnationChange::Restarted => {
-            log::info!(runner = runner, born = born, known = known, sequence = news.reported.sequence; "runner started anew");
+            log::info!(runner = runner, born = born, known = known, sequence = event.reported.sequence; "runner started anew");
         }
         IncarnationChange::Earlier => {
             log::warn!(runner = runner, born = born, known = known; "word of an earlier life of a runner");
@@ -20,7 +20,7 @@
             log::error!(runner = runner, known = known; "a runner that told when it started does not tell it any more");
         }
     }
-    metrics.count_life(change_text(news.change));
+    metrics.count_life(change_text(event.change));
 }
 
 fn change_text(change: IncarnationChange) -> &'static str {
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -89,7 +89,7 @@
         hall: "nbo-hall-a".into(),
         sidecars,
     };
-    let heard = KnownGateway { address: address(2, 7700), tenths: 12 };
+    let known = KnownGateway { address: address(2, 7700), tenths: 12 };
     let reserved = |reply| Datagram::Reserved {
         question: 300,
         reply,
@@ -114,7 +114,7 @@
         ),
         (
             "gateways",
-            Datagram::Gateways(GatewayList { asker: address(1, 7700), gateways: vec![heard] }),
+            Datagram::Gateways(GatewayList { asker: address(1, 7700), gateways: vec![known] }),
         ),
         ("crashes", Datagram::Crashes { crashes: crashes(), limits: Vec::new() }),
         (
--- a/components/edge/src/message/tests.rs
+++ b/components/edge/src/message/tests.rs
@@ -12,8 +12,8 @@
 /// The size of a list of `gateways` gateways, in bytes.
 fn list_bytes(gateways: u8) -> usize {
     let address = |last| SocketAddr::from(([10, 0, 0, last], 47_000));
-    let heard = |last| KnownGateway { address: address(last), tenths: 160 };
-    let list = GatewayList { asker: address(0), gateways: (0..gateways).map(heard).collect() };
+    let known = |last| KnownGateway { address: address(last), tenths: 160 };
+    let list = GatewayList { asker: address(0), gateways: (0..gateways).map(known).collect() };
     encode(&Datagram::Gateways(list)).len()
 }
 
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -57,7 +57,7 @@
         core: core.clone(),
         socket,
         parts,
-        questions: 0,
+        requests: 0,
         has_list: false,
     };
     loop {
@@ -132,7 +132,7 @@
     parts: Receiver<SidecarsPart>,
     client: HttpClient,
     /// The number of requests so far.
-    questions: u64,
+    requests: u64,
     /// Whether a list was applied.
     has_list: bool,
 }
@@ -157,8 +157,8 @@
         let asked = gateways.into_iter().choose_multiple(&mut rand::rng(), MAX_GATEWAYS_ASKED);
         let mut best = DirectoryAnswer::Silent;
         for gateway in asked {
-            self.questions += 1;
-            let question = self.questions;
+            self.requests += 1;
+            let question = self.requests;
             let service = self.core.settings.service.clone();
             self.socket.send(gateway, &Datagram::WantSidecars { question, service }).await;
             let until = Instant::now() + ANSWER_TIMEOUT;
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -165,13 +165,13 @@
                 peers::send_reply(&core, &socket, reservation, reply).await;
             }
             Effect::LogIncarnationChange(change, reported) => {
-                let news = IncarnationEvent {
+                let event = IncarnationEvent {
                     runner: core.me.clone(),
                     change,
                     reported,
                     known_born: None,
                 };
-                log_incarnation_change(&core.metrics, &news);
+                log_incarnation_change(&core.metrics, &event);
             }
             Effect::LogLimitChange(rate) => {
                 let per_s = rate.map(Rate::per_s);
--- a/components/edge/src/store_time.rs
+++ b/components/edge/src/store_time.rs
@@ -95,11 +95,11 @@
     }
 
     /// Sets the ages of reported versions by the store's clock, since the reports were delayed in transit.
-    pub fn set_ages<'a>(&self, named: impl IntoIterator<Item = &'a mut AnnouncedVersion>) {
+    pub fn set_ages<'a>(&self, announced: impl IntoIterator<Item = &'a mut AnnouncedVersion>) {
         let Some(clock_ms) = self.clock_ms(Instant::now()) else {
             return;
         };
-        for version in named {
+        for version in announced {
             let age_ms = version.after_ms.map(|it| clock_ms.saturating_sub(it));
             version.age_ms = age_ms.or(version.age_ms);
         }
--- a/components/gateway/src/versions.rs
+++ b/components/gateway/src/versions.rs
@@ -32,17 +32,17 @@
     /// Records a version. Each version keeps its own version deadline when a newer one is
     /// announced, also if the newer one was received first. A process that receives a version late,
     /// or starts after the announcement, learns its age from other processes.
-    pub(crate) fn record(&mut self, now: Millis, named: AnnouncedVersion) {
-        let heard = Announcement::received_at(now, &named);
-        let names = self.by_model.entry(named.model).or_default();
-        names.add(heard);
-        names.remove_superseded(now, self.version_ms);
+    pub(crate) fn record(&mut self, now: Millis, announced: AnnouncedVersion) {
+        let announcement = Announcement::received_at(now, &announced);
+        let announcements = self.by_model.entry(announced.model).or_default();
+        announcements.add(announcement);
+        announcements.remove_superseded(now, self.version_ms);
     }
 
     /// The oldest version of a model that a request may start on now.
     pub(crate) fn required(&self, now: Millis, model: &ModelName) -> u64 {
-        let names = self.by_model.get(model);
-        names.map_or(0, |it| it.required(now.plus(VERSION_MARGIN_MS), self.version_ms))
+        let announcements = self.by_model.get(model);
+        announcements.map_or(0, |it| it.required(now.plus(VERSION_MARGIN_MS), self.version_ms))
     }
 
     /// The time from which no request may start on a version of a model. `None` if there is no
@@ -53,8 +53,8 @@
 
     /// The versions of each model to report to other processes, oldest first.
     pub(crate) fn to_report(&self, now: Millis) -> Vec<AnnouncedVersion> {
-        let of_model = |(model, names): (&ModelName, &Announcements)| {
-            let reported = names.to_report(now, self.version_ms).map(|it| {
+        let of_model = |(model, announcements): (&ModelName, &Announcements)| {
+            let reported = announcements.to_report(now, self.version_ms).map(|it| {
                 let age_ms = it.known.then(|| now.since(it.at).0);
                 let (model, version, after_ms) = (model.clone(), it.version, it.after_ms);
                 AnnouncedVersion { model, version, age_ms, after_ms }
