--- a/components/edge/src/gateway/notice_log.rs
+++ b/components/edge/src/gateway/notice_log.rs
@@ -3,15 +3,15 @@
 use fleet::AdvertisedLimit;
 use gateway::NoticeChange;
 
-/// Logs that a runner is leaving, asks for a pause or reports a rate limit. The reducer emits this once for
-/// each process start of a runner, each pause and each change of its limit.
+/// Logs that a runner is leaving, asks for a backoff or reports a rate limit. The reducer emits this once for
+/// each process start of a runner, each backoff and each change of its limit.
 pub fn log_notice(change: &NoticeChange) {
     let (runner, notice) = (change.runner.0.as_str(), change.notice);
     if notice.is_leaving {
         log::info!(runner = runner; "the runner says that it leaves");
     }
-    if let Some(rest_ms) = notice.backoff_ms {
-        log::warn!(runner = runner, rest_ms = rest_ms; "the runner refuses requests and asks for a pause");
+    if let Some(backoff_ms) = notice.backoff_ms {
+        log::warn!(runner = runner, rest_ms = backoff_ms; "the runner refuses requests and asks for a pause");
     }
     match notice.limit {
         Some(AdvertisedLimit::Limited(rate)) => {
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -180,25 +180,25 @@
     pub fn set_version_ages(
         &self,
         clock_ms: Option<u64>,
-        mut named: Vec<AnnouncedVersion>,
+        mut announced: Vec<AnnouncedVersion>,
     ) -> Vec<AnnouncedVersion> {
         let mut time = self.time.borrow_mut();
         clock_ms.into_iter().for_each(|it| time.record_report(it));
-        time.set_ages(&mut named);
-        named
+        time.set_ages(&mut announced);
+        announced
     }
 
     /// Records announced versions of any model. They are kept until the configuration says which model the
     /// runner has.
-    pub fn record_versions(&self, named: &[AnnouncedVersion]) {
+    pub fn record_versions(&self, announced: &[AnnouncedVersion]) {
         let now = self.clock.now();
-        for it in named {
-            let mut names = self.announced_versions.borrow_mut();
-            let names = names.entry(it.model.clone()).or_default();
-            let previous = names.get(it.version);
-            names.add(Announcement::received_at(now, it));
-            log_version(&it.model, now, previous, names.get(it.version));
-            names.keep_newest(MAX_VERSIONS);
+        for it in announced {
+            let mut announcements = self.announced_versions.borrow_mut();
+            let announcements = announcements.entry(it.model.clone()).or_default();
+            let previous = announcements.get(it.version);
+            announcements.add(Announcement::received_at(now, it));
+            log_version(&it.model, now, previous, announcements.get(it.version));
+            announcements.keep_newest(MAX_VERSIONS);
         }
         let model = self.rollout.borrow().plan().map(|it| it.model.clone());
         let own = model
@@ -210,7 +210,7 @@
             let _ = self.request_list.try_send(());
         }
         let is_in_report = |it: &Announcement| {
-            named.is_empty() || named.iter().any(|reported| reported.version == it.version)
+            announced.is_empty() || announced.iter().any(|reported| reported.version == it.version)
         };
         for Announcement { version, at, known, after_ms } in own.all().filter(is_in_report) {
             self.dispatch(Event::Announced {
@@ -224,8 +224,8 @@
     /// The announced version that a load report carries. It has room for one, so a random relevant version is
     /// chosen: a receiver of several reports receives all of them.
     fn version_to_report(&self) -> Option<AnnouncedVersion> {
-        let named = self.rollout.borrow().announced_versions(self.clock.now());
-        named.into_iter().choose(&mut rand::rng())
+        let announced = self.rollout.borrow().announced_versions(self.clock.now());
+        announced.into_iter().choose(&mut rand::rng())
     }
 
     /// The current load of the runner for gateways: it includes the slots granted since the runner's last
--- a/components/reducer/src/admission.rs
+++ b/components/reducer/src/admission.rs
@@ -10,8 +10,8 @@
 pub struct Admission {
     limit: u32,
     running: BTreeSet<RequestId>,
-    /// The pause that the upstream has requested.
-    rest: Backoff<RequestId>,
+    /// The backoff that the upstream has requested.
+    backoff: Backoff<RequestId>,
     /// Never reset: an agent that stops does not admit work again.
     stopping: bool,
 }
@@ -29,7 +29,7 @@
 impl Admission {
     /// Creates an admission control that lets `limit` requests run at once.
     pub fn new(limit: u32) -> Self {
-        Self { limit, running: BTreeSet::new(), rest: Backoff::default(), stopping: false }
+        Self { limit, running: BTreeSet::new(), backoff: Backoff::default(), stopping: false }
     }
 
     /// Admits a request, or returns the reason for rejecting it. A rejected request has not run.
@@ -57,34 +57,34 @@
         }
         let version = find_version(call, state.serving)?;
         let has_free_slot = (self.running.len() as u32) < self.limit;
-        if !has_free_slot || !self.rest.admit(now, call.request) {
+        if !has_free_slot || !self.backoff.admit(now, call.request) {
             return Err(Code::Overloaded);
         }
         self.running.insert(call.request);
-        self.rest.note_sent(call.request);
+        self.backoff.note_sent(call.request);
         Ok(version)
     }
 
     /// Frees the slot of a request.
     pub fn end(&mut self, request: RequestId) {
         self.running.remove(&request);
-        self.rest.note_end(request);
+        self.backoff.note_end(request);
     }
 
-    /// Handles that the upstream began to answer a request (`rest_ms` is zero) or rejected it and requested a
-    /// pause of `rest_ms`. Without this, requests would still be sent to an upstream that has requested a
-    /// pause.
-    pub fn handle_answer(&mut self, now: Millis, request: RequestId, rest_ms: u64) {
-        if rest_ms > 0 {
-            self.rest.begin(now, rest_ms);
+    /// Handles that the upstream began to answer a request (`backoff_ms` is zero) or rejected it and requested
+    /// a backoff of `backoff_ms`. Without this, requests would still be sent to an upstream that has requested
+    /// a backoff.
+    pub fn handle_answer(&mut self, now: Millis, request: RequestId, backoff_ms: u64) {
+        if backoff_ms > 0 {
+            self.backoff.begin(now, backoff_ms);
         } else {
-            self.rest.note_run(request);
+            self.backoff.note_run(request);
         }
     }
 
-    /// The remaining pause that the upstream has requested, in milliseconds.
+    /// The remaining backoff that the upstream has requested, in milliseconds.
     pub fn rest_left_ms(&self, now: Millis) -> u64 {
-        self.rest.left_ms(now)
+        self.backoff.left_ms(now)
     }
 
     /// Rejects all further requests.
