--- a/components/gateway/src/limits.rs
+++ b/components/gateway/src/limits.rs
@@ -134,11 +134,11 @@
     /// Records the limits that a gateway reports.
     pub fn take(&mut self, now: Millis, reported: &[IncarnationLimit]) {
         for IncarnationLimit { life, limit } in reported {
-            let (known, told_at) = self.received.entry(*life).or_default();
+            let (known, reported_at) = self.received.entry(*life).or_default();
             known.apply_report(now, None, *limit);
-            *told_at = now;
+            *reported_at = now;
         }
-        self.received.retain(|_, (_, told_at)| now.since(*told_at).0 <= LIMIT_MEMORY_MS);
+        self.received.retain(|_, (_, reported_at)| now.since(*reported_at).0 <= LIMIT_MEMORY_MS);
     }
 
     /// The limits that are sent to a gateway. If there are too many for one message, a random
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -176,8 +176,9 @@
         now: Millis,
         reported: &IncarnationLimit,
     ) -> Vec<NoticeChange> {
-        let of_life = self.runners.iter_mut().filter(|(_, it)| it.life.digest == reported.life);
-        let news = of_life.filter_map(|(id, runner)| {
+        let of_incarnation =
+            self.runners.iter_mut().filter(|(_, it)| it.life.digest == reported.life);
+        let news = of_incarnation.filter_map(|(id, runner)| {
             let limit = runner.learn_limit(now, reported.limit);
             let notice = Notice { limit, ..Notice::default() };
             (!notice.is_empty()).then(|| NoticeChange { runner: id.clone(), notice })
@@ -186,7 +187,7 @@
     }
 
     /// The runners in a given incarnation.
-    pub fn of_life(&self, life: IncarnationDigest) -> impl Iterator<Item = &Runner> {
+    pub fn of_incarnation(&self, life: IncarnationDigest) -> impl Iterator<Item = &Runner> {
         self.runners.values().filter(move |it| it.life.digest == life)
     }
 
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -205,7 +205,7 @@
             }
             Event::Listed(record) => {
                 let news = self.pool.list(now, record);
-                let mut effects = self.handle_life_news(news);
+                let mut effects = self.handle_incarnation_events(news);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
@@ -216,15 +216,15 @@
             }
             Event::Load(address, load) => {
                 let news = self.pool.apply_load(now, address, load);
-                let mut effects = self.handle_life_news(news);
+                let mut effects = self.handle_incarnation_events(news);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
-            Event::LimitReported(address, told) => {
-                let news = self.pool.apply_limit(now, address, told);
+            Event::LimitReported(address, reported) => {
+                let news = self.pool.apply_limit(now, address, reported);
                 self.note_limits(now, news)
             }
-            Event::Limits(told) => self.apply_limits(now, &told),
+            Event::Limits(reported) => self.apply_limits(now, &reported),
             Event::Gateways(list) => {
                 self.members.merge(now, list);
                 Vec::new()
@@ -334,7 +334,7 @@
     }
 
     /// Applies reports of incarnations of runners that differ from the known ones.
-    fn handle_life_news(
+    fn handle_incarnation_events(
         &mut self,
         news: impl IntoIterator<Item = IncarnationEvent>,
     ) -> Vec<Effect> {
--- a/components/gateway/src/reducer/limits.rs
+++ b/components/gateway/src/reducer/limits.rs
@@ -21,7 +21,7 @@
             news.extend(self.pool.apply_incarnation_limit(now, it));
             // A process may not know that a limit has ended, so the runner is added again and its
             // end is reported once more.
-            let runners = self.pool.of_life(it.life).map(|it| it.record.id.clone());
+            let runners = self.pool.of_incarnation(it.life).map(|it| it.record.id.clone());
             runners.for_each(|id| self.limits.add(&id));
         }
         self.note_limits(now, news)
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -136,8 +136,8 @@
     pub previous_born: Option<u64>,
     /// The last incarnation reported by the list, and by the sidecar. They are kept apart because
     /// each counts orders at different times.
-    listed_life: IncarnationReport,
-    reported_life: Option<IncarnationReport>,
+    listed_incarnation: IncarnationReport,
+    reported_incarnation: Option<IncarnationReport>,
     /// Requests of this gateway at the runner.
     pub in_flight: u32,
     /// Those of them that crashed runners before.
@@ -185,8 +185,8 @@
             },
             born: record.life.born,
             previous_born: None,
-            listed_life: record.life,
-            reported_life: None,
+            listed_incarnation: record.life,
+            reported_incarnation: None,
             cold_until: now.plus(record.cold_ms),
             maybe_cold_until: Millis(0),
             maybe_cold_since: Millis(0),
@@ -210,7 +210,8 @@
 
     /// Compares the incarnation reported by the list or a sidecar with the known one.
     pub fn compare(&self, other: IncarnationReport, is_listed: bool) -> IncarnationChange {
-        let last = if is_listed { Some(self.listed_life) } else { self.reported_life };
+        let last =
+            if is_listed { Some(self.listed_incarnation) } else { self.reported_incarnation };
         let sequence = last.map_or(other.sequence, |it| it.sequence);
         let known = IncarnationReport { born: self.born, sequence };
         if other.born.is_some() && other.born <= self.previous_born {
@@ -225,12 +226,12 @@
     }
 
     fn reports_contain_start_time(&self) -> bool {
-        self.reported_life.is_some_and(|it| it.born.is_some())
+        self.reported_incarnation.is_some_and(|it| it.born.is_some())
     }
 
     /// Applies a newer list entry.
     pub fn update_entry(&mut self, now: Millis, record: RunnerRecord) {
-        self.listed_life = record.life;
+        self.listed_incarnation = record.life;
         self.cold_until = now.plus(record.cold_ms);
         self.record = record;
         self.note_listed_state(now);
@@ -330,7 +331,7 @@
     /// Applies a load report.
     pub fn apply_load(&mut self, now: Millis, load: RunnerLoad) {
         self.last_alive_at = now;
-        self.reported_life = Some(load.life);
+        self.reported_incarnation = Some(load.life);
         self.reported = Some(Reported { load, at: now, own_requests: self.in_flight });
     }
 
--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -258,8 +258,8 @@
     /// cannot reach more runners than the quarantine threshold.
     fn status(&self, now: Millis, digest: RequestDigest) -> RequestStatus {
         let pending = self.pending.iter().filter(|it| it.digest == digest);
-        let lives: BTreeSet<IncarnationDigest> = pending.map(|it| it.life).collect();
-        self.ledger.status(now, digest, &lives)
+        let incarnations: BTreeSet<IncarnationDigest> = pending.map(|it| it.life).collect();
+        self.ledger.status(now, digest, &incarnations)
     }
 
     fn is_probe_due(&self, now: Millis, digest: RequestDigest) -> bool {
--- a/components/rollout/src/cold.rs
+++ b/components/rollout/src/cold.rs
@@ -84,7 +84,7 @@
     /// entry in the list.
     pub fn apply_report(&mut self, now: Millis, left_ms: u64) {
         self.reported_until = self.reported_until.max(now.plus(left_ms));
-        // An earlier report may be about an earlier run of the runner.
+        // An earlier report may be about an earlier incarnation of the runner.
         let is_report_current =
             self.assumed_start.is_some_and(|at| now.since(at).0 >= REPORT_LAG_MS);
         if left_ms == 0 && is_report_current {
--- a/components/rollout/src/event.rs
+++ b/components/rollout/src/event.rs
@@ -230,7 +230,7 @@
         /// The chunks.
         have: Bitmap,
     },
-    /// Log that the runner has restarted, or that its report is not about the known run.
+    /// Log that the runner has restarted, or that its report is not about the known incarnation.
     LogIncarnationChange(IncarnationChange, IncarnationReport),
     /// Log a change of the runner's rate limit. `None` if it has ended.
     LogLimitChange(Option<Rate>),
--- a/components/rollout/src/rate.rs
+++ b/components/rollout/src/rate.rs
@@ -37,8 +37,8 @@
         is_changed
     }
 
-    /// Applies what a gateway received from the run of the runner that started at `born`, and returns whether
-    /// it changes the limit.
+    /// Applies what a gateway received from the incarnation of the runner that started at `born`, and returns
+    /// whether it changes the limit.
     pub(crate) fn apply_report(
         &mut self,
         now: Millis,
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -64,8 +64,8 @@
     /// Since when requests have been waiting at the runner, if any are.
     waiting_since: Option<Millis>,
     status: Option<RunnerStatus>,
-    /// The run of the runner by its latest report. Kept while the runner does not respond.
-    life: Option<IncarnationReport>,
+    /// The incarnation of the runner by its latest report. Kept while the runner does not respond.
+    incarnation: Option<IncarnationReport>,
     /// When the runner last reported its status, and when this sidecar last sent it an order. A status from
     /// before an order does not describe what the runner does now.
     status_at: Millis,
@@ -113,7 +113,7 @@
             announced: Announcements::default(),
             waiting_since: None,
             status: None,
-            life: None,
+            incarnation: None,
             status_at: Millis(0),
             own_order_at: Millis(0),
             retired_at: None,
@@ -210,7 +210,7 @@
                 return self.apply_limit_change(now, is_changed);
             }
             Event::LimitReported(report) => {
-                let is_changed = self.rate.apply_report(now, self.run_start(), report);
+                let is_changed = self.rate.apply_report(now, self.incarnation_start(), report);
                 return self.apply_limit_change(now, is_changed);
             }
             Event::ColdFor(left_ms) => self.cold.apply_report(now, left_ms),
--- a/components/rollout/src/reducer/admission.rs
+++ b/components/rollout/src/reducer/admission.rs
@@ -173,12 +173,12 @@
 
     /// The runner's rate limit to report to gateways. `None` if the runner has not advertised one recently.
     pub fn limit_to_report(&self, now: Millis) -> Option<ReportedLimit> {
-        self.rate.to_report(now, self.run_start())
+        self.rate.to_report(now, self.incarnation_start())
     }
 
-    /// Start time of the current run of the runner, if it reports one.
-    pub(super) fn run_start(&self) -> Option<u64> {
-        self.life.and_then(|it| it.born)
+    /// Start time of the current incarnation of the runner, if it reports one.
+    pub(super) fn incarnation_start(&self) -> Option<u64> {
+        self.incarnation.and_then(|it| it.born)
     }
 
     /// Processes a possible change of the rate limit.
--- a/components/rollout/src/reducer/status.rs
+++ b/components/rollout/src/reducer/status.rs
@@ -10,7 +10,8 @@
 impl Rollout {
     pub(super) fn apply_status(&mut self, now: Millis, status: RunnerStatus) -> Vec<Effect> {
         let reported = IncarnationReport { born: status.started_at_ms, sequence: status.sequence };
-        let change = self.life.map_or(IncarnationChange::Same, |known| known.compare(reported));
+        let change =
+            self.incarnation.map_or(IncarnationChange::Same, |known| known.compare(reported));
         let effects = match change {
             IncarnationChange::Same => Vec::new(),
             change => vec![Effect::LogIncarnationChange(change, reported)],
@@ -18,7 +19,7 @@
         if matches!(change, IncarnationChange::Earlier | IncarnationChange::StartTimeMissing) {
             return effects;
         }
-        self.life = Some(reported);
+        self.incarnation = Some(reported);
         let has_restarted = change == IncarnationChange::Restarted;
         if has_restarted {
             self.slots.reset();
@@ -40,8 +41,8 @@
         };
         let holds_target = status.version.is_some_and(|it| it >= target.version);
         match target.step {
-            // Chunks that were written to the previous run are written again: the order must refer to the
-            // state of the new run.
+            // Chunks that were written to the previous incarnation are written again: the order must refer to
+            // the state of the new incarnation.
             Step::Staging if has_restarted => target.step = Step::Waiting(now),
             Step::Served if !holds_target && !status.is_executing_order => {
                 target.step = if target.is_complete() {
