--- a/components/account/src/account.rs
+++ b/components/account/src/account.rs
@@ -1,4 +1,4 @@
-//! The account of one request.
+//! A report on one request, assembled from the logs of several processes.
 
 use std::fmt;
 
@@ -7,37 +7,37 @@
 use crate::cause::cause;
 use crate::decision::{Decision, RequestLine};
 
-/// What an account lacks.
+/// Information that is missing from an [`Account`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Gap {
-    /// No line speaks of the request.
+    /// The logs contain no line about the request.
     Nothing,
-    /// The line of its arrival is missing.
+    /// The line about the start of the request is missing.
     Start,
-    /// The line of its end is missing.
+    /// The line about the end of the request is missing.
     End,
-    /// A sidecar gave no place, and its own line is missing.
+    /// A sidecar denied a reservation, and the line in which it gave the reason is missing.
     Sidecar,
-    /// So many lines of the logs could not be read.
+    /// The number of lines that contain the id of the request but could not be parsed.
     Unreadable(usize),
 }
 
-/// Everything that some logs say of one request, oldest first.
+/// All log lines about one request, in order of time, with a summary.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Account {
-    /// The request.
+    /// The id of the request.
     pub request: String,
-    /// The lines.
+    /// The lines, oldest first.
     pub lines: Vec<RequestLine>,
-    /// What is missing.
+    /// The information that the logs lack.
     pub gaps: Vec<Gap>,
-    /// What happened, in a sentence.
+    /// A one-sentence summary of why the request ended as it did.
     pub cause: String,
 }
 
 impl Account {
-    /// Puts together what some logs say of a request. The lines may come in any order.
+    /// Builds the report from the texts of log files, whose lines may be in any order.
     pub fn of<'a>(request: &str, logs: impl IntoIterator<Item = &'a str>) -> Self {
         let mut lines = Vec::new();
         let mut unreadable = 0;
@@ -51,7 +51,7 @@
                 Err(_) => unreadable += 1,
             }
         }
-        // Of one moment, the end comes last.
+        // The end of the request sorts after other lines with the same time.
         lines.sort_by_key(|line| (line.ts_ms, is_end(&line.decision)));
         lines.dedup();
         let gaps = gaps(&lines, unreadable);
@@ -93,37 +93,41 @@
         let start = self.lines.first().map_or(0, |line| line.ts_ms);
         for line in &self.lines {
             let after = line.ts_ms - start;
-            writeln!(f, "  {after:>6} ms  {:<20} {}", line.instance, words(&line.decision))?;
+            writeln!(f, "  {after:>6} ms  {:<20} {}", line.instance, describe(&line.decision))?;
         }
         for gap in &self.gaps {
-            writeln!(f, "  missing: {}", missing(gap))?;
+            writeln!(f, "  missing: {}", describe_gap(gap))?;
         }
         writeln!(f, "cause: {}", self.cause)
     }
 }
 
-fn missing(gap: &Gap) -> String {
+fn describe_gap(gap: &Gap) -> String {
     match gap {
-        Gap::Nothing => "no line speaks of this request; successes are sampled".into(),
-        Gap::Start => "the line of its arrival".into(),
-        Gap::End => "the line of its end: the process ended first, or its log is not here".into(),
-        Gap::Sidecar => "the sidecar's line on the place that it did not give".into(),
-        Gap::Unreadable(count) => format!("{count} lines that could not be read"),
+        Gap::Nothing => {
+            "no line about this request; only a sample of the successful requests is logged".into()
+        }
+        Gap::Start => "the line about its arrival".into(),
+        Gap::End => {
+            "the line about its end: the process exited first, or its log was not given".into()
+        }
+        Gap::Sidecar => "the sidecar's line with the reason for the denied reservation".into(),
+        Gap::Unreadable(count) => format!("{count} lines that could not be parsed"),
     }
 }
 
-/// The homes of a request that is bound.
-fn bound(homes: &[String]) -> String {
+/// The home regions as a suffix for a line; empty if there are none.
+fn homes_suffix(homes: &[String]) -> String {
     match homes {
         [] => String::new(),
         homes => format!(", homes {}", homes.join(" ")),
     }
 }
 
-fn words(decision: &Decision) -> String {
+fn describe(decision: &Decision) -> String {
     match decision {
         Decision::Routed { route, service, configuration, kind, held_ms, digest } => format!(
-            "route {route} ({kind}) to {service}, configuration {configuration}, held {held_ms} ms at most, \
+            "route {route} ({kind}) to {service}, configuration {configuration}, held for {held_ms} ms at most, \
              digest {digest}"
         ),
         Decision::Unrouted { configuration, age_ms } => {
@@ -134,42 +138,42 @@
             runner, attempt, occupancy, report_age_ms, candidates, homes, left_ms
         } => {
             let age = report_age_ms.map_or("no report".into(), |age| format!("report {age} ms old"));
-            let homes = bound(homes);
-            let left = left_of_aim(*left_ms);
+            let homes = homes_suffix(homes);
+            let left = time_left_suffix(*left_ms);
             format!(
                 "attempt {attempt}: {runner} of {candidates}{homes}, {occupancy} requests there, {age}{left}"
             )
         }
-        Decision::NoPlace { runner, outcome } => format!("no place at {runner}: {outcome}"),
+        Decision::NoPlace { runner, outcome } => format!("no reservation at {runner}: {outcome}"),
         Decision::Denied { reason, taken, slots, version } => {
-            format!("gives no place: {reason}, {taken} of {slots} taken, version {version}")
+            format!("denies the reservation: {reason}, {taken} of {slots} slots taken, version {version}")
         }
         Decision::Failed { runner, code, name, not_run, took_ms } => {
             let ran = if *not_run { "not run" } else { "may have run" };
             format!("{runner} failed after {took_ms} ms: {code} {name}, {ran}")
         }
         Decision::Told { runner, leaving, rest_ms, limit_per_s } => {
-            let leaves = if *leaving { " leaves" } else { "" };
-            let rest = rest_ms.map_or(String::new(), |ms| format!(" wants nothing for {ms} ms"));
+            let leaves = if *leaving { " is leaving;" } else { "" };
+            let rest = rest_ms.map_or(String::new(), |ms| format!(" no requests for {ms} ms;"));
             let limit =
-                limit_per_s.map_or(String::new(), |rate| format!(" takes {rate} requests a second"));
-            format!("{runner} says that it{leaves}{rest}{limit}")
+                limit_per_s.map_or(String::new(), |rate| format!(" at most {rate} requests per second;"));
+            format!("notice from {runner}:{leaves}{rest}{limit}")
         }
         Decision::Answered { runner, status, after_ms } => {
-            format!("{runner} answers {status} after {after_ms} ms")
+            format!("{runner} responds with {status} after {after_ms} ms")
         }
-        Decision::Resumed { after_event } => format!("goes on behind event {after_event:?}"),
+        Decision::Resumed { after_event } => format!("resumes after event {after_event:?}"),
         Decision::Ended {
             outcome, code, name, status, retry_after_ms, runners, usable, homes, evacuated
         } => {
             let code = if *code == 0 { String::new() } else { format!(", {code} {name}") };
-            let back = retry_after_ms.map_or(String::new(), |ms| format!(", back in {ms} ms"));
+            let back = retry_after_ms.map_or(String::new(), |ms| format!(", retry after {ms} ms"));
             let left = match evacuated {
                 0 => String::new(),
                 evacuated => format!(", {evacuated} in evacuated halls"),
             };
             let standing = match outcome.as_str() {
-                "refused" => format!("; {usable} of {runners} runners usable{left}{}", bound(homes)),
+                "refused" => format!("; {usable} of {runners} runners usable{left}{}", homes_suffix(homes)),
                 _ => String::new(),
             };
             format!("ends {outcome} with {status}{code}{back}{standing}")
@@ -177,11 +181,11 @@
     }
 }
 
-/// What was left of a request's aim, in words. Nothing where the line does not say.
-fn left_of_aim(left_ms: Option<u64>) -> String {
+/// The time left to the latency target as a suffix for a line; empty if the line does not contain it.
+fn time_left_suffix(left_ms: Option<u64>) -> String {
     match left_ms {
         None => String::new(),
-        Some(0) => ", a later try by its deadline: stands behind first ones".into(),
-        Some(left) => format!(", {left} ms of its aim left"),
+        Some(0) => ", a later try by its deadline: queued behind first tries".into(),
+        Some(left) => format!(", {left} ms left to its latency target"),
     }
 }
--- a/components/account/src/cause.rs
+++ b/components/account/src/cause.rs
@@ -1,47 +1,47 @@
-//! What happened to a request, in a sentence.
+//! A one-sentence summary of why a request ended as it did.
 
 use errors::Code;
 
 use crate::decision::{Decision, RequestLine};
 
-/// The cause, as far as the lines tell it.
+/// Derives the cause from the log lines of a request.
 pub(crate) fn cause(lines: &[RequestLine]) -> String {
     let ended = lines.iter().rev().find_map(|line| match &line.decision {
         Decision::Ended { outcome, code, runners, usable, evacuated, homes, .. } => Some((
             outcome.as_str(),
             *code,
-            Standing { runners: *runners, usable: *usable, evacuated: *evacuated },
+            RunnerCounts { runners: *runners, usable: *usable, evacuated: *evacuated },
             homes,
         )),
         _ => None,
     });
-    let Some((outcome, code, standing, homes)) = ended else {
-        return unfinished(lines);
+    let Some((outcome, code, counts, homes)) = ended else {
+        return unfinished_cause(lines);
     };
     match outcome {
-        "refused" if code == Code::NoHome.number() => homeless(homes, standing.runners),
-        "whole" => "the caller got the whole answer".into(),
-        "left" => "the caller left before the answer was whole".into(),
-        "refused" => refused(lines, code, standing),
-        "failed" => format!("the runner's own failure was handed on{}", last_failure(lines)),
+        "refused" if code == Code::NoHome.number() => no_home_cause(homes, counts.runners),
+        "whole" => "the caller received the whole response".into(),
+        "left" => "the caller disconnected before the response was complete".into(),
+        "refused" => refusal_cause(lines, code, counts),
+        "failed" => format!("the runner's error response was relayed{}", last_failure(lines)),
         "unknown" => format!(
-            "it was sent and no whole answer came, so whether it ran is not known{}",
+            "it was sent and no complete response arrived, so whether it ran is not known{}",
             last_failure(lines)
         ),
-        "cut" => format!("the stream broke off and could not go on{}", last_failure(lines)),
+        "cut" => format!("the stream broke off and could not be resumed{}", last_failure(lines)),
         other => format!("it ended as {other}"),
     }
 }
 
-fn unfinished(lines: &[RequestLine]) -> String {
+fn unfinished_cause(lines: &[RequestLine]) -> String {
     match lines.last() {
-        None => "not known: no line speaks of it".into(),
-        Some(line) => format!("not known: the last word is that of {}", line.instance),
+        None => "not known: the logs have no line about it".into(),
+        Some(line) => format!("not known: the last line is from {}", line.instance),
     }
 }
 
-/// Why no runner in a request's homes could run it.
-fn homeless(homes: &[String], runners: u32) -> String {
+/// The cause of a refusal with `NoHome`: no runner in the home regions could run the request.
+fn no_home_cause(homes: &[String], runners: u32) -> String {
     match homes {
         [] => "it did not run: its route and its workspace have no home region in common".into(),
         homes => format!(
@@ -51,23 +51,23 @@
     }
 }
 
-/// The runners of the service as a request that ended found them.
+/// The number of runners of the service when the request ended.
 #[derive(Clone, Copy)]
-struct Standing {
+struct RunnerCounts {
     runners: u32,
     usable: u32,
     evacuated: u32,
 }
 
-fn refused(lines: &[RequestLine], code: u16, standing: Standing) -> String {
-    let Standing { runners, usable, evacuated } = standing;
+fn refusal_cause(lines: &[RequestLine], code: u16, counts: RunnerCounts) -> String {
+    let RunnerCounts { runners, usable, evacuated } = counts;
     let name = Code::from_number(code).map_or("", Code::meaning);
-    if let Some(unrouted) = unrouted(lines) {
-        return unrouted;
+    if let Some(missing_route) = missing_route_cause(lines) {
+        return missing_route;
     }
-    let reasons = denials(lines);
+    let reasons = denial_reasons(lines);
     if !reasons.is_empty() {
-        return format!("it did not run: sidecars gave no place ({reasons})");
+        return format!("it did not run: sidecars denied a reservation ({reasons})");
     }
     if runners == 0 {
         return format!("it did not run: no runner of the service is listed. {name}");
@@ -76,27 +76,29 @@
         return format!("it did not run: each of {runners} listed runners is in an evacuated hall");
     }
     if usable == 0 && code == Code::Overloaded.number() {
-        return format!("it did not run: none of {runners} listed runners was fit or had room");
+        return format!(
+            "it did not run: none of {runners} listed runners was eligible and had capacity"
+        );
     }
     format!("it did not run. {name}{}", last_failure(lines))
 }
 
-/// What the configuration lacked, and how old it was.
-fn unrouted(lines: &[RequestLine]) -> Option<String> {
+/// The cause for a request without a route, with the age of the configuration.
+fn missing_route_cause(lines: &[RequestLine]) -> Option<String> {
     lines.iter().find_map(|line| match &line.decision {
         Decision::Unrouted { configuration, age_ms } => {
             let age = age_ms.map_or("never".into(), |it| format!("{it} ms before"));
             Some(format!(
                 "it did not run: configuration {configuration}, last confirmed by the store {age}, \
-                 lacks its route or key"
+                 has no route for it or does not know its key"
             ))
         }
         _ => None,
     })
 }
 
-/// Why sidecars gave no place, each reason once.
-fn denials(lines: &[RequestLine]) -> String {
+/// The distinct reasons why sidecars did not reserve a place, separated by commas.
+fn denial_reasons(lines: &[RequestLine]) -> String {
     let mut reasons: Vec<&str> = Vec::new();
     for line in lines {
         let reason = match &line.decision {
--- a/components/account/src/decision.rs
+++ b/components/account/src/decision.rs
@@ -1,157 +1,161 @@
-//! One decision on a request, as it stands in a log.
+//! The log format of a decision about a request.
 
 use serde::{Deserialize, Serialize};
 
-/// A decision with what it was made by and its outcome.
+/// A decision about a request, with its inputs and its outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "decision", rename_all = "snake_case")]
 pub enum Decision {
-    /// The configuration names a route.
+    /// The request matched a route of the configuration.
     Routed {
         /// The route.
         route: String,
-        /// The service that was drawn.
+        /// The service that was picked at random among those of the route.
         service: String,
-        /// The version of the configuration.
+        /// The revision of the configuration.
         configuration: u64,
         /// `safe`, `unsafe`, `stream` or `resumable_stream`.
         kind: String,
-        /// How long it may be held, in milliseconds.
+        /// The longest time that the gateway may hold the request, in milliseconds.
         held_ms: u64,
-        /// What the request is made of, the same for each try of its caller. Empty in older lines.
+        /// A digest of the request, which is the same for each retry by its caller. Empty in lines of builds that
+        /// did not write it.
         #[serde(default)]
         digest: String,
     },
-    /// The configuration names no route for it, or not the key.
+    /// The configuration has no route for the request or does not know its API key.
     Unrouted {
-        /// The version of the configuration.
+        /// The revision of the configuration.
         configuration: u64,
-        /// How long ago the store last said that there is no newer one, in milliseconds.
+        /// The time since the store last confirmed that the configuration is the newest, in milliseconds. Absent if it
+        /// never did.
         age_ms: Option<u64>,
     },
-    /// A runner was chosen.
+    /// The gateway selected a runner.
     Chosen {
-        /// Its incarnation.
+        /// The id of the runner.
         runner: String,
-        /// How often one was chosen before.
+        /// The number of this attempt.
         attempt: u32,
-        /// Requests there, as far as known.
+        /// The number of requests at the runner, as far as the gateway knew.
         occupancy: u32,
-        /// The age of the report on it, in milliseconds. Absent without one.
+        /// The age of the runner's last load report, in milliseconds. Absent if there is none.
         report_age_ms: Option<u64>,
-        /// Runners that were fit for it.
+        /// The number of eligible runners.
         candidates: u32,
-        /// The regions where it might be served. Empty where it is not bound, or where its route and its workspace
-        /// have none in common.
+        /// The regions in which the request may run. Empty if it may run anywhere, or if its route and its workspace
+        /// have no region in common.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         homes: Vec<String>,
-        /// What was left of its aim, in milliseconds: zero where it looks like a later try of a caller that was
-        /// refused. Absent in older lines.
+        /// The time left to the latency target of the route, in milliseconds. Zero if the request looks like a retry by
+        /// a caller that was refused before. Absent in lines of builds that did not write it.
         #[serde(default)]
         left_ms: Option<u64>,
     },
-    /// The sidecar beside a runner gave no place, or did not answer.
+    /// The sidecar of a runner did not reserve a place for the request.
     NoPlace {
         /// The runner.
         runner: String,
-        /// `denied` or `silent`.
+        /// `denied`, `silent` if the sidecar did not answer, or `expired` if the reservation was used too late.
         outcome: String,
     },
-    /// A sidecar gave no place.
+    /// A sidecar denied a reservation. Logged by the sidecar.
     Denied {
-        /// Why: `evacuated`, `runner_leaves`, `leaving`, `too_old`, `full`, `reading`, `unheard`, `not_serving` or `cold`.
+        /// The reason: `evacuated`, `runner_leaves`, `leaving`, `too_old`, `full`, `reading`, `unheard`, `not_serving`
+        /// or `cold`.
         reason: String,
-        /// Requests at the runner and on their way to it.
+        /// The number of requests at the runner or on their way to it.
         taken: u32,
-        /// Places that it has.
+        /// The number of requests that the runner takes at once.
         slots: u32,
-        /// The version that it holds, zero for none.
+        /// The version that the runner holds; zero for none.
         version: u64,
     },
-    /// An attempt did not end in an answer.
+    /// An attempt ended without a response.
     Failed {
         /// The runner.
         runner: String,
-        /// The code.
+        /// The result code.
         code: u16,
-        /// Its name.
+        /// The name of the result code.
         name: String,
-        /// Whether the runner certainly did not run it.
+        /// Whether the runner is known not to have run the request.
         not_run: bool,
-        /// How long the attempt took, in milliseconds.
+        /// The duration of the attempt, in milliseconds.
         took_ms: u64,
     },
-    /// A runner said of itself, in its answer, that it wants no more requests.
+    /// The response of a runner asked for fewer requests or none.
     Told {
         /// The runner.
         runner: String,
-        /// Whether it is leaving.
+        /// Whether the runner is shutting down.
         leaving: bool,
-        /// How long it wants to be left alone, in milliseconds. Absent where it did not turn the request away for a
-        /// time.
+        /// The time for which the runner asked for no requests, in milliseconds. Absent if it did not reject the
+        /// request for a time.
         rest_ms: Option<u64>,
-        /// The rate limit that it names, in requests a second. Absent where it names none, and in lines of earlier builds.
+        /// The rate limit that the runner asked for, in requests per second. Absent if it asked for none, and in lines
+        /// of builds that did not write it.
         #[serde(default)]
         limit_per_s: Option<f64>,
     },
-    /// A runner began to answer.
+    /// The head of a runner's response arrived.
     Answered {
         /// The runner.
         runner: String,
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// From the arrival of the request, in milliseconds.
+        /// The time since the arrival of the request, in milliseconds.
         after_ms: u64,
     },
-    /// A stream goes on behind an event.
+    /// A stream was resumed after an interruption.
     Resumed {
-        /// The event, empty for the start.
+        /// The id of the last event that was received; empty if there was none.
         after_event: String,
     },
-    /// The request has ended.
+    /// The request ended.
     Ended {
         /// `whole`, `refused`, `unknown`, `failed`, `cut` or `left`.
         outcome: String,
-        /// The code, zero for none.
+        /// The result code; zero for none.
         code: u16,
-        /// Its name.
+        /// The name of the result code.
         name: String,
-        /// The status that the caller got, zero for none.
+        /// The HTTP status that the caller received; zero for none.
         status: u16,
-        /// When it was asked to come back, in milliseconds.
+        /// The time after which the caller was asked to retry, in milliseconds.
         retry_after_ms: Option<u64>,
-        /// Runners of the service that are listed.
+        /// The number of listed runners of the service.
         runners: u32,
-        /// Runners of the service that were fit at the end.
+        /// The number of these that were eligible and had capacity when the request ended.
         usable: u32,
-        /// As when a runner is chosen.
+        /// The regions in which the request may run, as in [`Decision::Chosen`].
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         homes: Vec<String>,
-        /// Those of the listed ones that stood in a data hall that is evacuated.
+        /// The number of listed runners in evacuated data halls.
         #[serde(default)]
         evacuated: u32,
     },
 }
 
-/// A line of a log on a request.
+/// A log line about a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestLine {
-    /// The time of day, in milliseconds.
+    /// The Unix time, in milliseconds.
     pub ts_ms: u64,
-    /// The process.
+    /// The process that logged the line.
     pub instance: String,
-    /// The request, by the id that its caller gave it.
+    /// The id that the caller gave the request.
     pub request: String,
-    /// What was decided.
+    /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
 }
 
-/// A decision with the moment it was made.
+/// A decision and its time, before it is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The time of day, in milliseconds.
+    /// The Unix time, in milliseconds.
     pub ts_ms: u64,
-    /// What was decided.
+    /// The decision.
     pub decision: Decision,
 }
--- a/components/account/src/lib.rs
+++ b/components/account/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions on requests as log lines, and the account of one request put together from the lines of
-//! several processes, and the profile of many.
+//! The format of log lines about requests, and two reports made from the logs of several processes: what happened
+//! to one request ([`Account`]), and where the time of many requests went ([`Profile`]).
 
 mod account;
 mod cause;
--- a/components/account/src/profile.rs
+++ b/components/account/src/profile.rs
@@ -1,7 +1,7 @@
-//! Where the time of requests goes, by step and by how they ended.
+//! The time that requests spend in each step, grouped by how they ended.
 //!
-//! A step is the time from one line of a request's gateway to the next. What sidecars say tells why they gave no
-//! place.
+//! A step lasts from one log line of the request's gateway to the next. The log lines of sidecars are only used to
+//! count the reasons for denied reservations.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,62 +11,63 @@
 
 use crate::decision::{Decision, RequestLine};
 
-/// The longest step that is told apart, in milliseconds. Requests are held for less.
-const LONGEST_MS: u64 = 60_000;
+/// The largest duration that the histograms record, in milliseconds; longer steps count as this long. The gateway holds
+/// requests for less.
+const MAX_STEP_MS: u64 = 60_000;
 
-/// What happened between two lines of a request.
+/// What happened between two consecutive log lines of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// It waited for a runner to be chosen, for the first time.
+    /// The request waited in the queue until the first runner was selected.
     Queued,
-    /// A sidecar was asked for a place and gave none.
+    /// A sidecar was asked for a reservation and denied it.
     Denied,
-    /// A sidecar was asked for a place and did not answer in time, or the place was used too late.
+    /// A sidecar was asked for a reservation and did not answer in time, or the reservation was used too late.
     Unanswered,
-    /// It waited for another runner to be chosen.
+    /// The request waited until another runner was selected.
     WaitedAgain,
-    /// A runner was chosen, gave a place and began to answer.
+    /// A runner received the request and began to respond. Includes the time of the reservation.
     Begun,
-    /// A runner was sent the request and gave no answer.
+    /// An attempt failed without a response.
     Failed,
-    /// The answer was handed on.
+    /// The response was relayed to the caller.
     HandedOn,
-    /// Its final answer was made up after that.
+    /// The request ended without a response that could be relayed.
     Concluded,
 }
 
-/// How often a step was taken, and how long it took.
+/// The count and the durations of one step, for requests with one outcome.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// How the requests ended.
     pub outcome: String,
     /// The step.
     pub step: Step,
-    /// How often it was taken.
+    /// The number of times that the step occurred.
     pub count: u64,
-    /// How often by each request that ended so.
+    /// The mean number of times that the step occurred in a request with this outcome.
     pub per_request: f64,
-    /// The time that half of the steps kept to, in milliseconds.
+    /// The median duration, in milliseconds.
     pub half_ms: u64,
-    /// The time that 99 of 100 steps kept to, in milliseconds.
+    /// The 99th percentile of the duration, in milliseconds.
     pub most_ms: u64,
 }
 
-/// The profile of the requests in some logs.
+/// The time spent by the requests in a set of logs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Profile {
-    /// Requests whose every step is in the logs, by how they ended.
+    /// The number of requests whose start and end are in the logs, by outcome.
     pub requests: BTreeMap<String, u64>,
-    /// The steps.
+    /// One row for each outcome and step.
     pub rows: Vec<Row>,
-    /// Why sidecars gave no place.
+    /// The number of denied reservations, by reason.
     pub denials: BTreeMap<String, u64>,
 }
 
 impl Profile {
-    /// Profiles the requests that some logs tell of whole. Lines that cannot be read are passed over: logs hold
-    /// other lines too.
+    /// Builds the profile from the texts of log files. Lines that cannot be parsed are skipped, as logs also contain
+    /// lines of other kinds.
     pub fn of<'a>(logs: impl IntoIterator<Item = &'a str>) -> Self {
         let mut profile = Self::default();
         let mut by_request: BTreeMap<(String, String), Vec<RequestLine>> = BTreeMap::new();
@@ -79,22 +80,27 @@
                 continue;
             }
             if matches!(line.decision, Decision::Told { .. }) {
-                // What a runner says of itself beside its answer is no step.
+                // These lines accompany a response and do not mark the end of a step.
                 continue;
             }
             by_request.entry((line.instance.clone(), line.request.clone())).or_default().push(line);
         }
-        let mut spans: BTreeMap<(String, Step), Histogram<u64>> = BTreeMap::new();
+        let mut histograms: BTreeMap<(String, Step), Histogram<u64>> = BTreeMap::new();
         for lines in by_request.values_mut() {
             lines.sort_by_key(|it| it.ts_ms);
-            profile.add(lines, &mut spans);
+            profile.record_request(lines, &mut histograms);
         }
-        profile.rows = spans.into_iter().map(|(key, span)| profile.row(key, &span)).collect();
+        profile.rows =
+            histograms.into_iter().map(|(key, histogram)| profile.row(key, &histogram)).collect();
         profile
     }
 
-    /// Adds the steps of a request, if its first and last line are there.
-    fn add(&mut self, lines: &[RequestLine], spans: &mut BTreeMap<(String, Step), Histogram<u64>>) {
+    /// Records the steps of one request if the log has both its start and its end.
+    fn record_request(
+        &mut self,
+        lines: &[RequestLine],
+        histograms: &mut BTreeMap<(String, Step), Histogram<u64>>,
+    ) {
         let Some(outcome) = lines.iter().rev().find_map(|it| outcome(&it.decision)) else {
             return;
         };
@@ -104,27 +110,28 @@
         *self.requests.entry(outcome.to_owned()).or_default() += 1;
         for pair in lines.windows(2) {
             if let Some(step) = step(&pair[0].decision, &pair[1].decision) {
-                let span = spans.entry((outcome.to_owned(), step)).or_insert_with(histogram);
-                span.saturating_record(pair[1].ts_ms - pair[0].ts_ms);
+                let histogram =
+                    histograms.entry((outcome.to_owned(), step)).or_insert_with(new_histogram);
+                histogram.saturating_record(pair[1].ts_ms - pair[0].ts_ms);
             }
         }
     }
 
-    fn row(&self, (outcome, step): (String, Step), span: &Histogram<u64>) -> Row {
+    fn row(&self, (outcome, step): (String, Step), histogram: &Histogram<u64>) -> Row {
         let requests = self.requests.get(&outcome).copied().unwrap_or(0).max(1);
         Row {
-            count: span.len(),
-            per_request: span.len() as f64 / requests as f64,
-            half_ms: span.value_at_quantile(0.5),
-            most_ms: span.value_at_quantile(0.99),
+            count: histogram.len(),
+            per_request: histogram.len() as f64 / requests as f64,
+            half_ms: histogram.value_at_quantile(0.5),
+            most_ms: histogram.value_at_quantile(0.99),
             outcome,
             step,
         }
     }
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_MS, 3).expect("the bounds are in order")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_STEP_MS, 3).expect("the bounds are in order")
 }
 
 fn outcome(decision: &Decision) -> Option<&str> {
@@ -134,7 +141,7 @@
     }
 }
 
-/// The step between two lines. `None` where no time of the request passed.
+/// Classifies the time between two consecutive lines; `None` if the second one does not end a step.
 fn step(before: &Decision, after: &Decision) -> Option<Step> {
     match (before, after) {
         (Decision::Routed { .. }, Decision::Chosen { .. }) => Some(Step::Queued),
@@ -157,9 +164,9 @@
         for (outcome, count) in &self.requests {
             writeln!(f, "{count} requests ended {outcome}")?;
         }
-        let titles = ["outcome", "step", "count", "each", "half ms", "99 in 100 ms"];
-        let [outcome, step, count, each, half, most] = titles;
-        writeln!(f, "{outcome:<10} {step:<12} {count:>8} {each:>7} {half:>8} {most:>13}")?;
+        let headers = ["outcome", "step", "count", "each", "p50 ms", "p99 ms"];
+        let [outcome, step, count, each, median, p99] = headers;
+        writeln!(f, "{outcome:<10} {step:<12} {count:>8} {each:>7} {median:>8} {p99:>13}")?;
         for row in &self.rows {
             let step = format!("{:?}", row.step);
             let Row { outcome, count, per_request, half_ms, most_ms, .. } = row;
@@ -169,7 +176,7 @@
             )?;
         }
         for (reason, count) in &self.denials {
-            writeln!(f, "{count} times no place: {reason}")?;
+            writeln!(f, "{count} denied reservations: {reason}")?;
         }
         Ok(())
     }
--- a/components/account/tests/accounts.rs
+++ b/components/account/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Accounts from logs that are whole, out of order, cut short or lack a process.
+//! Reports from logs that are complete, out of order, truncated or lack a process.
 
 use account::{Account, Gap};
 
@@ -11,7 +11,7 @@
 {"ts_ms":1003,"instance":"c1","request":"r12","decision":"denied","reason":"full","taken":16,"slots":16,"version":1}"#;
 
 #[test]
-fn the_true_reason_of_a_refusal_comes_from_the_sidecar() {
+fn the_cause_of_a_refusal_is_the_reason_that_the_sidecar_logged() {
     let account = Account::of("r1", [SIDECAR, GATEWAY]);
     assert_eq!(account.lines.len(), 5);
     assert!(account.cause.contains("leaving"), "{}", account.cause);
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn a_missing_process_is_named() {
+fn a_missing_log_of_a_sidecar_is_reported_as_a_gap() {
     let account = Account::of("r1", [GATEWAY]);
     assert!(account.gaps.contains(&Gap::Sidecar));
     assert!(account.to_string().contains("missing: the sidecar's line"));
 }
 
 #[test]
-fn a_log_that_was_cut_short_still_gives_what_it_has() {
+fn a_truncated_log_gives_a_report_with_gaps() {
     let cut = &GATEWAY[..GATEWAY.find("\"decision\":\"ended\"").unwrap()];
     let account = Account::of("r1", [cut]);
     assert!(account.gaps.contains(&Gap::End));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn lines_out_of_order_or_told_twice_give_the_same_account() {
+fn unordered_and_repeated_lines_give_the_same_lines() {
     let reversed: Vec<&str> = GATEWAY.lines().rev().collect();
     let twice = format!("{}\n{GATEWAY}", reversed.join("\n"));
     let account = Account::of("r1", [twice.as_str()]);
@@ -45,24 +45,24 @@
 }
 
 #[test]
-fn a_request_that_nobody_speaks_of_is_said_so() {
+fn a_request_without_lines_is_reported_as_a_gap() {
     let account = Account::of("r9", [GATEWAY, SIDECAR]);
     assert_eq!(account.gaps, [Gap::Nothing]);
 }
 
-const HOMELESS: &str = r#"{"ts_ms":1001,"instance":"g1","request":"r2","decision":"chosen","runner":"i-1","attempt":1,"occupancy":3,"report_age_ms":40,"candidates":2,"homes":["north"]}
+const NO_HOME: &str = r#"{"ts_ms":1001,"instance":"g1","request":"r2","decision":"chosen","runner":"i-1","attempt":1,"occupancy":3,"report_age_ms":40,"candidates":2,"homes":["north"]}
 {"ts_ms":1090,"instance":"g1","request":"r2","decision":"ended","outcome":"refused","code":115,"name":"NoHome","status":503,"retry_after_ms":400,"runners":2,"usable":0,"homes":["south"]}"#;
 
 #[test]
-fn a_request_refused_for_want_of_a_home_is_told_with_its_homes() {
-    let account = Account::of("r2", [HOMELESS]);
+fn a_refusal_without_a_home_region_is_reported_with_the_homes() {
+    let account = Account::of("r2", [NO_HOME]);
     assert!(account.cause.contains("in its homes south"), "{}", account.cause);
     let text = account.to_string();
     assert!(text.contains("homes north") && text.contains("homes south"), "{text}");
 }
 
 #[test]
-fn a_refusal_tells_of_evacuated_halls() {
+fn a_refusal_reports_the_number_of_runners_in_evacuated_halls() {
     let ended = |evacuated: u32, usable: u32| {
         format!(
             r#"{{"ts_ms":1090,"instance":"g1","request":"r1","decision":"ended","outcome":"refused","code":116,"name":"Withdrawn","status":503,"retry_after_ms":400,"runners":5,"usable":{usable},"evacuated":{evacuated}}}"#
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_account_tells_that_a_request_was_taken_for_a_later_try() {
+fn a_request_without_time_left_is_reported_as_a_later_try() {
     let line = r#"{"ts_ms":1001,"instance":"g1","request":"r1","decision":"chosen","runner":"i-1","attempt":1,"occupancy":3,"report_age_ms":40,"candidates":2,"left_ms":0}"#;
     let text = Account::of("r1", [line]).to_string();
     assert!(text.contains("a later try by its deadline"), "{text}");
--- a/components/account/tests/profiles.rs
+++ b/components/account/tests/profiles.rs
@@ -1,4 +1,4 @@
-//! Profiles of requests from logs.
+//! Profiles of requests, built from logs.
 
 use account::{Profile, Row, Step};
 
@@ -18,11 +18,13 @@
 
 fn row<'a>(profile: &'a Profile, outcome: &str, step: Step) -> &'a Row {
     let rows = &profile.rows;
-    rows.iter().find(|it| it.outcome == outcome && it.step == step).expect("the step was taken")
+    rows.iter()
+        .find(|it| it.outcome == outcome && it.step == step)
+        .expect("the profile has a row for the step")
 }
 
 #[test]
-fn each_step_is_counted_with_its_time() {
+fn each_step_is_counted_with_its_duration() {
     let profile = Profile::of([REFUSED, WHOLE, DENIED]);
     assert_eq!(profile.requests.get("refused"), Some(&1));
     let denied = row(&profile, "refused", Step::Denied);
@@ -35,14 +37,14 @@
 }
 
 #[test]
-fn a_request_whose_arrival_is_not_in_the_logs_is_left_out() {
+fn a_request_without_its_first_line_is_ignored() {
     let end = WHOLE.lines().last().expect("a last line");
     let profile = Profile::of([end]);
     assert!(profile.requests.is_empty() && profile.rows.is_empty());
 }
 
 #[test]
-fn the_table_names_every_outcome() {
+fn the_printed_table_lists_every_outcome() {
     let text = Profile::of([REFUSED, WHOLE]).to_string();
     assert!(text.contains("1 requests ended refused") && text.contains("HandedOn"), "{text}");
 }
