--- a/components/account/src/cause.rs
+++ b/components/account/src/cause.rs
@@ -67,7 +67,7 @@
     }
     let reasons = denial_reasons(lines);
     if !reasons.is_empty() {
-        return format!("it did not run: sidecars denied a reservation ({reasons})");
+        return format!("it did not run: no sidecar reserved a place ({reasons})");
     }
     if runners == 0 {
         return format!("it did not run: no runner of the service is listed. {name}");
--- a/components/wire/src/frame/tests.rs
+++ b/components/wire/src/frame/tests.rs
@@ -1,15 +1,15 @@
-//! Frames of builds that say more.
+//! Frames from newer builds.
 
 use async_net::{TcpListener, TcpStream};
 use futures_lite::future::{block_on, zip};
 
 use super::*;
 
-/// A number that no kind of message has.
-const UNKNOWN: &[u8] = &[200, 1, 2, 3];
+/// An encoded message whose variant number is not assigned.
+const UNKNOWN_MESSAGE: &[u8] = &[200, 1, 2, 3];
 
 #[test]
-fn a_message_of_an_unknown_kind_is_passed_over_and_the_session_goes_on() {
+fn an_unknown_message_is_returned_as_unreadable_and_the_session_continues() {
     let keys = KeyRing::parse("the-key-of-this-cluster").unwrap();
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -22,11 +22,11 @@
         };
         let dialling = async {
             let stream = TcpStream::connect(address).await.unwrap();
-            let me = InstanceId::from("a");
-            let (_reader, mut writer) = dial_session(&keys, &me, [2; 16], stream).await.unwrap();
-            writer.send_encoded(UNKNOWN, &[]).await.unwrap();
+            let id = InstanceId::from("a");
+            let (_reader, mut writer) = dial_session(&keys, &id, [2; 16], stream).await.unwrap();
+            writer.send_encoded(UNKNOWN_MESSAGE, &[]).await.unwrap();
             let mut longer = postcard::to_stdvec(&Message::GetConfiguration).unwrap();
-            longer.extend_from_slice(UNKNOWN);
+            longer.extend_from_slice(UNKNOWN_MESSAGE);
             writer.send_encoded(&longer, &[9; 10]).await.unwrap();
         };
         let ((first, second), ()) = zip(accepting, dialling).await;
--- a/components/wire/src/keys.rs
+++ b/components/wire/src/keys.rs
@@ -1,55 +1,56 @@
-//! The cluster key, of which two are valid during a change.
+//! The cluster keys. Two are valid while the key is being rotated.
 
 use std::sync::{Arc, RwLock};
 
 use errors::{Code, Error, Result};
 
-/// The length of an authentication code in bytes.
+/// The length of an authentication code, in bytes.
 pub const TAG_BYTES: usize = 32;
 /// An authentication code.
 pub type Tag = [u8; TAG_BYTES];
 
-/// The shortest line accepted as a key, in characters.
+/// The shortest accepted key, in characters.
 const MIN_KEY_CHARS: usize = 16;
-/// How many keys may be valid at once.
+/// The largest number of keys that are valid at the same time.
 const MAX_KEYS: usize = 2;
-/// Separates silverdock's keys from other uses of the same text.
+/// The context string of the key derivation. It separates the keys of silverdock from other uses of the same text.
 const KEY_CONTEXT: &str = "silverdock 2026 cluster key v1";
 
-/// The cluster keys. The first signs; each of them verifies.
+/// The cluster keys. The first one signs; all of them verify.
 #[derive(Clone)]
 pub struct KeyRing {
     keys: Arc<RwLock<Vec<Tag>>>,
 }
 
 impl KeyRing {
-    /// Reads keys from the text of a key file: one or two lines, the signing key first.
+    /// Parses the text of a key file: one or two lines, the signing key first.
     pub fn parse(text: &str) -> Result<Self> {
         Ok(Self { keys: Arc::new(RwLock::new(parse_keys(text)?)) })
     }
 
-    /// Takes the keys of a changed key file into use, for every holder of this ring.
+    /// Replaces the keys by those of a changed key file, in all clones of this ring.
     pub fn replace(&self, text: &str) -> Result<()> {
         let keys = parse_keys(text)?;
         *self.keys.write().expect("the key lock is never poisoned") = keys;
         Ok(())
     }
 
-    /// Signs a message given in parts.
+    /// Computes the authentication code of a message given in parts.
     pub fn sign(&self, parts: &[&[u8]]) -> Tag {
         let keys = self.keys.read().expect("the key lock is never poisoned");
-        digest(&keys[0], parts)
+        keyed_digest(&keys[0], parts)
     }
 
-    /// Whether one of the valid keys signed the message.
+    /// Whether the authentication code was computed with one of the valid keys.
     pub fn verify(&self, parts: &[&[u8]], tag: &Tag) -> bool {
         let keys = self.keys.read().expect("the key lock is never poisoned");
         // `blake3::Hash` compares in constant time.
-        keys.iter().any(|key| blake3::Hash::from(digest(key, parts)) == blake3::Hash::from(*tag))
+        keys.iter()
+            .any(|key| blake3::Hash::from(keyed_digest(key, parts)) == blake3::Hash::from(*tag))
     }
 }
 
-// A derived implementation would print the keys into a log.
+// A derived implementation would write the keys into logs.
 impl std::fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("KeyRing(..)")
@@ -66,10 +67,10 @@
     Ok(lines.iter().map(|line| blake3::derive_key(KEY_CONTEXT, line.as_bytes())).collect())
 }
 
-fn digest(key: &Tag, parts: &[&[u8]]) -> Tag {
+fn keyed_digest(key: &Tag, parts: &[&[u8]]) -> Tag {
     let mut hasher = blake3::Hasher::new_keyed(key);
     for part in parts {
-        // The length keeps two different cuts of the same bytes apart.
+        // The length of each part is hashed, so that the same bytes split differently give another code.
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
--- a/components/wire/src/keys/tests.rs
+++ b/components/wire/src/keys/tests.rs
@@ -1,9 +1,7 @@
-//! Tests of `keys`.
-
 use super::*;
 
 #[test]
-fn can_verify_with_either_key_during_a_change() {
+fn codes_of_both_keys_are_valid_during_a_rotation() {
     let old = KeyRing::parse("old-key-old-key-old-key").unwrap();
     let both = KeyRing::parse("new-key-new-key-new-key\nold-key-old-key-old-key").unwrap();
     let tag = old.sign(&[b"hello"]);
@@ -14,13 +12,13 @@
 }
 
 #[test]
-fn errors_on_a_short_key_and_on_three_keys() {
+fn a_short_key_and_three_keys_are_rejected() {
     assert!(KeyRing::parse("short").is_err());
     assert!(KeyRing::parse(&"a-long-enough-key-1\n".repeat(3)).is_err());
 }
 
 #[test]
-fn does_not_print_keys() {
+fn debug_output_does_not_contain_keys() {
     let ring = KeyRing::parse("a-very-secret-cluster-key").unwrap();
     assert_eq!(format!("{ring:?}"), "KeyRing(..)");
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Authenticated messages between silverdock daemons: frames over TCP and datagrams over UDP.
+//! The protocol between silverdock daemons: authenticated frames over TCP and authenticated datagrams over UDP.
 
 mod datagram;
 mod frame;
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages themselves. The large bodies travel as the payload of a frame, beside these.
+//! The messages of the protocol. Bulk data is sent as the payload of a frame and not as part of a message.
 
 use std::net::SocketAddr;
 
@@ -10,183 +10,183 @@
 use quarantine::CrashList;
 use serde::{Deserialize, Serialize};
 
-/// What an agent says of its own load; it rides back on each answer.
+/// The load of an agent, which it reports with each answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in progress.
+    /// The number of requests in progress.
     pub running: u32,
-    /// Requests the upstream takes at once.
+    /// The number of requests that the upstream handles at the same time.
     pub limit: u32,
-    /// Chunks waiting in the upload queue.
+    /// The number of chunks in the upload queue.
     pub uploads: u32,
 }
 
-/// A call that an entry passes to an agent. The body is the payload of the frame.
+/// A request that an entry forwards to an agent. Its body is the payload of the frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// The request's identity.
+    /// The id of the request.
     pub request: RequestId,
-    /// The model asked for; absent for a plain service.
+    /// The requested model; absent for a plain service.
     pub model: Option<ModelName>,
-    /// The version the entry chose; the agent refuses any other.
+    /// The version that the entry selected; an agent that serves another one rejects the call.
     pub version: Option<VersionId>,
-    /// The workspace that pays.
+    /// The workspace that is charged for the request.
     pub workspace: WorkspaceId,
     /// The HTTP method.
     pub method: String,
     /// The path and query.
     pub path: String,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: String,
-    /// Milliseconds left until the deadline when the entry sent the call.
+    /// The time between the sending of the call and its deadline, in milliseconds.
     pub budget_ms: u64,
-    /// Higher goes first in the engine.
+    /// The priority in the engine; higher values are scheduled first.
     pub priority: u8,
-    /// The key under which the request may run once only.
+    /// The idempotency key; of all requests with the same key only one may run.
     pub idempotency_key: Option<String>,
-    /// Whether the caller asked for a stream.
+    /// Whether the caller asked for a streamed answer.
     pub stream: bool,
 }
 
-/// One message over TCP.
+/// A message over TCP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The dialler's first message; nothing larger is read before it.
+    /// The first message of the side that opened the connection. Larger messages are rejected before it.
     Hello {
-        /// Who dials.
+        /// The id of the sender.
         from: InstanceId,
     },
-    /// Asks for the whole configuration.
+    /// Requests the configuration.
     GetConfiguration,
-    /// The whole configuration, in the payload.
+    /// The configuration, in the payload.
     Configuration {
-        /// Its revision.
+        /// The revision of the configuration.
         revision: Revision,
     },
-    /// Asks for a manifest.
+    /// Requests a manifest.
     GetManifest {
-        /// The version it names.
+        /// The version that the manifest describes.
         version: VersionId,
     },
     /// A manifest, in the payload.
     Manifest,
-    /// Asks how far the spread of a version has come.
+    /// Requests the download progress of a version.
     GetProgress {
         /// The version.
         version: VersionId,
     },
-    /// How far a spread has come.
+    /// The download progress of a version.
     Progress {
-        /// Chunks held.
+        /// The number of chunks that the sender holds.
         held: u32,
-        /// Chunks there are; zero if nothing is known of the version.
+        /// The number of chunks of the version; zero if the sender does not know the version.
         chunks: u32,
     },
-    /// Asks for a chunk.
+    /// Requests a chunk.
     GetChunk {
         /// The version.
         version: VersionId,
-        /// The number of the chunk.
+        /// The index of the chunk.
         index: u32,
-        /// What the asker holds, so that both sides know each other's chunks.
+        /// The chunks that the requesting side holds, so that both sides know each other's chunks.
         have: Bitmap,
     },
     /// A chunk, in the payload.
     Chunk {
-        /// The number of the chunk.
+        /// The index of the chunk.
         index: u32,
-        /// What the sender holds.
+        /// The chunks that the sender holds.
         have: Bitmap,
-        /// Chunks that wait in the sender's upload queue.
+        /// The number of chunks in the upload queue of the sender.
         uploads: u32,
     },
-    /// A refusal of any request.
+    /// Rejects any request.
     Refused {
-        /// Why.
+        /// The reason.
         code: Code,
-        /// Milliseconds after which to ask again; zero if unknown.
+        /// The time after which to retry, in milliseconds; zero if unknown.
         retry_after_ms: u64,
-        /// The load that led to it.
+        /// The load of the sender when it rejected the request.
         load: Load,
     },
-    /// A request for the upstream; its body is the payload.
+    /// A request to the upstream, with its body in the payload.
     Call(Call),
-    /// The upstream began to answer.
+    /// The head of the answer of the upstream.
     AnswerHead {
-        /// The request answered.
+        /// The id of the request.
         request: RequestId,
         /// The HTTP status.
         status: u16,
-        /// The type of the body.
+        /// The content type of the body.
         content_type: String,
-        /// The version that answers.
+        /// The version that produced the answer.
         version: Option<VersionId>,
     },
-    /// A part of the answer's body, in the payload.
+    /// A part of the body of the answer, in the payload.
     AnswerPart {
-        /// The request answered.
+        /// The id of the request.
         request: RequestId,
     },
-    /// The answer is whole.
+    /// Marks the end of a complete answer.
     AnswerEnd {
-        /// The request answered.
+        /// The id of the request.
         request: RequestId,
-        /// The length of all parts together, in bytes.
+        /// The total length of all parts, in bytes.
         bytes: u64,
-        /// The load of the upstream now.
+        /// The current load of the upstream.
         load: Load,
     },
-    /// The answer will not become whole.
+    /// No answer will follow, or the rest of the answer will not follow.
     AnswerFailed {
-        /// The request.
+        /// The id of the request.
         request: RequestId,
-        /// Why; its `ran` says whether the upstream may have run it.
+        /// The reason; [`Code::ran`] tells whether the upstream may have run the request.
         code: Code,
-        /// The load of the upstream now.
+        /// The current load of the upstream.
         load: Load,
     },
-    /// A message of a build that says more than this one. Never sent.
+    /// Stands for a received message that this build cannot decode, such as one from a newer build. Never sent.
     #[serde(skip)]
     Unreadable,
 }
 
-/// What a daemon is doing.
+/// The state of a daemon in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The daemon responds to probes.
     Alive,
-    /// It did not answer someone and has not yet been heard again.
+    /// The daemon did not respond to a probe of some other daemon, and no message from it has arrived since.
     Suspect,
-    /// It takes no new work and will exit.
+    /// The daemon accepts no new work and will exit.
     Leaving,
-    /// It is gone.
+    /// The daemon is considered to have exited.
     Dead,
 }
 
-/// A version that an agent's engine has loaded.
+/// A version that is loaded in the engine of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Serving {
-    /// The model's name.
+    /// The name of the model.
     pub model: ModelName,
-    /// The version that is whole and loaded.
+    /// The loaded version.
     pub version: VersionId,
-    /// What the engine does with it.
+    /// The role in which the engine serves it.
     pub role: Role,
 }
 
-/// The short form of what an engine serves, as it spreads between daemons.
+/// The short form of a [`Serving`], as exchanged between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServingTag {
-    /// The start of the digest of the model's name.
+    /// The first bytes of the digest of the name of the model.
     model: [u8; 4],
-    /// The start of the version.
+    /// The first bytes of the version id.
     version: [u8; 8],
-    /// What the engine does with it.
+    /// The role in which the engine serves it.
     pub role: Role,
 }
 
 impl ServingTag {
-    /// The short form.
+    /// Computes the short form.
     pub fn of(serving: &Serving) -> Self {
         Self {
             model: model_tag(&serving.model),
@@ -195,79 +195,80 @@
         }
     }
 
-    /// Whether this is a version of the model.
+    /// Whether the served version belongs to the model.
     pub fn is_model(&self, model: &ModelName) -> bool {
         self.model == model_tag(model)
     }
 
-    /// Whether this is the version.
+    /// Whether the served version is the given one.
     pub fn is_version(&self, version: VersionId) -> bool {
         self.version == version_tag(version)
     }
 
-    /// The start of the version, for people.
+    /// The first bytes of the version id in hexadecimal, for display.
     pub fn short_version(&self) -> String {
         self.version[..4].iter().map(|byte| format!("{byte:02x}")).collect()
     }
 }
 
 fn model_tag(model: &ModelName) -> [u8; 4] {
-    start_of(blake3::hash(model.0.as_bytes()).as_bytes())
+    first_bytes_of(blake3::hash(model.0.as_bytes()).as_bytes())
 }
 
 fn version_tag(version: VersionId) -> [u8; 8] {
-    start_of(&version.0)
+    first_bytes_of(&version.0)
 }
 
-fn start_of<const N: usize>(digest: &[u8; 32]) -> [u8; N] {
-    let mut start = [0; N];
-    start.copy_from_slice(&digest[..N]);
-    start
+fn first_bytes_of<const N: usize>(digest: &[u8; 32]) -> [u8; N] {
+    let mut first_bytes = [0; N];
+    first_bytes.copy_from_slice(&digest[..N]);
+    first_bytes
 }
 
-/// What is known of one daemon. A higher incarnation wins, then a higher serial number.
+/// The state of one daemon as others know it. The record with the higher incarnation replaces others; among records of
+/// the same incarnation, the one with the higher serial number does.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The instance.
+    /// The id of the instance.
     pub id: InstanceId,
-    /// Which run of the daemon.
+    /// Identifies the run of the daemon; it changes with each start.
     pub incarnation: Incarnation,
-    /// Rises with every change the daemon makes to its own record.
+    /// Increases with every change that the daemon makes to its own record.
     pub serial: u64,
-    /// What the daemon is doing.
+    /// The state of the daemon.
     pub state: MemberState,
-    /// Where it stands.
+    /// The region and data hall of the instance.
     pub place: Place,
-    /// What runs there.
+    /// The kind of process that runs on the instance.
     pub process: Process,
-    /// Where it listens for daemons.
+    /// The address on which it accepts messages from other daemons.
     pub address: SocketAddr,
-    /// What its engine serves.
+    /// The versions that its engine serves.
     pub serving: Vec<ServingTag>,
 }
 
-/// A record on its way between daemons.
+/// A membership record as it is sent to other daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberNews {
-    /// Of a daemon that stands in the platform's list, so that only what changes is sent.
+    /// The record of a daemon that is in the instance list of the platform. Only the fields that change are sent.
     Listed {
-        /// The start of the digest of its name.
+        /// The first bytes of the digest of the name of the instance.
         tag: [u8; 8],
-        /// Which run of the daemon.
+        /// Identifies the run of the daemon.
         incarnation: Incarnation,
-        /// Rises with every change.
+        /// Increases with every change of the record.
         serial: u64,
-        /// What the daemon is doing.
+        /// The state of the daemon.
         state: MemberState,
-        /// What its engine serves.
+        /// The versions that its engine serves.
         serving: Vec<ServingTag>,
     },
-    /// Of a daemon that the list may not name yet.
+    /// The complete record of a daemon that may not be in the instance list yet.
     Whole(Box<MemberRecord>),
 }
 
 impl MemberNews {
-    /// The short form of a record.
+    /// Builds the short form of a record.
     pub fn listed(record: &MemberRecord) -> Self {
         Self::Listed {
             tag: Self::tag_of(&record.id),
@@ -278,54 +279,54 @@
         }
     }
 
-    /// What stands for a name in the short form.
+    /// The tag that replaces the name of an instance in the short form.
     pub fn tag_of(id: &InstanceId) -> [u8; 8] {
-        start_of(blake3::hash(id.0.as_bytes()).as_bytes())
+        first_bytes_of(blake3::hash(id.0.as_bytes()).as_bytes())
     }
 }
 
 /// The purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatagramBody {
-    /// Asks for an acknowledgement.
+    /// Probes a daemon, which responds with an [`Ack`](Self::Ack).
     Ping {
-        /// Comes back in the acknowledgement.
+        /// A value that the acknowledgement repeats.
         nonce: u64,
     },
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack {
-        /// The ping's nonce.
+        /// The nonce of the ping.
         nonce: u64,
     },
-    /// Asks a third daemon to ping one that did not answer.
+    /// Asks the receiver to ping a daemon that did not respond to the sender.
     PingFor {
-        /// Whom to ping.
+        /// The daemon to ping.
         target: InstanceId,
     },
-    /// Passes records on without asking for anything.
+    /// Carries only membership records and expects no response.
     News,
-    /// Says which chunks of a version the sender holds.
+    /// Advertises the chunks of a version that the sender holds.
     Summary {
         /// The version.
         version: VersionId,
-        /// The chunks held.
+        /// The chunks that the sender holds.
         have: Bitmap,
     },
-    /// Tells another entry of requests that upstreams crashed under.
+    /// Reports to another entry the requests during which upstreams crashed.
     Crashes(CrashList),
 }
 
-/// One datagram between daemons.
+/// A datagram between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender.
+    /// The id of the sender.
     pub from: InstanceId,
-    /// Which run of the sender.
+    /// Identifies the run of the sender.
     pub incarnation: Incarnation,
-    /// The revision the sender applied.
+    /// The revision of the configuration that the sender has applied.
     pub revision: Revision,
     /// The purpose.
     pub body: DatagramBody,
-    /// Records passed on.
+    /// Membership records of any daemons.
     pub news: Vec<MemberNews>,
 }
--- a/components/wire/tests/samples.rs
+++ b/components/wire/tests/samples.rs
@@ -1,5 +1,5 @@
-//! A sample of every message, as builds that have landed wrote it.
-//! `SILVERDOCK_SAMPLES=FOLDER cargo test -p wire --test samples` writes those of this build.
+//! Compares the encoding of every message with samples that earlier builds wrote.
+//! `SILVERDOCK_SAMPLES=FOLDER cargo test -p wire --test samples` writes the samples of this build.
 
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
     ServingTag,
 };
 
-/// The builds that have landed, oldest first.
+/// The commits whose builds wrote the samples, oldest first.
 const BUILDS: [&str; 6] = ["a81c536", "75577d2", "89549fe", "d0d2fa6", "efa0735", "3667619"];
 const VERSION: VersionId = VersionId([7; 32]);
 
@@ -23,10 +23,10 @@
     RequestId { entry: Incarnation(5), serial: 900 }
 }
 
-fn have() -> Bitmap {
-    let mut have = Bitmap::new(20);
-    [0, 19].into_iter().for_each(|it| have.insert(it));
-    have
+fn chunks_held() -> Bitmap {
+    let mut chunks_held = Bitmap::new(20);
+    [0, 19].into_iter().for_each(|it| chunks_held.insert(it));
+    chunks_held
 }
 
 fn load() -> Load {
@@ -56,8 +56,8 @@
         ("manifest", Message::Manifest),
         ("get-progress", Message::GetProgress { version: VERSION }),
         ("progress", Message::Progress { held: 3, chunks: 20 }),
-        ("get-chunk", Message::GetChunk { version: VERSION, index: 4, have: have() }),
-        ("chunk", Message::Chunk { index: 4, have: have(), uploads: 2 }),
+        ("get-chunk", Message::GetChunk { version: VERSION, index: 4, have: chunks_held() }),
+        ("chunk", Message::Chunk { index: 4, have: chunks_held(), uploads: 2 }),
         ("refused", refused(Code::Overloaded)),
         ("call", Message::Call(call)),
         (
@@ -119,12 +119,15 @@
                 ],
             ),
         ),
-        ("summary", datagram(DatagramBody::Summary { version: VERSION, have: have() }, Vec::new())),
+        (
+            "summary",
+            datagram(DatagramBody::Summary { version: VERSION, have: chunks_held() }, Vec::new()),
+        ),
         ("crashes", datagram(DatagramBody::Crashes(CrashList(Vec::new())), Vec::new())),
     ]
 }
 
-/// Codes are known by their place: none may move.
+/// The encoding of a code is its position in the enum, so the order of the codes must not change.
 fn codes() -> Vec<(&'static str, Vec<Code>)> {
     vec![("codes", Code::all().collect())]
 }
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn every_message_of_each_landed_build_is_read_and_written_as_it_was() {
+fn messages_of_every_earlier_build_decode_and_encode_to_the_same_bytes() {
     for build in BUILDS {
         compare(build, messages());
         compare(build, datagrams());
@@ -158,19 +161,19 @@
     }
 }
 
-/// As many codes of this build as a landed one has: new ones are added at the end.
+/// The first codes of this build, as many as the given build has. New codes are appended at the end.
 fn first_codes(build: &str) -> Vec<Code> {
     let bytes = std::fs::read(folder(build).join("codes")).unwrap();
-    let landed: Vec<Code> = postcard::from_bytes(&bytes).unwrap();
-    Code::all().take(landed.len()).collect()
+    let earlier: Vec<Code> = postcard::from_bytes(&bytes).unwrap();
+    Code::all().take(earlier.len()).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// What a newer build may say behind a message spoils nothing of it.
+    /// A newer build may append fields to a message, which must not change how the known fields are read.
     #[test]
-    fn a_message_with_unknown_additions_is_read_as_the_one_without(
+    fn a_message_with_unknown_appended_fields_is_read_without_them(
         additions in prop::collection::vec(any::<u8>(), 0..60)
     ) {
         for (name, message) in messages() {
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn samples_of_this_build_are_written_where_that_is_asked_for() {
+fn samples_of_this_build_are_written_if_a_folder_is_given() {
     let Ok(folder) = std::env::var("SILVERDOCK_SAMPLES") else {
         return;
     };
