--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -1,8 +1,9 @@
-//! HTTP calls through the client half of `async-h1`.
+//! HTTP calls through the client of `async-h1`.
 //!
-//! What `async-h1` 2.3 does is relied on here and tested: it reads a body of a stated length to
-//! that length or to the end of the connection without telling which, so the length is counted; a
-//! chunked body that is cut is an error; a body with neither is taken as empty.
+//! This module relies on the following behaviour of `async-h1` 2.3, which the tests check. It reads a body with a
+//! `content-length` up to that length or to the end of the connection and does not report which of them it reached, so
+//! the length is counted here. A truncated chunked body is an error. A body with neither a length nor chunks is read as
+//! empty.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,22 +15,22 @@
 use http_types::{Request, Response};
 use uptime::Instant;
 
-/// How long a connection may take to be made.
+/// The time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much of a body is read at once, in bytes.
-const PART_BYTES: usize = 16 * 1024;
+/// The largest part of a body that is read at once, in bytes.
+const MAX_PART_BYTES: usize = 16 * 1024;
 
-/// A moment by which a call must be over.
+/// The time by which a call must be complete.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadline(Instant);
 
 impl Deadline {
-    /// The moment `span` from now.
+    /// A deadline `span` from now.
     pub fn after(span: Duration) -> Self {
         Self(Instant::now() + span)
     }
 
-    /// Waits for a future until the moment has come, and then gives up with `code`.
+    /// Runs a future until the deadline; fails with `code` if it is not complete by then.
     pub async fn limit<T>(
         self,
         code: Code,
@@ -37,33 +38,33 @@
     ) -> Result<T> {
         let expired = async {
             uptime::sleep_until(self.0).await;
-            Err(Error::new(code, "the time for the call ran out"))
+            Err(Error::new(code, "the call timed out"))
         };
         future.or(expired).await
     }
 }
 
-/// An answer whose body has been read.
+/// A response with its complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The ETag, if there is one.
+    /// The value of the `ETag` header, if there is one.
     pub tag: Option<String>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Sends a request on a fresh connection. `Unreachable` when no connection could be made, so
-/// nothing was sent; `ConnectionLost` when the answer was lost.
+/// Sends a request on a new connection. Fails with `Unreachable` if no connection could be established, in which case
+/// nothing was sent, and with `ConnectionLost` if the connection failed before the response arrived.
 pub async fn send(address: SocketAddr, request: Request, deadline: Deadline) -> Result<Response> {
     let connect = async {
         let stream = TcpStream::connect(address).await;
         stream.map_err(|error| Error::new(Code::Unreachable, format!("{address}: {error}")))
     };
-    let soon = Deadline::after(CONNECT_TIMEOUT);
-    let stream = soon.limit(Code::Unreachable, connect).await?;
-    // Small requests would otherwise wait for acknowledgements of the ones before.
+    let connect_deadline = Deadline::after(CONNECT_TIMEOUT);
+    let stream = connect_deadline.limit(Code::Unreachable, connect).await?;
+    // Without this option small requests would wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let exchange = async {
         let response = async_h1::connect(stream, request).await;
@@ -72,54 +73,55 @@
     deadline.limit(Code::TimedOut, exchange).await
 }
 
-/// Reads the whole body of a response, up to `limit` bytes.
-pub async fn read_body(response: Response, limit: usize, deadline: Deadline) -> Result<Answer> {
+/// Reads the complete body of a response; fails with `TooLarge` beyond `max_bytes`.
+pub async fn read_body(response: Response, max_bytes: usize, deadline: Deadline) -> Result<Answer> {
     let status = response.status().into();
     let tag = response.header("etag").map(|values| values.last().as_str().to_owned());
     let mut body = HttpBody::new(response);
     let read = async {
-        let mut whole = Vec::new();
+        let mut content = Vec::new();
         while let Some(part) = body.next().await? {
-            whole.extend_from_slice(&part);
-            if whole.len() > limit {
-                return Err(Error::new(Code::TooLarge, "the body is larger than the bound"));
+            content.extend_from_slice(&part);
+            if content.len() > max_bytes {
+                return Err(Error::new(Code::TooLarge, "the body is larger than the limit"));
             }
         }
-        Ok(whole)
+        Ok(content)
     };
     let body = deadline.limit(Code::TimedOut, read).await?;
     Ok(Answer { status, tag, body })
 }
 
-/// The body of a response, read part by part and checked for its length.
+/// The body of a response, read in parts. Its length is compared with the `content-length` header.
 pub struct HttpBody {
     reader: Box<dyn AsyncBufRead + Unpin + Send + Sync>,
-    missing: Option<usize>,
+    remaining: Option<usize>,
 }
 
 impl HttpBody {
     /// Takes the body out of a response.
     pub fn new(mut response: Response) -> Self {
-        let missing = response.len();
-        Self { reader: response.take_body().into_reader(), missing }
+        let remaining = response.len();
+        Self { reader: response.take_body().into_reader(), remaining }
     }
 
-    /// The next part, or `None` once the body is whole. A body that ends early is `CutShort`.
+    /// The next part, or `None` at the end of the body. Fails with `CutShort` if the body ends early.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>> {
-        let mut part = vec![0; PART_BYTES];
+        let mut part = vec![0; MAX_PART_BYTES];
         let read = self.reader.read(&mut part).await;
         let read = read.map_err(|error| Error::new(Code::CutShort, error.to_string()))?;
-        if let Some(missing) = &mut self.missing {
-            *missing = missing.saturating_sub(read);
+        if let Some(remaining) = &mut self.remaining {
+            *remaining = remaining.saturating_sub(read);
         }
         if read > 0 {
             part.truncate(read);
             return Ok(Some(part));
         }
-        match self.missing {
-            Some(missing) if missing > 0 => {
-                Err(Error::new(Code::CutShort, format!("{missing} bytes of the body are missing")))
-            }
+        match self.remaining {
+            Some(remaining) if remaining > 0 => Err(Error::new(
+                Code::CutShort,
+                format!("{remaining} bytes of the body are missing"),
+            )),
             _ => Ok(None),
         }
     }
--- a/components/net/src/client/tests.rs
+++ b/components/net/src/client/tests.rs
@@ -1,12 +1,10 @@
-//! Tests of `client`.
-
 use super::*;
 use async_net::TcpListener;
 use futures_lite::future::{block_on, zip};
 use futures_lite::io::AsyncWriteExt;
 use http_types::{Method, Url};
 
-/// Sends a request to a peer that answers with `raw` and closes.
+/// Sends a request to a server that responds with `raw` and closes the connection.
 fn fetch(raw: &'static str) -> Result<Answer> {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -28,31 +26,31 @@
 }
 
 #[test]
-fn can_read_a_whole_body() {
+fn a_complete_body_is_read() {
     let answer = fetch("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello").unwrap();
     assert_eq!(answer.body, b"hello");
 }
 
 #[test]
-fn errors_on_a_body_shorter_than_its_length() {
+fn a_body_shorter_than_its_content_length_is_an_error() {
     let answer = fetch("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello");
     assert_eq!(answer.unwrap_err().code, Code::CutShort);
 }
 
 #[test]
-fn errors_on_a_chunked_body_without_its_end() {
+fn a_chunked_body_without_its_end_is_an_error() {
     let answer = fetch("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n");
     assert_eq!(answer.unwrap_err().code, Code::CutShort);
 }
 
 #[test]
-fn errors_on_an_answer_cut_in_its_head() {
+fn a_response_with_a_truncated_head_is_an_error() {
     let answer = fetch("HTTP/1.1 200 OK\r\ncontent-le");
     assert_eq!(answer.unwrap_err().code, Code::ConnectionLost);
 }
 
 #[test]
-fn errors_as_unreachable_when_nobody_listens() {
+fn a_call_to_a_closed_port_fails_as_unreachable() {
     let request = Request::new(Method::Get, Url::parse("http://127.0.0.1:1/").unwrap());
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let deadline = Deadline::after(Duration::from_secs(10));
--- a/components/net/src/pacer.rs
+++ b/components/net/src/pacer.rs
@@ -1,4 +1,4 @@
-//! Holds a flow of bytes to the rate of a link.
+//! Limits the rate at which bytes are transferred.
 
 use std::io;
 use std::sync::Mutex;
@@ -7,23 +7,24 @@
 use async_io::Timer;
 use futures_lite::{future, AsyncWrite, AsyncWriteExt};
 
-/// Unused time that a link may make up for, so that timers that fire late do not slow it down.
-const SLACK: Duration = Duration::from_millis(20);
+/// The unused link time that later transfers may use. It compensates for timers that fire late, which would otherwise
+/// lower the rate.
+const MAX_CATCH_UP: Duration = Duration::from_millis(20);
 
-/// A link that carries one byte after the other, in the order in which callers ask.
+/// A link with a fixed rate. Transfers are serialised in the order in which callers reserve them.
 pub struct Pacer {
     bytes_per_s: f64,
-    /// When the bytes promised so far will have passed.
+    /// When the bytes that are reserved so far will have been transferred.
     busy_until: Mutex<Instant>,
 }
 
 impl Pacer {
-    /// A link of `bytes_per_s`.
+    /// Creates a link with a rate of `bytes_per_s`.
     pub fn new(bytes_per_s: u64) -> Self {
         Self { bytes_per_s: bytes_per_s as f64, busy_until: Mutex::new(Instant::now()) }
     }
 
-    /// Waits until `bytes` more have passed.
+    /// Reserves `bytes` on the link and waits until they would have been transferred.
     pub async fn pass(&self, bytes: usize) {
         let done = self.reserve(bytes);
         if done > Instant::now() {
@@ -34,28 +35,29 @@
     fn reserve(&self, bytes: usize) -> Instant {
         let span = Duration::from_secs_f64(bytes as f64 / self.bytes_per_s);
         let mut busy_until = self.busy_until.lock().expect("the lock is never poisoned");
-        let earliest = Instant::now().checked_sub(SLACK).unwrap_or_else(Instant::now);
+        let earliest = Instant::now().checked_sub(MAX_CATCH_UP).unwrap_or_else(Instant::now);
         *busy_until = (*busy_until).max(earliest) + span;
         *busy_until
     }
 }
 
-/// Writes bytes in slices at the pace of a link. It ends with `TimedOut` once the other side has taken no whole
-/// slice for `patience`: a connection that stopped working without a reset would otherwise keep its sender busy.
+/// Writes bytes in slices of `slice_bytes` at the rate of a link. Fails with `TimedOut` if the peer does not accept a
+/// whole slice within `stall_timeout`: a connection that stopped working without a reset would otherwise block its
+/// sender.
 pub async fn write_paced(
     stream: &mut (impl AsyncWrite + Unpin),
     bytes: &[u8],
     pacer: &Pacer,
-    slice: usize,
-    patience: Duration,
+    slice_bytes: usize,
+    stall_timeout: Duration,
 ) -> io::Result<()> {
-    for slice in bytes.chunks(slice) {
+    for slice in bytes.chunks(slice_bytes) {
         pacer.pass(slice.len()).await;
-        let late = async {
-            Timer::after(patience).await;
-            Err(io::Error::new(io::ErrorKind::TimedOut, "the other side takes nothing"))
+        let timeout = async {
+            Timer::after(stall_timeout).await;
+            Err(io::Error::new(io::ErrorKind::TimedOut, "the peer accepts no data"))
         };
-        future::or(stream.write_all(slice), late).await?;
+        future::or(stream.write_all(slice), timeout).await?;
     }
     Ok(())
 }
--- a/components/net/src/pacer/tests.rs
+++ b/components/net/src/pacer/tests.rs
@@ -1,9 +1,7 @@
-//! Tests of `pacer`.
-
 use super::*;
 
 #[test]
-fn can_hold_a_flow_to_its_rate() {
+fn reservations_take_as_long_as_the_rate_requires() {
     let pacer = Pacer::new(1000);
     let start = Instant::now();
     pacer.reserve(500);
--- a/components/net/src/server.rs
+++ b/components/net/src/server.rs
@@ -1,5 +1,4 @@
-//! An HTTP server with bounds on connections, sizes and stalls, that stops without cutting off
-//! requests in progress.
+//! An HTTP server with limits on connections, sizes and stalls, which finishes the requests in progress when it stops.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -18,39 +17,40 @@
 use crate::stream::BoundedStream;
 use crate::Tasks;
 
-/// What `async-h1` allows for the head of a request, in bytes, and what it may read ahead.
-const HEAD_BYTES: u64 = 16 * 1024;
-/// How long to wait after the system refused to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How often a stopping server looks whether its requests have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// How long a caller who is asked to come back later should wait, in seconds.
+/// The size that a request may have in addition to its body, in bytes: the largest head that `async-h1` accepts, and
+/// what it may read ahead.
+const HEAD_ALLOWANCE_BYTES: u64 = 16 * 1024;
+/// The delay before the next attempt after accepting a connection failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The interval at which a stopping server checks whether its requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The value of the `retry-after` header, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// The bounds of a server.
+/// The resource limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The largest body, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: u64,
-    /// The most connections at once; further ones are closed at once.
-    pub connections: usize,
-    /// How long a peer may neither send nor take a byte.
-    pub stall: Duration,
+    /// The largest number of open connections; further ones are closed immediately.
+    pub max_connections: usize,
+    /// The time after which a connection is closed if its peer neither sends nor accepts a byte.
+    pub stall_timeout: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { body_bytes: 1 << 20, connections: 4096, stall: Duration::from_secs(60) }
+        Self { body_bytes: 1 << 20, max_connections: 4096, stall_timeout: Duration::from_secs(60) }
     }
 }
 
-/// What becomes of a request.
-// It is moved once for each request; a box would cost more than it saves.
+/// The result of handling a request.
+// The value is moved once per request; boxing the response would cost more than that.
 #[allow(clippy::large_enum_variant)]
 pub enum Reply {
-    /// It is answered.
+    /// Sends a response.
     Answer(Response),
-    /// The connection is closed without an answer.
+    /// Closes the connection without a response.
     HangUp,
 }
 
@@ -60,24 +60,24 @@
 }
 
 impl Caller {
-    /// Waits until the caller has gone away.
-    pub async fn gone(&self) {
+    /// Waits until the caller has disconnected.
+    pub async fn disconnected(&self) {
         let mut byte = [0];
         if let Ok(1..) = self.stream.peek(&mut byte).await {
-            // More bytes have arrived, so the end cannot be seen behind them.
+            // Unread bytes have arrived, so the end of the connection cannot be detected by peeking.
             futures_lite::future::pending::<()>().await;
         }
     }
 }
 
-/// Answers requests.
+/// Handles requests.
 #[async_trait]
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     async fn handle(&self, request: Request, caller: Caller) -> Reply;
 }
 
-/// State shared by the connections of a server.
+/// The state that the connections of a server share.
 struct Shared {
     bounds: Bounds,
     stopping: AtomicBool,
@@ -89,12 +89,13 @@
 pub struct Server {
     shared: Arc<Shared>,
     address: SocketAddr,
-    /// Holds the task that accepts, so that the door can be closed apart from the connections.
-    accepting: Tasks,
+    /// The task that accepts connections, in a group of its own so that it can be cancelled while open connections are
+    /// served.
+    accept_task: Tasks,
 }
 
 impl Server {
-    /// Takes an address and starts to serve on it.
+    /// Binds an address and starts to serve on it.
     pub async fn start(
         tasks: &Tasks,
         address: SocketAddr,
@@ -111,42 +112,42 @@
             connections: AtomicUsize::new(0),
             in_progress: AtomicUsize::new(0),
         });
-        let accepting = tasks.group();
-        accepting.spawn(accept_all(tasks.clone(), listener, shared.clone(), handler));
-        Ok(Self { shared, address, accepting })
+        let accept_task = tasks.group();
+        accept_task.spawn(accept_connections(tasks.clone(), listener, shared.clone(), handler));
+        Ok(Self { shared, address, accept_task })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How many requests are in progress.
+    /// The number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.shared.in_progress.load(Ordering::SeqCst)
     }
 
-    /// Closes the door to new connections; those that are open get one last answer each.
+    /// Stops accepting connections. Each open connection is closed after its next response.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
-        self.accepting.cancel();
+        self.accept_task.cancel();
     }
 
     /// Waits until no request is in progress.
     pub async fn drain(&self) {
         while self.in_progress() > 0 {
-            Timer::after(DRAIN_POLL).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.accepting.cancel();
+        self.accept_task.cancel();
     }
 }
 
-async fn accept_all(
+async fn accept_connections(
     tasks: Tasks,
     listener: TcpListener,
     shared: Arc<Shared>,
@@ -154,38 +155,38 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(ACCEPT_PAUSE).await;
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if shared.connections.load(Ordering::Relaxed) >= shared.bounds.connections {
+        if shared.connections.load(Ordering::Relaxed) >= shared.bounds.max_connections {
             continue;
         }
         tasks.spawn(serve_connection(stream, shared.clone(), handler.clone()));
     }
 }
 
-/// Counts something up while it is held.
-struct Held<'a>(&'a AtomicUsize);
+/// Increments a counter and decrements it when dropped.
+struct CountGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Held<'a> {
+impl<'a> CountGuard<'a> {
     fn new(counter: &'a AtomicUsize) -> Self {
         counter.fetch_add(1, Ordering::SeqCst);
         Self(counter)
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 async fn serve_connection(stream: TcpStream, shared: Arc<Shared>, handler: Arc<dyn Handler>) {
-    let _connection = Held::new(&shared.connections);
+    let _connection = CountGuard::new(&shared.connections);
     let _ = stream.set_nodelay(true);
-    let bounded = BoundedStream::new(stream.clone(), shared.bounds.stall);
+    let bounded = BoundedStream::new(stream.clone(), shared.bounds.stall_timeout);
     loop {
-        bounded.allow(HEAD_BYTES + shared.bounds.body_bytes);
+        bounded.set_request_limit(HEAD_ALLOWANCE_BYTES + shared.bounds.body_bytes);
         match serve_one(&stream, &bounded, &shared, &handler).await {
             Ok(ConnectionStatus::KeepAlive) => {}
             _ => return,
@@ -193,45 +194,49 @@
     }
 }
 
-/// Serves one request. A request counts as in progress from its head to the end of its answer.
+/// Serves one request. A request counts as in progress from the end of its head to the end of its response.
 async fn serve_one(
     stream: &TcpStream,
     bounded: &BoundedStream,
     shared: &Shared,
     handler: &Arc<dyn Handler>,
 ) -> http_types::Result<ConnectionStatus> {
-    // `None` until the head has been read, which tells a bad head from a failure after it.
-    let held = std::sync::Mutex::new(None);
+    // `None` until the head has been parsed, which distinguishes an invalid head from a later failure.
+    let progress_guard = std::sync::Mutex::new(None);
     let endpoint = |request: Request| {
-        *held.lock().expect("the lock is never poisoned") = Some(Held::new(&shared.in_progress));
+        *progress_guard.lock().expect("the lock is never poisoned") =
+            Some(CountGuard::new(&shared.in_progress));
         let caller = Caller { stream: stream.clone() };
-        answer(request, caller, shared, handler)
+        respond(request, caller, shared, handler)
     };
     let mut connection = Connection::new(bounded.clone(), endpoint);
     let status = connection.accept_one().await;
     drop(connection);
-    let seen = held.lock().expect("the lock is never poisoned").is_some();
-    if status.is_err() && !seen {
+    let head_parsed = progress_guard.lock().expect("the lock is never poisoned").is_some();
+    if status.is_err() && !head_parsed {
         reject_head(stream.clone()).await;
     }
     status
 }
 
-async fn answer(
+async fn respond(
     request: Request,
     caller: Caller,
     shared: &Shared,
     handler: &Arc<dyn Handler>,
 ) -> http_types::Result<Response> {
-    let too_large = request.len().is_some_and(|len| len as u64 > shared.bounds.body_bytes);
-    let mut response = if too_large {
-        let mut refusal = refuse(&Error::new(Code::TooLarge, "the body is larger than the bound"));
-        refusal.insert_header("connection", "close");
-        refusal
+    let body_too_large = request.len().is_some_and(|len| len as u64 > shared.bounds.body_bytes);
+    let mut response = if body_too_large {
+        let mut rejection =
+            refuse(&Error::new(Code::TooLarge, "the body is larger than the limit"));
+        rejection.insert_header("connection", "close");
+        rejection
     } else {
         match handler.handle(request, caller).await {
             Reply::Answer(response) => response,
-            Reply::HangUp => return Err(http_types::format_err!("hung up")),
+            Reply::HangUp => {
+                return Err(http_types::format_err!("the handler closed the connection"))
+            }
         }
     };
     if shared.stopping.load(Ordering::SeqCst) {
@@ -240,9 +245,10 @@
     Ok(response)
 }
 
-/// Answers a head that `async-h1` could not read; it would close the connection without a word.
+/// Responds to a head that `async-h1` could not parse. The library itself would close the connection without a
+/// response.
 async fn reject_head(mut stream: TcpStream) {
-    let mut response = refuse(&Error::new(Code::BadRequest, "the head cannot be read"));
+    let mut response = refuse(&Error::new(Code::BadRequest, "the request head cannot be parsed"));
     response.insert_header("connection", "close");
     let mut encoder = Encoder::new(response, Method::Get);
     let mut bytes = Vec::new();
@@ -251,15 +257,15 @@
     }
 }
 
-/// The body of a refusal, in the shape that callers of chat completions know.
+/// The body of an error response, in the format of chat completion APIs.
 #[derive(Serialize)]
-struct Refusal<'a> {
-    error: RefusalBody<'a>,
+struct ErrorResponse<'a> {
+    error: ErrorBody<'a>,
 }
 
-/// What went wrong.
+/// The error in an error response.
 #[derive(Serialize)]
-struct RefusalBody<'a> {
+struct ErrorBody<'a> {
     code: u16,
     name: &'a str,
     message: &'a str,
@@ -267,21 +273,21 @@
     may_retry: bool,
 }
 
-/// The answer that carries a result code.
+/// Builds the response for an error, with its result code in the body and in a header.
 pub fn refuse(error: &Error) -> Response {
     let code = error.code;
     let ran = match code.ran() {
         errors::Ran::NotRun => "not run",
         errors::Ran::Unknown => "unknown",
     };
-    let body = RefusalBody {
+    let body = ErrorBody {
         code: code.number(),
         name: code.name(),
         message: &error.detail,
         ran,
         may_retry: code.may_retry(),
     };
-    let mut response = json(code.status(), &Refusal { error: body });
+    let mut response = json(code.status(), &ErrorResponse { error: body });
     response.insert_header("silverdock-code", code.number().to_string());
     if code.may_retry() {
         response.insert_header("retry-after", RETRY_AFTER_S.to_string());
@@ -289,7 +295,7 @@
     response
 }
 
-/// An answer in JSON.
+/// Builds a response with a JSON body.
 pub fn json(status: u16, body: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
@@ -301,8 +307,8 @@
     response
 }
 
-/// The bearer token of a request.
-pub fn bearer(request: &Request) -> Option<&str> {
+/// The bearer token in the `authorization` header of a request.
+pub fn bearer_token(request: &Request) -> Option<&str> {
     let value = request.header("authorization")?.last().as_str();
     value.strip_prefix("Bearer ").map(str::trim)
 }
--- a/components/net/src/stream.rs
+++ b/components/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that gives up on stalled peers and on requests that are too large.
+//! A TCP stream that fails if the peer stalls or sends a request that is too large.
 
 use std::io;
 use std::pin::Pin;
@@ -12,29 +12,29 @@
 use futures_lite::io::{AsyncRead, AsyncWrite};
 use futures_lite::FutureExt;
 
-/// A stream whose reads are counted and whose stalls end it.
+/// A stream with a limit on the bytes of a request and a timeout for stalled reads and writes.
 pub(crate) struct BoundedStream {
     inner: TcpStream,
-    /// Bytes that may still be read for the current request.
-    left: Arc<AtomicU64>,
-    stall: Duration,
+    /// The number of bytes that may still be read for the current request.
+    remaining_bytes: Arc<AtomicU64>,
+    stall_timeout: Duration,
     timer: Option<Timer>,
 }
 
 impl BoundedStream {
-    pub(crate) fn new(inner: TcpStream, stall: Duration) -> Self {
-        Self { inner, left: Arc::new(AtomicU64::new(0)), stall, timer: None }
+    pub(crate) fn new(inner: TcpStream, stall_timeout: Duration) -> Self {
+        Self { inner, remaining_bytes: Arc::new(AtomicU64::new(0)), stall_timeout, timer: None }
     }
 
-    /// Allows the next request to be of this size.
-    pub(crate) fn allow(&self, bytes: u64) {
-        self.left.store(bytes, Ordering::Relaxed);
+    /// Sets the size limit of the next request.
+    pub(crate) fn set_request_limit(&self, bytes: u64) {
+        self.remaining_bytes.store(bytes, Ordering::Relaxed);
     }
 
-    /// Ends with an error once a pending operation has waited too long.
+    /// Returns an error if a pending operation has waited longer than the stall timeout.
     fn check_stall<T>(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<T>> {
-        let stall = self.stall;
-        let timer = self.timer.get_or_insert_with(|| Timer::after(stall));
+        let stall_timeout = self.stall_timeout;
+        let timer = self.timer.get_or_insert_with(|| Timer::after(stall_timeout));
         match timer.poll(cx) {
             Poll::Ready(_) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
@@ -44,8 +44,8 @@
 
 impl Clone for BoundedStream {
     fn clone(&self) -> Self {
-        let (inner, left) = (self.inner.clone(), self.left.clone());
-        Self { inner, left, stall: self.stall, timer: None }
+        let (inner, remaining_bytes) = (self.inner.clone(), self.remaining_bytes.clone());
+        Self { inner, remaining_bytes, stall_timeout: self.stall_timeout, timer: None }
     }
 }
 
@@ -60,12 +60,15 @@
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Ready(Ok(read)) => {
                 self.timer = None;
-                let left = self.left.load(Ordering::Relaxed);
-                let Some(left) = left.checked_sub(read as u64) else {
+                let remaining_bytes = self.remaining_bytes.load(Ordering::Relaxed);
+                let Some(remaining_bytes) = remaining_bytes.checked_sub(read as u64) else {
                     let kind = io::ErrorKind::InvalidData;
-                    return Poll::Ready(Err(io::Error::new(kind, "the request is too large")));
+                    return Poll::Ready(Err(io::Error::new(
+                        kind,
+                        "the request is larger than the limit",
+                    )));
                 };
-                self.left.store(left, Ordering::Relaxed);
+                self.remaining_bytes.store(remaining_bytes, Ordering::Relaxed);
                 Poll::Ready(Ok(read))
             }
         }
--- a/components/net/src/tasks.rs
+++ b/components/net/src/tasks.rs
@@ -1,4 +1,4 @@
-//! A group of tasks that end together.
+//! A group of tasks that can be cancelled together.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -6,61 +6,61 @@
 
 use async_executor::{Executor, Task};
 
-/// The tasks that run.
+/// The state of a group.
 #[derive(Default)]
-struct Running {
-    next: u64,
-    closed: bool,
+struct GroupState {
+    next_id: u64,
+    cancelled: bool,
     tasks: HashMap<u64, Task<()>>,
 }
 
-/// Spawns tasks and remembers them, so that all that a daemon started can be ended at once.
+/// Spawns tasks and keeps track of them, so that all tasks of a daemon can be cancelled at once.
 #[derive(Clone)]
 pub struct Tasks {
     executor: Arc<Executor<'static>>,
-    running: Arc<Mutex<Running>>,
+    state: Arc<Mutex<GroupState>>,
 }
 
 impl Tasks {
-    /// An empty group on an executor.
+    /// Creates an empty group on an executor.
     pub fn new(executor: &Arc<Executor<'static>>) -> Self {
-        Self { executor: executor.clone(), running: Arc::default() }
+        Self { executor: executor.clone(), state: Arc::default() }
     }
 
-    /// Another empty group on the same executor.
+    /// Creates another empty group on the same executor.
     pub fn group(&self) -> Self {
         Self::new(&self.executor)
     }
 
-    /// Starts a task. Nothing starts in a group that was ended.
+    /// Starts a task. Does nothing in a group that was cancelled.
     pub fn spawn(&self, future: impl Future<Output = ()> + Send + 'static) {
-        let mut running = self.running.lock().expect("the lock is never poisoned");
-        if running.closed {
+        let mut state = self.state.lock().expect("the lock is never poisoned");
+        if state.cancelled {
             return;
         }
-        let id = running.next;
-        running.next += 1;
-        // A strong reference would keep the group alive through its own tasks.
-        let group = Arc::downgrade(&self.running);
+        let id = state.next_id;
+        state.next_id += 1;
+        // Weak, as the tasks of a group would otherwise keep it alive.
+        let group = Arc::downgrade(&self.state);
         let task = self.executor.spawn(async move {
             future.await;
             let Some(group) = group.upgrade() else {
                 return;
             };
-            let mut running = group.lock().expect("the lock is never poisoned");
-            if let Some(task) = running.tasks.remove(&id) {
+            let mut state = group.lock().expect("the lock is never poisoned");
+            if let Some(task) = state.tasks.remove(&id) {
                 task.detach();
             }
         });
-        running.tasks.insert(id, task);
+        state.tasks.insert(id, task);
     }
 
-    /// Ends every task where it stands, as a killed process would.
+    /// Drops every task at its current await point and prevents new ones, as if the process had been killed.
     pub fn cancel(&self) {
         let tasks = {
-            let mut running = self.running.lock().expect("the lock is never poisoned");
-            running.closed = true;
-            std::mem::take(&mut running.tasks)
+            let mut state = self.state.lock().expect("the lock is never poisoned");
+            state.cancelled = true;
+            std::mem::take(&mut state.tasks)
         };
         drop(tasks);
     }
--- a/components/net/src/tasks/tests.rs
+++ b/components/net/src/tasks/tests.rs
@@ -1,10 +1,8 @@
-//! Tests of `tasks`.
-
 use super::*;
 use futures_lite::future::{block_on, yield_now};
 
 #[test]
-fn can_end_every_task_of_a_group() {
+fn cancel_drops_every_task_of_a_group() {
     let executor = Arc::new(Executor::new());
     let tasks = Tasks::new(&executor);
     let token = Arc::new(());
--- a/components/net/tests/paced_write.rs
+++ b/components/net/tests/paced_write.rs
@@ -1,4 +1,4 @@
-//! A peer that takes no bytes does not hold up whoever sends to it.
+//! A peer that accepts no bytes does not block its sender.
 
 use std::io;
 use std::pin::Pin;
@@ -8,20 +8,20 @@
 use futures_lite::{future, AsyncWrite, FutureExt};
 use net::{write_paced, Pacer};
 
-const SLICE: usize = 1000;
-const PATIENCE: Duration = Duration::from_millis(200);
+const SLICE_BYTES: usize = 1000;
+const STALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Takes so many bytes at once and then pauses; with none, it never takes any.
+/// A peer that accepts up to `bytes_at_once` bytes and then pauses. With zero it never accepts any.
 struct Peer {
     bytes_at_once: usize,
     pause: Duration,
-    taken: usize,
+    accepted: usize,
     timer: Option<async_io::Timer>,
 }
 
 impl Peer {
     fn new(bytes_at_once: usize, pause: Duration) -> Self {
-        Self { bytes_at_once, pause, taken: 0, timer: None }
+        Self { bytes_at_once, pause, accepted: 0, timer: None }
     }
 }
 
@@ -39,10 +39,10 @@
                 return Poll::Pending;
             }
         }
-        let taken = bytes.len().min(self.bytes_at_once);
+        let accepted = bytes.len().min(self.bytes_at_once);
         self.timer = Some(async_io::Timer::after(self.pause));
-        self.taken += taken;
-        Poll::Ready(Ok(taken))
+        self.accepted += accepted;
+        Poll::Ready(Ok(accepted))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -57,31 +57,31 @@
 fn send(peer: &mut Peer, bytes: usize) -> io::Result<()> {
     let pacer = Pacer::new(1_000_000);
     let bytes = vec![0; bytes];
-    future::block_on(write_paced(peer, &bytes, &pacer, SLICE, PATIENCE))
+    future::block_on(write_paced(peer, &bytes, &pacer, SLICE_BYTES, STALL_TIMEOUT))
 }
 
 #[test]
-fn a_peer_that_takes_nothing_is_given_up() {
-    let begun = Instant::now();
+fn a_write_to_a_peer_that_accepts_nothing_times_out() {
+    let started = Instant::now();
     let error = send(&mut Peer::new(0, Duration::ZERO), 5000).unwrap_err();
     assert_eq!(error.kind(), io::ErrorKind::TimedOut);
-    assert!(begun.elapsed() < 3 * PATIENCE, "{:?}", begun.elapsed());
+    assert!(started.elapsed() < 3 * STALL_TIMEOUT, "{:?}", started.elapsed());
 }
 
 #[test]
-fn a_peer_that_stops_midway_is_given_up() {
+fn a_write_to_a_peer_that_stops_midway_times_out() {
     let mut peer = Peer::new(2500, Duration::from_secs(60));
     let error = send(&mut peer, 5000).unwrap_err();
     assert_eq!(error.kind(), io::ErrorKind::TimedOut);
-    assert_eq!(peer.taken, SLICE);
+    assert_eq!(peer.accepted, SLICE_BYTES);
 }
 
-/// As long as bytes go, a narrow link may take many times the patience.
+/// The timeout applies to each slice: the whole transfer may take longer while the peer accepts bytes.
 #[test]
-fn a_peer_on_a_narrow_link_gets_everything() {
-    let begun = Instant::now();
-    let mut peer = Peer::new(SLICE, Duration::from_millis(60));
-    send(&mut peer, 12 * SLICE).unwrap();
-    assert_eq!(peer.taken, 12 * SLICE);
-    assert!(begun.elapsed() > 3 * PATIENCE, "{:?}", begun.elapsed());
+fn a_slow_peer_receives_everything() {
+    let started = Instant::now();
+    let mut peer = Peer::new(SLICE_BYTES, Duration::from_millis(60));
+    send(&mut peer, 12 * SLICE_BYTES).unwrap();
+    assert_eq!(peer.accepted, 12 * SLICE_BYTES);
+    assert!(started.elapsed() > 3 * STALL_TIMEOUT, "{:?}", started.elapsed());
 }
--- a/components/net/tests/server.rs
+++ b/components/net/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server's bounds, and what `async-h1` does at the edges.
+//! The limits of the server, and the behaviour of `async-h1` for invalid and truncated messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use http_types::{Method, Request, Response, StatusCode, Url};
 use net::{read_body, send, stream_body, Bounds, Caller, Deadline, Handler, Reply, Server, Tasks};
 
-const BODY_BYTES: u64 = 1000;
+const MAX_BODY_BYTES: u64 = 1000;
 
-/// Answers by path.
-struct Pages(Tasks);
+/// A handler whose behaviour depends on the path.
+struct TestHandler(Tasks);
 
 #[async_trait]
-impl Handler for Pages {
+impl Handler for TestHandler {
     async fn handle(&self, mut request: Request, caller: Caller) -> Reply {
         let mut response = Response::new(StatusCode::Ok);
         match request.url().path() {
@@ -40,7 +40,7 @@
                 response.set_body(body);
             }
             "/wait-for-caller" => {
-                caller.gone().await;
+                caller.disconnected().await;
                 return Reply::HangUp;
             }
             _ => return Reply::HangUp,
@@ -53,11 +53,11 @@
 fn with_server<F: std::future::Future<Output = ()>>(test: impl FnOnce(Arc<Server>) -> F) {
     let executor = Arc::new(Executor::new());
     let tasks = Tasks::new(&executor);
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let bounds = Bounds { body_bytes: BODY_BYTES, ..Bounds::default() };
-    let pages = Arc::new(Pages(tasks.clone()));
+    let listen = SocketAddr::from(([127, 0, 0, 1], 0));
+    let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
+    let handler = Arc::new(TestHandler(tasks.clone()));
     block_on(executor.run(async {
-        let server = Server::start(&tasks, any, bounds, pages).await.unwrap();
+        let server = Server::start(&tasks, listen, bounds, handler).await.unwrap();
         test(Arc::new(server)).await;
     }));
 }
@@ -70,8 +70,8 @@
     read_body(send(server.address(), request, deadline).await?, 10_000, deadline).await
 }
 
-/// Sends raw bytes and reads to the end of the connection.
-async fn raw(server: &Server, bytes: &[u8]) -> String {
+/// Sends raw bytes and reads until the connection is closed.
+async fn send_raw(server: &Server, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(server.address()).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     let mut answer = Vec::new();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn can_echo_a_body_within_the_bound() {
+fn a_body_within_the_limit_is_echoed() {
     with_server(|server| async move {
         let answer = post(&server, "/echo", vec![7; 1000]).await.unwrap();
         assert_eq!(answer.body, vec![7; 1000]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn refuses_a_body_beyond_the_bound_with_a_code() {
+fn a_body_beyond_the_limit_is_rejected_with_a_code() {
     with_server(|server| async move {
         let answer = post(&server, "/echo", vec![7; 1001]).await.unwrap();
         assert_eq!(answer.status, 413);
@@ -97,35 +97,35 @@
 }
 
 #[test]
-fn ends_a_body_of_unstated_length_that_grows_beyond_the_bound() {
+fn a_chunked_body_beyond_the_limit_is_not_accepted() {
     with_server(|server| async move {
         let head = "POST /echo HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n";
         let chunk = format!("1000\r\n{}\r\n", "x".repeat(0x1000));
-        let answer = raw(&server, (head.to_owned() + &chunk.repeat(20)).as_bytes()).await;
+        let answer = send_raw(&server, (head.to_owned() + &chunk.repeat(20)).as_bytes()).await;
         assert!(!answer.contains("200 OK"), "{answer}");
     });
 }
 
 #[test]
-fn answers_a_head_it_cannot_read_with_a_code() {
+fn an_invalid_head_is_rejected_with_a_code() {
     with_server(|server| async move {
-        let answer = raw(&server, b"NOT HTTP AT ALL\r\n\r\n").await;
+        let answer = send_raw(&server, b"NOT HTTP AT ALL\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
         assert!(answer.contains("silverdock-code: 100"), "{answer}");
     });
 }
 
 #[test]
-fn answers_a_head_beyond_the_library_s_bound_with_a_code() {
+fn a_head_beyond_the_limit_of_the_library_is_rejected() {
     with_server(|server| async move {
         let head = format!("GET /echo HTTP/1.1\r\nhost: x\r\nlong: {}\r\n\r\n", "y".repeat(9000));
-        let answer = raw(&server, head.as_bytes()).await;
+        let answer = send_raw(&server, head.as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     });
 }
 
 #[test]
-fn shows_a_cut_stream_as_cut_and_a_whole_one_as_whole() {
+fn a_caller_can_tell_a_truncated_stream_from_a_complete_one() {
     with_server(|server| async move {
         let whole = post(&server, "/whole", Vec::new()).await.unwrap();
         assert_eq!(whole.body, b"firstsecond");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn notices_a_caller_that_goes_away() {
+fn a_disconnect_of_the_caller_is_detected() {
     with_server(|server| async move {
         let mut stream = TcpStream::connect(server.address()).await.unwrap();
         stream.write_all(b"GET /wait-for-caller HTTP/1.1\r\nhost: x\r\n\r\n").await.unwrap();
@@ -148,12 +148,12 @@
 }
 
 #[test]
-fn takes_no_connection_after_a_stop() {
+fn no_connection_is_accepted_after_a_stop() {
     with_server(|server| async move {
         server.stop();
         server.drain().await;
         let refused = loop {
-            // The listener closes with its task, a moment after the stop.
+            // The listener is closed when its task is dropped, shortly after the stop.
             match post(&server, "/echo", Vec::new()).await {
                 Err(error) if error.code == Code::Unreachable => break error,
                 _ => futures_lite::future::yield_now().await,
--- a/components/node/src/entry/callers.rs
+++ b/components/node/src/entry/callers.rs
@@ -69,7 +69,7 @@
         };
         let serving = async { Reply::Answer(with_id(serve(shared, reading).await, id)) };
         let leaving = async {
-            caller.gone().await;
+            caller.disconnected().await;
             shared.inbox.send(EntryEvent::CallerGone(id)).await;
             Reply::HangUp
         };
--- a/components/node/src/tokens.rs
+++ b/components/node/src/tokens.rs
@@ -4,7 +4,7 @@
 
 use errors::{Code, Error, Result};
 use http_types::Request;
-use net::bearer;
+use net::bearer_token;
 
 /// The shortest line accepted as a token, in characters.
 const MIN_TOKEN_CHARS: usize = 16;
@@ -29,7 +29,7 @@
 
     /// Checks the token of a request.
     pub(crate) fn check(&self, request: &Request) -> Result<()> {
-        let given = bearer(request).map(|token| blake3::hash(token.as_bytes()));
+        let given = bearer_token(request).map(|token| blake3::hash(token.as_bytes()));
         let valid = self.0.read().expect("the lock is never poisoned");
         // `blake3::Hash` compares in constant time.
         if given.is_some_and(|given| valid.contains(&given)) {
