--- a/components/node/src/agent/calls.rs
+++ b/components/node/src/agent/calls.rs
@@ -1,4 +1,4 @@
-//! Passes a call from an entry to the upstream and the answer back.
+//! Forwards a call from an entry to the upstream and relays the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,61 +12,61 @@
 use wire::{Call, Message};
 
 use super::{Shared, Upstream};
-use crate::doors::Door;
+use crate::inbound::InboundSession;
 
-/// Asks the reducer, and passes the call on if it is admitted.
-pub(super) async fn answer(
+/// Submits a call to the reducer, and forwards it to the upstream if the reducer admits it.
+pub(super) async fn handle_call(
     shared: &Arc<Shared>,
-    door: &mut Door,
+    session: &mut InboundSession,
     call: Call,
     body: Vec<u8>,
 ) -> Result<()> {
-    let (ticket, verdict) = shared.wait_for_verdict();
+    let (ticket, decision) = shared.register_waiter();
     let arrived = shared.now();
     let request = Box::new(call.clone());
     shared.inbox.send(AgentEvent::CallArrived { call: ticket, arrived, request }).await;
-    let Ok(effect) = verdict.recv().await else {
-        return fail(shared, door, call.request, Code::Stopping).await;
+    let Ok(effect) = decision.recv().await else {
+        return send_failure(shared, session, call.request, Code::Stopping).await;
     };
     match effect {
         AgentEffect::Admit { version, .. } => {
-            // The place is given back however the exchange ends, also when this task is dropped.
-            let place = Place { shared: shared.clone(), request: call.request };
-            let result = pass(shared, door, &call, body, version).await;
-            drop(place);
+            // Dropping the guard releases the slot of the call, also if this task is cancelled.
+            let admitted = AdmittedRequest { shared: shared.clone(), request: call.request };
+            let result = relay_until_closed(shared, session, &call, body, version).await;
+            drop(admitted);
             result
         }
         AgentEffect::Refuse { code, retry_after_ms, load, .. } => {
-            door.writer.send(&Message::Refused { code, retry_after_ms, load }).await
+            session.writer.send(&Message::Refused { code, retry_after_ms, load }).await
         }
-        _ => fail(shared, door, call.request, Code::Internal).await,
+        _ => send_failure(shared, session, call.request, Code::Internal).await,
     }
 }
 
-/// The place of an admitted request.
-struct Place {
+/// Reports the end of an admitted request to the reducer when dropped.
+struct AdmittedRequest {
     shared: Arc<Shared>,
     request: RequestId,
 }
 
-impl Drop for Place {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         let inbox = self.shared.inbox.clone();
         let request = self.request;
         let ended = async move { inbox.send(AgentEvent::CallEnded(request)).await };
-        self.shared.surroundings.host.tasks.spawn(ended);
+        self.shared.context.host.tasks.spawn(ended);
     }
 }
 
-/// Relays the answer. When the entry closes its connection, the upstream is told to stop.
-async fn pass(
+/// Relays the answer. If the entry closes its connection, the request is cancelled at the upstream.
+async fn relay_until_closed(
     shared: &Arc<Shared>,
-    door: &mut Door,
+    session: &mut InboundSession,
     call: &Call,
     body: Vec<u8>,
     version: Option<VersionId>,
 ) -> Result<()> {
-    let Door { reader, writer, .. } = door;
+    let InboundSession { reader, writer, .. } = session;
     let relay = async {
         let deadline = Deadline::after(Duration::from_millis(call.budget_ms));
         let result =
@@ -74,8 +74,8 @@
         let Err(error) = result else {
             return Ok(());
         };
-        // What was sent to the upstream may have run there, unless nothing was sent at all.
-        let load = shared.look(|agent| agent.load());
+        // The upstream may have run the request if it was sent at all, which the code tells the entry.
+        let load = shared.with_agent(|agent| agent.load());
         let request = call.request;
         writer.send(&Message::AnswerFailed { request, code: error.code, load }).await?;
         if error.code == Code::TimedOut {
@@ -84,10 +84,10 @@
         Ok(())
     };
     let closed = async {
-        // An entry sends nothing while it waits, so whatever comes ends the exchange.
+        // An entry sends nothing while it waits for an answer, so any frame or the end of the session ends the call.
         let _ = reader.read().await;
         cancel(shared, call.request).await;
-        Err(Error::new(Code::ConnectionLost, "the entry went away"))
+        Err(Error::new(Code::ConnectionLost, "the entry closed the connection"))
     };
     relay.or(closed).await
 }
@@ -100,10 +100,11 @@
     version: Option<VersionId>,
 ) -> Result<()> {
     let request = call.request;
-    let mut answer = send_upstream(&shared.upstream, call, body).await?;
-    // Before the answer is handed on, so that no call that follows it can miss this.
-    let upstream_rests_ms = answer.rest_ms.unwrap_or(0);
-    let answered = AgentEvent::UpstreamAnswered { request, rest_ms: upstream_rests_ms };
+    let mut answer = call_upstream(&shared.upstream, call, body).await?;
+    // The reducer is informed before the answer is relayed, so that it takes the pause into account for every call that
+    // the entry sends after the answer.
+    let upstream_pause_ms = answer.rest_ms.unwrap_or(0);
+    let answered = AgentEvent::UpstreamAnswered { request, rest_ms: upstream_pause_ms };
     shared.inbox.send(answered).await;
     let (status, content_type) = (answer.status, answer.content_type.clone());
     writer.send(&Message::AnswerHead { request, status, content_type, version }).await?;
@@ -112,11 +113,11 @@
         bytes += part.len() as u64;
         writer.send_with(&Message::AnswerPart { request }, &part).await?;
     }
-    let load = shared.look(|agent| agent.load());
+    let load = shared.with_agent(|agent| agent.load());
     writer.send(&Message::AnswerEnd { request, bytes, load }).await
 }
 
-async fn send_upstream(upstream: &Upstream, call: &Call, body: Vec<u8>) -> Result<UpstreamAnswer> {
+async fn call_upstream(upstream: &Upstream, call: &Call, body: Vec<u8>) -> Result<UpstreamAnswer> {
     let call = UpstreamCall {
         request: call.request,
         method: call.method.clone(),
@@ -135,12 +136,17 @@
 async fn cancel(shared: &Arc<Shared>, request: RequestId) {
     if let Upstream::Engine(engine) = &shared.upstream {
         if let Err(error) = engine.cancel(request).await {
-            log::debug!(request:display = request; "cancel: {error}");
+            log::debug!(request:display = request; "cannot cancel the request at the engine: {error}");
         }
     }
 }
 
-async fn fail(shared: &Arc<Shared>, door: &mut Door, request: RequestId, code: Code) -> Result<()> {
-    let load = shared.look(|agent| agent.load());
-    door.writer.send(&Message::AnswerFailed { request, code, load }).await
+async fn send_failure(
+    shared: &Arc<Shared>,
+    session: &mut InboundSession,
+    request: RequestId,
+    code: Code,
+) -> Result<()> {
+    let load = shared.with_agent(|agent| agent.load());
+    session.writer.send(&Message::AnswerFailed { request, code, load }).await
 }
--- a/components/node/src/agent/mod.rs
+++ b/components/node/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The driver of an agent.
+//! The driver of an agent: executes the effects of the agent reducer.
 
 mod calls;
-mod doors;
-mod draws;
+mod downloads;
+mod messages;
 mod staging;
 mod weights;
 
@@ -22,28 +22,28 @@
 use reducer::{Agent, AgentEffect, AgentEvent, AgentOptions, Order};
 
 use crate::control::{bind, ControlDriver};
-use crate::doors::accept;
-use crate::host::{Host, Identity, Surroundings};
+use crate::host::{DaemonContext, Host, Identity};
+use crate::inbound::accept_sessions;
 use crate::inbox::Inbox;
-use crate::operators::{open_page, status_page};
+use crate::operators::{public_page, status_page};
 use staging::Staging;
 
-/// An order that waited this long is not sent to an engine that checks no fence: the process was
-/// paused meanwhile, and another one may have given a later order.
-const STALE_ORDER: Duration = Duration::from_millis(500);
+/// An order that is delayed by this much or more is not sent to an engine that does not check epochs: the process was
+/// paused in the meantime, and another process may have sent a later order.
+const MAX_ORDER_DELAY: Duration = Duration::from_millis(500);
 
-/// The upstream beside an agent.
+/// The upstream that an agent serves.
 #[derive(Clone)]
 pub enum Upstream {
     /// A model engine.
     Engine(Arc<dyn ModelEngine>),
-    /// A plain service of this name.
+    /// A plain service with its name.
     Service(ServiceName, Arc<dyn PlainService>),
 }
 
-/// Lets tests stall or damage the chunks that an agent sends.
+/// Fault injection for tests: delays or corrupts the chunks that an agent sends.
 pub trait Interference: Send + Sync {
-    /// Called with each chunk; the chunk is sent after the time given back.
+    /// Called with each chunk before it is sent. The chunk is sent after the returned delay.
     fn on_upload(&self, chunk: &mut Vec<u8>) -> Duration;
 }
 
@@ -56,9 +56,9 @@
     done: Receiver<()>,
 }
 
-/// What the tasks of an agent share.
+/// The state that the tasks of an agent share.
 pub(crate) struct Shared {
-    pub(crate) surroundings: Arc<Surroundings>,
+    pub(crate) context: Arc<DaemonContext>,
     pub(crate) inbox: Inbox<AgentEvent>,
     pub(crate) staging: Staging,
     pub(crate) upstream: Upstream,
@@ -68,26 +68,26 @@
     pub(crate) weights: SocketAddr,
     upstream_checks_fence: bool,
     agent: Mutex<Agent>,
-    waiting: Mutex<HashMap<u64, Sender<AgentEffect>>>,
+    waiters: Mutex<HashMap<u64, Sender<AgentEffect>>>,
     next_ticket: AtomicU64,
 }
 
-/// What an agent is started with.
+/// The parameters of an agent.
 pub struct AgentSetup {
-    /// Its surroundings.
+    /// The services that the agent uses.
     pub host: Host,
-    /// Who it is.
+    /// The name, the place and the addresses of the agent.
     pub identity: Identity,
-    /// The upstream beside it.
+    /// The upstream that the agent serves.
     pub upstream: Upstream,
-    /// Where the engine reads staged weights; port 0 takes any free one.
+    /// The address from which the engine reads staged weights; port 0 selects a free port.
     pub weights_listen: SocketAddr,
-    /// Whether the engine itself refuses orders of an old epoch. If not, this agent is its only door
-    /// and sends no order that waited while the process was paused.
+    /// Whether the engine itself rejects orders of an old epoch. If not, this agent must be the only sender of orders,
+    /// and it does not send an order that was delayed while the process was paused.
     pub upstream_checks_fence: bool,
-    /// Numbers for the reducer.
+    /// The options of the reducer.
     pub options: AgentOptions,
-    /// Faults of the link, for tests.
+    /// Fault injection for tests.
     pub interference: Option<Arc<dyn Interference>>,
 }
 
@@ -95,8 +95,8 @@
     /// Starts an agent.
     pub async fn start(setup: AgentSetup) -> Result<Self> {
         let tasks = setup.host.tasks.clone();
-        let doors = bind(setup.identity.listen).await?;
-        let surroundings = Arc::new(Surroundings::new(setup.host, setup.identity));
+        let sockets = bind(setup.identity.listen).await?;
+        let context = Arc::new(DaemonContext::new(setup.host, setup.identity));
         let staging = Staging::default();
         let weights = weights::serve(&tasks, setup.weights_listen, staging.clone()).await?;
         let process = match &setup.upstream {
@@ -104,7 +104,7 @@
             Upstream::Service(name, _) => Process::Service(name.clone()),
         };
         let is_engine = process == Process::Engine;
-        let record = surroundings.record(process, doors.address);
+        let record = context.initial_record(process, sockets.address);
         let (inbox, events) = Inbox::new();
         let shared = Arc::new(Shared {
             inbox: inbox.clone(),
@@ -116,81 +116,83 @@
             weights: weights.address(),
             upstream_checks_fence: setup.upstream_checks_fence,
             agent: Mutex::new(Agent::new(record, is_engine, setup.options)),
-            waiting: Mutex::default(),
+            waiters: Mutex::default(),
             next_ticket: AtomicU64::new(0),
-            surroundings: surroundings.clone(),
+            context: context.clone(),
         });
-        let wrap = AgentEvent::Control;
-        let control = ControlDriver::new(surroundings.clone(), doors.udp, inbox, wrap);
+        let to_event = AgentEvent::Control;
+        let control = ControlDriver::new(context.clone(), sockets.udp, inbox, to_event);
         control.start(|| AgentEvent::Tick);
-        let answer = Arc::new(doors::AgentDoors(shared.clone()));
-        tasks.spawn(accept(surroundings.host.clone(), doors.tcp, answer));
-        let page = Arc::new(OperatorPage(shared.clone()));
-        let operators = surroundings.identity.operators;
-        let operators = Server::start(&tasks, operators, Bounds::default(), page).await?;
-        let (exit, done) = async_channel::bounded(1);
-        tasks.spawn(run(shared.clone(), control, events, weights, exit));
-        Ok(Self { shared, tasks, address: doors.address, operators, done })
+        let message_handler = Arc::new(messages::AgentMessageHandler(shared.clone()));
+        tasks.spawn(accept_sessions(context.host.clone(), sockets.tcp, message_handler));
+        let operator_handler = Arc::new(OperatorHandler(shared.clone()));
+        let operators = context.identity.operators;
+        let operators =
+            Server::start(&tasks, operators, Bounds::default(), operator_handler).await?;
+        let (completed, done) = async_channel::bounded(1);
+        tasks.spawn(run(shared.clone(), control, events, weights, completed));
+        Ok(Self { shared, tasks, address: sockets.address, operators, done })
     }
 
-    /// Where other daemons reach it.
+    /// The address for other daemons.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators reach it.
+    /// The address for operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Asks for a planned stop.
+    /// Starts a planned stop.
     pub async fn stop(&self) {
         self.shared.inbox.send(AgentEvent::Stop).await;
     }
 
-    /// Waits until a planned stop is done, or `grace` is over. `true` if nothing was cut off.
+    /// Waits until a planned stop is complete, at most for `grace`. `true` if it is complete, so that no request was
+    /// aborted.
     pub async fn stopped(&self, grace: Duration) -> bool {
         let done = async { self.done.recv().await.is_ok() };
-        let late = async {
+        let timeout = async {
             async_io::Timer::after(grace).await;
             false
         };
-        futures_lite::future::or(done, late).await
+        futures_lite::future::or(done, timeout).await
     }
 
-    /// Ends the agent where it stands, as a killed process would.
+    /// Stops the agent abruptly, as if its process had been killed.
     pub fn kill(&self) {
         self.operators.stop();
         self.tasks.cancel();
     }
 
-    /// Looks at the reducer's state.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Agent) -> T) -> T {
-        self.shared.look(look)
+    /// Calls a function with the state of the reducer.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Agent) -> T) -> T {
+        self.shared.with_agent(read)
     }
 }
 
 impl Shared {
     pub(crate) fn now(&self) -> Millis {
-        self.surroundings.clock.now()
+        self.context.clock.now()
     }
 
-    /// Looks at the reducer's state.
-    pub(crate) fn look<T>(&self, look: impl FnOnce(&Agent) -> T) -> T {
-        look(&self.agent.lock().expect("the lock is never poisoned"))
+    /// Calls a function with the state of the reducer.
+    pub(crate) fn with_agent<T>(&self, read: impl FnOnce(&Agent) -> T) -> T {
+        read(&self.agent.lock().expect("the lock is never poisoned"))
     }
 
-    /// A number for something that waits for the reducer's verdict, and where it will come.
-    pub(crate) fn wait_for_verdict(&self) -> (u64, Receiver<AgentEffect>) {
+    /// Allocates a number for a call or an upload, and the channel on which the decision of the reducer will arrive.
+    pub(crate) fn register_waiter(&self) -> (u64, Receiver<AgentEffect>) {
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = async_channel::bounded(1);
-        self.waiting.lock().expect("the lock is never poisoned").insert(ticket, sender);
+        self.waiters.lock().expect("the lock is never poisoned").insert(ticket, sender);
         (ticket, receiver)
     }
 
     fn deliver(&self, ticket: u64, effect: AgentEffect) {
-        let waiting = self.waiting.lock().expect("the lock is never poisoned").remove(&ticket);
-        if let Some(sender) = waiting {
+        let waiter = self.waiters.lock().expect("the lock is never poisoned").remove(&ticket);
+        if let Some(sender) = waiter {
             let _ = sender.try_send(effect);
         }
     }
@@ -202,36 +204,36 @@
     }
 }
 
-/// Takes events in one after the other and carries out their effects.
+/// Passes events to the reducer one at a time and executes their effects.
 async fn run(
     shared: Arc<Shared>,
     control: ControlDriver<AgentEvent>,
     events: Receiver<AgentEvent>,
-    // Held so that the engine can read weights as long as the agent runs.
+    // Keeps the server alive, so that the engine can read weights while the agent runs.
     _weights: Server,
-    exit: Sender<()>,
+    completed: Sender<()>,
 ) {
     while let Ok(event) = events.recv().await {
         for effect in shared.reduce(event) {
-            carry_out(&shared, &control, &exit, effect);
+            execute(&shared, &control, &completed, effect);
         }
     }
 }
 
-fn carry_out(
+fn execute(
     shared: &Arc<Shared>,
     control: &ControlDriver<AgentEvent>,
-    exit: &Sender<()>,
+    completed: &Sender<()>,
     effect: AgentEffect,
 ) {
-    let host = &shared.surroundings.host;
+    let host = &shared.context.host;
     match effect {
-        AgentEffect::Control(effect) => control.carry_out(effect),
+        AgentEffect::Control(effect) => control.execute(effect),
         AgentEffect::ReadManifest { version, peers } => {
-            host.tasks.spawn(draws::read_manifest(shared.clone(), version, peers));
+            host.tasks.spawn(downloads::read_manifest(shared.clone(), version, peers));
         }
         AgentEffect::Draw { draw, have } => {
-            host.tasks.spawn(draws::draw(shared.clone(), draw, have));
+            host.tasks.spawn(downloads::download_chunk(shared.clone(), draw, have));
         }
         AgentEffect::Drop(version) => shared.staging.drop_version(version),
         AgentEffect::Upload { upload, .. } => shared.deliver(upload, effect),
@@ -240,7 +242,7 @@
             shared.deliver(upload, effect);
         }
         AgentEffect::Order(order) => {
-            host.tasks.spawn(obey(shared.clone(), order, Instant::now()));
+            host.tasks.spawn(send_order(shared.clone(), order, Instant::now()));
         }
         AgentEffect::Admit { call, .. } => shared.deliver(call, effect),
         AgentEffect::Refuse { call, code, .. } => {
@@ -253,13 +255,13 @@
         }
         AgentEffect::CountRetry(code) => host.metrics.count_retry(code),
         AgentEffect::Exit => {
-            let _ = exit.try_send(());
+            let _ = completed.try_send(());
         }
     }
 }
 
-/// Gives the engine an order and reports what became of it.
-async fn obey(shared: Arc<Shared>, order: Order, decided: Instant) {
+/// Sends an order to the engine and reports the result to the reducer.
+async fn send_order(shared: Arc<Shared>, order: Order, created_at: Instant) {
     let model = order.model.clone();
     let Upstream::Engine(engine) = &shared.upstream else {
         return;
@@ -273,8 +275,8 @@
         weights: shared.weights,
         bytes: order.bytes,
     };
-    let stale = !shared.upstream_checks_fence && decided.elapsed() >= STALE_ORDER;
-    let result = if stale {
+    let is_stale = !shared.upstream_checks_fence && created_at.elapsed() >= MAX_ORDER_DELAY;
+    let result = if is_stale {
         Err(Error::new(Code::OldEpoch, "the process was paused before the order was sent"))
     } else {
         engine.order(&order).await
@@ -282,28 +284,28 @@
     let version = order.version.map(|it| it.short()).unwrap_or_default();
     match &result {
         Ok(()) => {
-            log::info!(model = model.0.as_str(), version = version.as_str(); "order obeyed");
+            log::info!(model = model.0.as_str(), version = version.as_str(); "engine order completed");
         }
         Err(error) => {
-            log::warn!(model = model.0.as_str(), version = version.as_str(); "order: {error}");
+            log::warn!(model = model.0.as_str(), version = version.as_str(); "engine order failed: {error}");
         }
     }
     let result = result.map_err(|error| error.code);
     shared.inbox.send(AgentEvent::OrderEnded { model, result }).await;
 }
 
-/// The operators' port of an agent.
-struct OperatorPage(Arc<Shared>);
+/// The HTTP handler for operators of an agent.
+struct OperatorHandler(Arc<Shared>);
 
 #[async_trait]
-impl Handler for OperatorPage {
+impl Handler for OperatorHandler {
     async fn handle(&self, request: Request, _caller: Caller) -> Reply {
-        let host = &self.0.surroundings.host;
+        let host = &self.0.context.host;
         let path = request.url().path().to_owned();
-        let ready = self.0.look(|agent| agent.control.is_current());
+        let ready = self.0.with_agent(|agent| agent.control.is_current());
         host.metrics.set("events_dropped", self.0.inbox.dropped());
         host.metrics.set("staged_bytes", self.0.staging.bytes());
-        if let Some(page) = open_page(&path, ready, &host.metrics) {
+        if let Some(page) = public_page(&path, ready, &host.metrics) {
             return Reply::Answer(page);
         }
         if let Err(error) = host.tokens.check(&request) {
@@ -311,7 +313,7 @@
             return Reply::Answer(net::refuse(&error));
         }
         if path == "/v1/status" {
-            return Reply::Answer(self.0.look(|agent| status_page(&agent.control)));
+            return Reply::Answer(self.0.with_agent(|agent| status_page(&agent.control)));
         }
         Reply::Answer(Response::new(StatusCode::NotFound))
     }
--- a/components/node/src/agent/staging.rs
+++ b/components/node/src/agent/staging.rs
@@ -1,4 +1,4 @@
-//! Verified chunks in memory. Instances have no disk.
+//! Keeps verified chunks in memory, as instances have no disk.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -6,71 +6,71 @@
 use fleet::{Manifest, VersionId};
 
 /// The chunks of one version.
-struct Staged {
+struct StagedVersion {
     manifest: Arc<Manifest>,
     chunks: Vec<Option<Arc<Vec<u8>>>>,
 }
 
-/// What became of a chunk that was to be put in.
+/// The result of adding a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Put {
-    /// It is in.
+pub(crate) enum PutResult {
+    /// The chunk is stored.
     Staged,
-    /// It is not the chunk the manifest names.
+    /// The digest of the chunk differs from the manifest.
     Corrupt,
-    /// Nobody wants the version any more.
-    Unwanted,
+    /// The version is not staged, or no longer.
+    UnknownVersion,
 }
 
-/// Every chunk that this agent holds. Only verified chunks are put in.
+/// The chunks that this agent holds. Only verified chunks are stored.
 #[derive(Clone, Default)]
-pub(crate) struct Staging(Arc<Mutex<HashMap<VersionId, Staged>>>);
+pub(crate) struct Staging(Arc<Mutex<HashMap<VersionId, StagedVersion>>>);
 
 impl Staging {
-    /// Makes room for a version.
-    pub(crate) fn open(&self, manifest: &Arc<Manifest>) {
+    /// Adds a version without chunks. Does nothing if the version is staged already.
+    pub(crate) fn add_version(&self, manifest: &Arc<Manifest>) {
         let mut versions = self.0.lock().expect("the lock is never poisoned");
-        versions.entry(manifest.version()).or_insert_with(|| Staged {
+        versions.entry(manifest.version()).or_insert_with(|| StagedVersion {
             manifest: manifest.clone(),
             chunks: vec![None; manifest.chunks() as usize],
         });
     }
 
-    /// The manifest of a version.
+    /// The manifest of a staged version.
     pub(crate) fn manifest(&self, version: VersionId) -> Option<Arc<Manifest>> {
         let versions = self.0.lock().expect("the lock is never poisoned");
         versions.get(&version).map(|it| it.manifest.clone())
     }
 
-    /// Puts a chunk in if it is the one the manifest names.
-    pub(crate) fn put(&self, version: VersionId, index: u32, bytes: Vec<u8>) -> Put {
+    /// Stores a chunk if its digest matches the manifest.
+    pub(crate) fn put(&self, version: VersionId, index: u32, bytes: Vec<u8>) -> PutResult {
         let Some(manifest) = self.manifest(version) else {
-            return Put::Unwanted;
+            return PutResult::UnknownVersion;
         };
-        // Digests are computed without the lock, which uploads need as well.
+        // The digest is computed without holding the lock, which uploads need as well.
         if !manifest.verify(index, &bytes) {
-            return Put::Corrupt;
+            return PutResult::Corrupt;
         }
         let mut versions = self.0.lock().expect("the lock is never poisoned");
         let Some(staged) = versions.get_mut(&version) else {
-            return Put::Unwanted;
+            return PutResult::UnknownVersion;
         };
         staged.chunks[index as usize] = Some(Arc::new(bytes));
-        Put::Staged
+        PutResult::Staged
     }
 
-    /// Reads a chunk.
+    /// Returns a chunk.
     pub(crate) fn get(&self, version: VersionId, index: u32) -> Option<Arc<Vec<u8>>> {
         let versions = self.0.lock().expect("the lock is never poisoned");
         versions.get(&version)?.chunks.get(index as usize)?.clone()
     }
 
-    /// Lets go of a version.
+    /// Removes a version with its chunks.
     pub(crate) fn drop_version(&self, version: VersionId) {
         self.0.lock().expect("the lock is never poisoned").remove(&version);
     }
 
-    /// The bytes held.
+    /// The total size of the stored chunks, in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         let versions = self.0.lock().expect("the lock is never poisoned");
         let chunks = versions.values().flat_map(|it| it.chunks.iter().flatten());
--- a/components/node/src/agent/weights.rs
+++ b/components/node/src/agent/weights.rs
@@ -1,4 +1,4 @@
-//! The door through which the engine beside an agent reads staged weights.
+//! The HTTP server from which the engine of an agent reads staged weights.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,27 +11,27 @@
 
 use super::staging::Staging;
 
-/// Chunks that wait for a slow engine.
-const CHUNKS_AHEAD: usize = 2;
+/// The number of chunks that are buffered while the engine reads more slowly.
+const BUFFERED_CHUNKS: usize = 2;
 
-struct Weights {
+struct WeightsHandler {
     staging: Staging,
     tasks: Tasks,
 }
 
-/// Starts to serve staged versions that are whole.
+/// Starts to serve the staged versions that are complete.
 pub(super) async fn serve(tasks: &Tasks, listen: SocketAddr, staging: Staging) -> Result<Server> {
-    let handler = Arc::new(Weights { staging, tasks: tasks.clone() });
+    let handler = Arc::new(WeightsHandler { staging, tasks: tasks.clone() });
     Server::start(tasks, listen, Bounds::default(), handler).await
 }
 
-impl Weights {
-    fn read(&self, version: VersionId) -> Option<Response> {
+impl WeightsHandler {
+    fn version_response(&self, version: VersionId) -> Option<Response> {
         let manifest = self.staging.manifest(version)?;
         let chunks: Option<Vec<Arc<Vec<u8>>>> =
             (0..manifest.chunks()).map(|index| self.staging.get(version, index)).collect();
         let chunks = chunks?;
-        let (sender, body) = stream_body(CHUNKS_AHEAD);
+        let (sender, body) = stream_body(BUFFERED_CHUNKS);
         self.tasks.spawn(async move {
             for chunk in chunks {
                 if !sender.send(chunk.to_vec()).await {
@@ -47,11 +47,11 @@
 }
 
 #[async_trait]
-impl Handler for Weights {
+impl Handler for WeightsHandler {
     async fn handle(&self, request: Request, _caller: Caller) -> Reply {
         let name = request.url().path().trim_start_matches("/weights/");
-        let found = name.parse().ok().and_then(|version| self.read(version));
-        // A version with a chunk missing is as absent as one never heard of.
-        Reply::Answer(found.unwrap_or_else(|| Response::new(StatusCode::NotFound)))
+        let response = name.parse().ok().and_then(|version| self.version_response(version));
+        // A version that lacks a chunk gives the same response as an unknown version.
+        Reply::Answer(response.unwrap_or_else(|| Response::new(StatusCode::NotFound)))
     }
 }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -1,4 +1,5 @@
-//! Carries out what the shared state asks for: datagrams, reads of the table and the list.
+//! Executes the effects of the state that all daemons share: sends datagrams, reads the table and the instance list,
+//! and fetches configurations from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,96 +14,96 @@
 use uptime::Suspensions;
 use wire::{open_datagram, seal_datagram, Message, MAX_DATAGRAM_BYTES};
 
-use crate::host::Surroundings;
+use crate::host::DaemonContext;
 use crate::inbox::Inbox;
 
-/// The row that holds the configuration in force.
-pub(crate) const HEAD_ROW: &str = "config/head";
-/// How long a peer may take to send its configuration.
-const FETCH_TIME: Duration = Duration::from_secs(3);
-/// How often reducers are told that time passed.
-const TICK: Duration = Duration::from_millis(50);
-/// Tries to find one port that is free for TCP and UDP.
-const BIND_TRIES: u32 = 20;
-
-/// The sockets that other daemons reach this one on.
-pub(crate) struct Doors {
+/// The key of the table row that holds the configuration in force.
+pub(crate) const CONFIGURATION_ROW: &str = "config/head";
+/// The time limit for fetching the configuration from a peer.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval between tick events.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The largest number of attempts to find a port that is free for both TCP and UDP.
+const MAX_BIND_ATTEMPTS: u32 = 20;
+
+/// The sockets for messages from other daemons.
+pub(crate) struct DaemonSockets {
     pub(crate) tcp: TcpListener,
     pub(crate) udp: UdpSocket,
     pub(crate) address: SocketAddr,
 }
 
-/// Takes the same port for TCP and UDP.
-pub(crate) async fn bind(address: SocketAddr) -> Result<Doors> {
-    let mut failure = String::new();
-    for _ in 0..BIND_TRIES {
+/// Binds TCP and UDP sockets to the same port.
+pub(crate) async fn bind(address: SocketAddr) -> Result<DaemonSockets> {
+    let mut last_error = String::new();
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let tcp = TcpListener::bind(address).await;
         let tcp = tcp.map_err(|error| Error::new(Code::AddressInUse, error.to_string()))?;
-        let taken = tcp.local_addr().unwrap_or(address);
-        match UdpSocket::bind(taken).await {
-            Ok(udp) => return Ok(Doors { tcp, udp, address: taken }),
-            Err(error) => failure = error.to_string(),
+        let bound_address = tcp.local_addr().unwrap_or(address);
+        match UdpSocket::bind(bound_address).await {
+            Ok(udp) => return Ok(DaemonSockets { tcp, udp, address: bound_address }),
+            Err(error) => last_error = error.to_string(),
         }
     }
-    Err(Error::new(Code::AddressInUse, format!("{address}: {failure}")))
+    Err(Error::new(Code::AddressInUse, format!("{address}: {last_error}")))
 }
 
-/// Carries out control effects and turns what comes back into events of the daemon.
+/// Executes control effects and passes their results to the reducer as events.
 pub(crate) struct ControlDriver<E> {
-    surroundings: Arc<Surroundings>,
+    context: Arc<DaemonContext>,
     udp: UdpSocket,
     inbox: Inbox<E>,
-    wrap: fn(ControlEvent) -> E,
+    to_event: fn(ControlEvent) -> E,
 }
 
 impl<E> Clone for ControlDriver<E> {
     fn clone(&self) -> Self {
         Self {
-            surroundings: self.surroundings.clone(),
+            context: self.context.clone(),
             udp: self.udp.clone(),
             inbox: self.inbox.clone(),
-            wrap: self.wrap,
+            to_event: self.to_event,
         }
     }
 }
 
 impl<E: Send + 'static> ControlDriver<E> {
     pub(crate) fn new(
-        surroundings: Arc<Surroundings>,
+        context: Arc<DaemonContext>,
         udp: UdpSocket,
         inbox: Inbox<E>,
-        wrap: fn(ControlEvent) -> E,
+        to_event: fn(ControlEvent) -> E,
     ) -> Self {
-        Self { surroundings, udp, inbox, wrap }
+        Self { context, udp, inbox, to_event }
     }
 
-    /// Starts to receive datagrams and to send ticks.
+    /// Starts to receive datagrams and to send tick events.
     pub(crate) fn start(&self, tick: impl Fn() -> E + Send + 'static) {
-        let tasks = &self.surroundings.host.tasks;
+        let tasks = &self.context.host.tasks;
         tasks.spawn(self.clone().receive());
         let inbox = self.inbox.clone();
         tasks.spawn(async move {
             let mut suspensions = Suspensions::default();
             loop {
-                Timer::after(TICK).await;
+                Timer::after(TICK_INTERVAL).await;
                 if let Some(span) = suspensions.look() {
                     log::warn!(ms = span.as_millis() as u64; "the machine was suspended");
                 }
-                inbox.offer(tick());
+                inbox.send_or_drop(tick());
             }
         });
     }
 
-    /// Carries out one effect.
-    pub(crate) fn carry_out(&self, effect: ControlEffect) {
+    /// Executes one effect.
+    pub(crate) fn execute(&self, effect: ControlEffect) {
         let driver = self.clone();
-        let tasks = &self.surroundings.host.tasks;
+        let tasks = &self.context.host.tasks;
         match effect {
             ControlEffect::Send { to, datagram } => {
-                let bytes = seal_datagram(&self.surroundings.host.keys, &datagram);
-                self.surroundings.host.metrics.count_control("sent", bytes.len() as u64);
+                let bytes = seal_datagram(&self.context.host.keys, &datagram);
+                self.context.host.metrics.count_control("sent", bytes.len() as u64);
                 tasks.spawn(async move {
-                    // A datagram may be lost on any way; what matters is sent again.
+                    // Datagrams can be lost anyway; the reducer repeats what must arrive.
                     let _ = driver.udp.send_to(&bytes, to).await;
                 });
             }
@@ -111,13 +112,13 @@
             ControlEffect::Fetch { from } => tasks.spawn(driver.fetch(from)),
             ControlEffect::Applied(revision) => {
                 log::info!(revision = revision.0; "configuration in force");
-                self.surroundings.host.metrics.set("revision", revision.0);
+                self.context.host.metrics.set("revision", revision.0);
             }
         }
     }
 
     async fn receive(self) {
-        let host = &self.surroundings.host;
+        let host = &self.context.host;
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES * 2];
         loop {
             let Ok((len, from)) = self.udp.recv_from(&mut buffer).await else {
@@ -127,7 +128,8 @@
             match open_datagram(&host.keys, &buffer[..len]) {
                 Ok(datagram) => {
                     let datagram = Box::new(datagram);
-                    self.inbox.offer((self.wrap)(ControlEvent::Datagram { from, datagram }));
+                    self.inbox
+                        .send_or_drop((self.to_event)(ControlEvent::Datagram { from, datagram }));
                 }
                 Err(error) => host.metrics.count_refusal(error.code),
             }
@@ -135,57 +137,62 @@
     }
 
     async fn read_table(self) {
-        let host = &self.surroundings.host;
-        match host.platform.table.read(HEAD_ROW).await {
+        let host = &self.context.host;
+        match host.platform.table.read(CONFIGURATION_ROW).await {
             Ok(row) => {
                 host.metrics.count_platform("table", "read");
-                match row.map(|row| decode(&row.value)).transpose() {
-                    Ok(found) => self.tell(ControlEvent::TableRead(found.map(Box::new))).await,
-                    Err(error) => log::error!("the head row: {error}"),
+                match row.map(|row| decode_configuration(&row.value)).transpose() {
+                    Ok(found) => {
+                        self.send_event(ControlEvent::TableRead(found.map(Box::new))).await
+                    }
+                    Err(error) => log::error!("invalid configuration row: {error}"),
                 }
             }
             Err(error) => {
                 host.metrics.count_platform("table", "failed");
-                log::debug!("the table: {error}");
+                log::debug!("cannot read the configuration row: {error}");
             }
         }
     }
 
     async fn read_list(self) {
-        let host = &self.surroundings.host;
+        let host = &self.context.host;
         match host.platform.instances.list().await {
             Ok(list) => {
                 host.metrics.count_platform("instances", "read");
-                self.tell(ControlEvent::Listed(list)).await;
+                self.send_event(ControlEvent::Listed(list)).await;
             }
             Err(error) => {
                 host.metrics.count_platform("instances", "failed");
-                log::debug!("the instance list: {error}");
+                log::debug!("cannot read the instance list: {error}");
             }
         }
     }
 
     async fn fetch(self, from: SocketAddr) {
-        let deadline = Deadline::after(FETCH_TIME);
-        let answer = self.surroundings.peers.ask(from, &Message::GetConfiguration, deadline).await;
-        match answer.and_then(|frame| decode(&frame.payload)) {
-            Ok(configuration) => self.tell(ControlEvent::Fetched(Box::new(configuration))).await,
-            Err(error) => log::debug!("the configuration of {from}: {error}"),
+        let deadline = Deadline::after(FETCH_TIMEOUT);
+        let answer = self.context.peers.request(from, &Message::GetConfiguration, deadline).await;
+        match answer.and_then(|frame| decode_configuration(&frame.payload)) {
+            Ok(configuration) => {
+                self.send_event(ControlEvent::Fetched(Box::new(configuration))).await
+            }
+            Err(error) => log::debug!("cannot fetch the configuration from {from}: {error}"),
         }
     }
 
-    async fn tell(&self, event: ControlEvent) {
-        self.inbox.send((self.wrap)(event)).await;
+    async fn send_event(&self, event: ControlEvent) {
+        self.inbox.send((self.to_event)(event)).await;
     }
 }
 
-/// The bytes of a configuration in the table and between daemons.
-pub(crate) fn encode(configuration: &Configuration) -> Vec<u8> {
-    serde_json::to_vec(configuration).expect("a configuration has no type that cannot be encoded")
+/// Encodes a configuration for the table and for other daemons.
+pub(crate) fn encode_configuration(configuration: &Configuration) -> Vec<u8> {
+    serde_json::to_vec(configuration).expect("every type in a configuration can be encoded")
 }
 
-/// Reads a configuration.
-pub(crate) fn decode(bytes: &[u8]) -> Result<Configuration> {
-    serde_json::from_slice(bytes)
-        .map_err(|error| Error::new(Code::BadFrame, format!("configuration: {error}")))
+/// Decodes a configuration.
+pub(crate) fn decode_configuration(bytes: &[u8]) -> Result<Configuration> {
+    serde_json::from_slice(bytes).map_err(|error| {
+        Error::new(Code::BadFrame, format!("cannot decode the configuration: {error}"))
+    })
 }
--- a/components/node/src/entry/attempts.rs
+++ b/components/node/src/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one agent.
+//! One attempt to run a request at one agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use reducer::{AttemptId, EntryEvent, Failure, SavedAnswer};
 use wire::{Call, Frame, Load, Message};
 
-use super::callers::remaining;
+use super::callers::time_until;
 use super::claims;
 use super::Shared;
 use crate::peers::Session;
 
-/// The largest answer that is collected before it is passed on, in bytes.
-const ANSWER_BYTES: usize = 16 << 20;
-/// Parts of a stream that wait for a slow caller.
-const PARTS_AHEAD: usize = 64;
-/// The type of streamed answers.
-const STREAM_TYPE: &str = "text/event-stream";
+/// The largest answer that is buffered before it is sent to the caller, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// The number of parts of a stream that are buffered while the caller reads more slowly.
+const BUFFERED_PARTS: usize = 64;
+/// The content type of streamed answers.
+const STREAM_CONTENT_TYPE: &str = "text/event-stream";
 
-/// What a try needs.
+/// The parameters of an attempt.
 pub(super) struct Attempt<'a> {
     pub(super) id: AttemptId,
     pub(super) address: SocketAddr,
@@ -32,27 +32,30 @@
 }
 
 /// An answer to a caller.
-pub(super) enum Parts {
-    /// It is whole.
+pub(super) enum AttemptAnswer {
+    /// The complete answer.
     Whole(Response),
-    /// Its first part is here; the rest follows while it is read.
+    /// A stream whose first part has arrived. A task relays the rest.
     Stream(Response),
 }
 
-/// The head of an upstream's answer.
-struct Head {
+/// The head of an answer of an upstream.
+struct AnswerHead {
     status: u16,
     content_type: String,
     version: Option<VersionId>,
 }
 
-/// Makes the try. A failure says whether the upstream may have run the request.
-pub(super) async fn run(shared: &Arc<Shared>, attempt: Attempt<'_>) -> Result<Parts, Failure> {
-    let deadline = Deadline::after(remaining(shared, attempt.deadline));
+/// Runs the attempt. The code of a failure tells whether the upstream may have run the request.
+pub(super) async fn run(
+    shared: &Arc<Shared>,
+    attempt: Attempt<'_>,
+) -> Result<AttemptAnswer, Failure> {
+    let deadline = Deadline::after(time_until(shared, attempt.deadline));
     let exchange = async { Ok(exchange(shared, &attempt, deadline).await) };
     match deadline.limit(Code::TimedOut, exchange).await {
         Ok(result) => result,
-        Err(error) => Err(failure(&error)),
+        Err(error) => Err(failure_of_error(&error)),
     }
 }
 
@@ -60,87 +63,92 @@
     shared: &Arc<Shared>,
     attempt: &Attempt<'_>,
     deadline: Deadline,
-) -> Result<Parts, Failure> {
-    let session = shared.surroundings.peers.open(attempt.address).await;
-    let mut session = session.map_err(|error| failure(&error))?;
+) -> Result<AttemptAnswer, Failure> {
+    let session = shared.context.peers.open(attempt.address).await;
+    let mut session = session.map_err(|error| failure_of_error(&error))?;
     let call = Message::Call(attempt.call.clone());
-    session.writer.send_with(&call, attempt.body).await.map_err(|error| failure(&error))?;
+    session
+        .writer
+        .send_with(&call, attempt.body)
+        .await
+        .map_err(|error| failure_of_error(&error))?;
     let head = read_head(&mut session, attempt).await?;
-    if attempt.call.stream && head.content_type.starts_with(STREAM_TYPE) {
-        return stream(shared, attempt, session, head, deadline).await;
+    if attempt.call.stream && head.content_type.starts_with(STREAM_CONTENT_TYPE) {
+        return start_stream(shared, attempt, session, head, deadline).await;
     }
-    let mut whole = Vec::new();
+    let mut content = Vec::new();
     let load = loop {
-        match next_part(&mut session, attempt.id, whole.len() as u64).await? {
-            Part::More(bytes) => whole.extend_from_slice(&bytes),
+        match next_part(&mut session, attempt.id, content.len() as u64).await? {
+            Part::Data(bytes) => content.extend_from_slice(&bytes),
             Part::End(load) => break load,
         }
-        if whole.len() > ANSWER_BYTES {
+        if content.len() > MAX_ANSWER_BYTES {
             return Err(Failure { code: Code::UpstreamFailed, load: None, retry_after_ms: 0 });
         }
     };
-    shared.surroundings.peers.keep(session);
+    shared.context.peers.put_idle(session);
     shared.inbox.send(EntryEvent::Ended { attempt: attempt.id, load }).await;
     if let Some(key) = attempt.call.idempotency_key.clone() {
         let answer = SavedAnswer {
             status: head.status,
             content_type: head.content_type.clone(),
-            body: whole.clone(),
+            body: content.clone(),
         };
         let workspace = attempt.call.workspace.clone();
         let request = attempt.id.request;
-        let saving = claims::save(shared.clone(), request, workspace, key, answer);
-        shared.surroundings.host.tasks.spawn(saving);
+        let save = claims::save(shared.clone(), request, workspace, key, answer);
+        shared.context.host.tasks.spawn(save);
     }
-    let mut response = respond(&head);
-    response.set_body(whole);
+    let mut response = response_with_head(&head);
+    response.set_body(content);
     response.insert_header("content-type", head.content_type.as_str());
-    Ok(Parts::Whole(response))
+    Ok(AttemptAnswer::Whole(response))
 }
 
-/// Passes a stream on. Until its first part is here the request can still be tried elsewhere.
-async fn stream(
+/// Starts to relay a stream after its first part has arrived. Until then the request can be sent to another agent.
+async fn start_stream(
     shared: &Arc<Shared>,
     attempt: &Attempt<'_>,
     mut session: Session,
-    head: Head,
+    head: AnswerHead,
     deadline: Deadline,
-) -> Result<Parts, Failure> {
+) -> Result<AttemptAnswer, Failure> {
     let first = match next_part(&mut session, attempt.id, 0).await? {
-        Part::More(bytes) => bytes,
+        Part::Data(bytes) => bytes,
         Part::End(_) => {
             return Err(Failure { code: Code::CutShort, load: None, retry_after_ms: 0 })
         }
     };
     shared.inbox.send(EntryEvent::Started(attempt.id)).await;
-    let (sender, body) = stream_body(PARTS_AHEAD);
-    let pump = Pump { shared: shared.clone(), id: attempt.id, sender, session, passed: 0 };
-    shared.surroundings.host.tasks.spawn(pump.run(first, deadline));
-    let mut response = respond(&head);
+    let (sender, body) = stream_body(BUFFERED_PARTS);
+    let relay =
+        StreamRelay { shared: shared.clone(), id: attempt.id, sender, session, relayed_bytes: 0 };
+    shared.context.host.tasks.spawn(relay.run(first, deadline));
+    let mut response = response_with_head(&head);
     response.set_body(body);
     response.insert_header("content-type", head.content_type.as_str());
-    Ok(Parts::Stream(response))
+    Ok(AttemptAnswer::Stream(response))
 }
 
-/// Passes the parts of a stream on.
-struct Pump {
+/// Relays the parts of a stream to the caller.
+struct StreamRelay {
     shared: Arc<Shared>,
     id: AttemptId,
     sender: BodySender,
     session: Session,
-    passed: u64,
+    relayed_bytes: u64,
 }
 
-impl Pump {
+impl StreamRelay {
     async fn run(mut self, first: Vec<u8>, deadline: Deadline) {
-        let passing = async { Ok(self.pass(first).await) };
-        let result = deadline.limit(Code::TimedOut, passing).await;
-        let result = result.unwrap_or_else(|error| Err(failure(&error)));
+        let relaying = async { Ok(self.relay_parts(first).await) };
+        let result = deadline.limit(Code::TimedOut, relaying).await;
+        let result = result.unwrap_or_else(|error| Err(failure_of_error(&error)));
         let shared = self.shared.clone();
         match result {
             Ok(Some(load)) => {
                 self.sender.finish();
-                shared.surroundings.peers.keep(self.session);
+                shared.context.peers.put_idle(self.session);
                 shared.inbox.send(EntryEvent::Ended { attempt: self.id, load }).await;
             }
             Ok(None) => {
@@ -148,7 +156,7 @@
                 shared.inbox.send(EntryEvent::CallerGone(request)).await;
             }
             Err(failure) => {
-                // The caller sees the code, no `[DONE]`, and a body without its end.
+                // The caller receives an event with the code, no `[DONE]`, and a body without its end.
                 let error = Error::from(failure.code);
                 self.sender.send(stream_error(&error)).await;
                 shared.inbox.send(EntryEvent::Failed { attempt: self.id, failure }).await;
@@ -156,60 +164,66 @@
         }
     }
 
-    /// Passes parts on until the end; `None` when the caller is gone.
-    async fn pass(&mut self, first: Vec<u8>) -> Result<Option<Load>, Failure> {
-        let mut part = Part::More(first);
+    /// Relays parts until the end of the stream; `None` if the caller has disconnected.
+    async fn relay_parts(&mut self, first: Vec<u8>) -> Result<Option<Load>, Failure> {
+        let mut part = Part::Data(first);
         loop {
             match part {
                 Part::End(load) => return Ok(Some(load)),
-                Part::More(bytes) => {
-                    self.passed += bytes.len() as u64;
+                Part::Data(bytes) => {
+                    self.relayed_bytes += bytes.len() as u64;
                     if !self.sender.send(bytes).await {
                         return Ok(None);
                     }
                 }
             }
-            part = next_part(&mut self.session, self.id, self.passed).await?;
+            part = next_part(&mut self.session, self.id, self.relayed_bytes).await?;
         }
     }
 }
 
 /// A part of an answer.
 enum Part {
-    More(Vec<u8>),
+    Data(Vec<u8>),
     End(Load),
 }
 
-async fn read_head(session: &mut Session, attempt: &Attempt<'_>) -> Result<Head, Failure> {
-    let frame = session.reader.expect().await.map_err(|error| failure(&error))?;
+async fn read_head(session: &mut Session, attempt: &Attempt<'_>) -> Result<AnswerHead, Failure> {
+    let frame = session.reader.read_required().await.map_err(|error| failure_of_error(&error))?;
     match frame.message {
         Message::AnswerHead { request, status, content_type, version }
             if request == attempt.id.request =>
         {
-            Ok(Head { status, content_type, version })
+            Ok(AnswerHead { status, content_type, version })
         }
-        other => Err(refusal(other)),
+        other => Err(failure_of_message(other)),
     }
 }
 
-/// Reads the next part and checks that it belongs to the request and that the end comes after as
-/// many bytes as the agent sent.
-async fn next_part(session: &mut Session, id: AttemptId, passed: u64) -> Result<Part, Failure> {
+/// Reads the next part of an answer. Checks that it belongs to the request and, at its end, that as many bytes arrived
+/// as the agent sent.
+async fn next_part(
+    session: &mut Session,
+    id: AttemptId,
+    received_bytes: u64,
+) -> Result<Part, Failure> {
     let Frame { message, payload } =
-        session.reader.expect().await.map_err(|error| failure(&error))?;
+        session.reader.read_required().await.map_err(|error| failure_of_error(&error))?;
     match message {
-        Message::AnswerPart { request } if request == id.request => Ok(Part::More(payload)),
-        Message::AnswerEnd { request, bytes, load } if request == id.request && bytes == passed => {
+        Message::AnswerPart { request } if request == id.request => Ok(Part::Data(payload)),
+        Message::AnswerEnd { request, bytes, load }
+            if request == id.request && bytes == received_bytes =>
+        {
             Ok(Part::End(load))
         }
         Message::AnswerEnd { .. } => {
             Err(Failure { code: Code::CutShort, load: None, retry_after_ms: 0 })
         }
-        other => Err(refusal(other)),
+        other => Err(failure_of_message(other)),
     }
 }
 
-fn refusal(message: Message) -> Failure {
+fn failure_of_message(message: Message) -> Failure {
     match message {
         Message::Refused { code, load, retry_after_ms } => {
             Failure { code, load: Some(load), retry_after_ms }
@@ -221,11 +235,11 @@
     }
 }
 
-fn failure(error: &Error) -> Failure {
+fn failure_of_error(error: &Error) -> Failure {
     Failure { code: error.code, load: None, retry_after_ms: 0 }
 }
 
-fn respond(head: &Head) -> Response {
+fn response_with_head(head: &AnswerHead) -> Response {
     let status = StatusCode::try_from(head.status).unwrap_or(StatusCode::BadGateway);
     let mut response = Response::new(status);
     if let Some(version) = head.version {
@@ -234,7 +248,7 @@
     response
 }
 
-/// The last event of a stream that failed.
+/// The event that ends a failed stream.
 fn stream_error(error: &Error) -> Vec<u8> {
     let body = serde_json::json!({
         "error": {
--- a/components/node/src/entry/callers.rs
+++ b/components/node/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! The door of callers: reads a request, follows the reducer's commands, and answers.
+//! The HTTP handler for callers: parses a request, executes the commands of the reducer for it, and responds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +15,23 @@
 use settings::Kind;
 use wire::Call;
 
-use super::attempts::{self, Attempt, Parts};
+use super::attempts::{self, Attempt, AttemptAnswer};
 use super::requests::Command;
 use super::Shared;
 
 /// The path of chat completions.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// The priority of chat completions that no kind in the settings covers.
+/// The priority of chat completions if no kind in the settings matches their path.
 const CHAT_PRIORITY: u8 = 5;
-/// The workspace of callers that name none.
-const NO_WORKSPACE: &str = "default";
-/// How much of a prompt decides where its cache may be, in bytes.
+/// The workspace of requests without an `x-workspace` header.
+const DEFAULT_WORKSPACE: &str = "default";
+/// The length of the prompt prefix that is used to find an upstream with a matching cache, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// The door.
-pub(super) struct CallerDoor(pub(super) Arc<Shared>);
+/// The HTTP handler for callers.
+pub(super) struct CallerHandler(pub(super) Arc<Shared>);
 
-/// The part of a chat completion that decides where it goes.
+/// The fields of a chat completion request that are needed for routing.
 #[derive(Deserialize)]
 struct Completion {
     model: ModelName,
@@ -47,8 +47,8 @@
     content: String,
 }
 
-/// A request that has been read whole.
-struct Reading {
+/// A request with its complete body.
+struct ParsedRequest {
     arrival: Arrival,
     call: Call,
     body: Vec<u8>,
@@ -56,37 +56,41 @@
 }
 
 #[async_trait]
-impl Handler for CallerDoor {
+impl Handler for CallerHandler {
     async fn handle(&self, mut request: Request, caller: Caller) -> Reply {
         let shared = &self.0;
         let id = shared.next_request();
-        let reading = match read(shared, id, &mut request).await {
-            Ok(reading) => reading,
+        let parsed = match parse_request(shared, id, &mut request).await {
+            Ok(parsed) => parsed,
             Err(error) => {
-                shared.surroundings.host.metrics.count_refusal(error.code);
-                return Reply::Answer(with_id(refuse(&error), id));
+                shared.context.host.metrics.count_refusal(error.code);
+                return Reply::Answer(with_request_id(refuse(&error), id));
             }
         };
-        let serving = async { Reply::Answer(with_id(serve(shared, reading).await, id)) };
-        let leaving = async {
+        let serving = async { Reply::Answer(with_request_id(serve(shared, parsed).await, id)) };
+        let disconnected = async {
             caller.disconnected().await;
             shared.inbox.send(EntryEvent::CallerGone(id)).await;
             Reply::HangUp
         };
-        let reply = serving.or(leaving).await;
-        shared.requests.end(id);
+        let reply = serving.or(disconnected).await;
+        shared.requests.remove(id);
         reply
     }
 }
 
-async fn read(shared: &Shared, id: RequestId, request: &mut Request) -> Result<Reading> {
+async fn parse_request(
+    shared: &Shared,
+    id: RequestId,
+    request: &mut Request,
+) -> Result<ParsedRequest> {
     let path = request.url().path().to_owned();
     let kind = find_kind(&shared.kinds, &path);
     let body = request.body_bytes().await;
     let body = body.map_err(|error| Error::new(Code::BadRequest, error.to_string()))?;
     let budget = read_budget(shared, request)?;
     let key = header(request, "idempotency-key");
-    let workspace = header(request, "x-workspace").unwrap_or_else(|| NO_WORKSPACE.to_owned());
+    let workspace = header(request, "x-workspace").unwrap_or_else(|| DEFAULT_WORKSPACE.to_owned());
     let workspace = WorkspaceId(workspace);
     let query = request.url().query().map(|query| format!("?{query}")).unwrap_or_default();
     let (target, prefix, stream) = match kind.and_then(|it| it.service.clone()) {
@@ -106,7 +110,7 @@
         prefix,
         deadline: shared.now().plus(budget.as_millis() as u64),
         max_wait: kind.map_or(Kind::USUAL_WAIT_MS, |it| it.max_wait_ms),
-        // A completion changes nothing, so it may run twice unless its kind says otherwise.
+        // A completion has no side effects, so it may run twice unless its kind is configured otherwise.
         repeatable: kind.is_none_or(|it| it.repeatable),
         priority: kind.map_or(CHAT_PRIORITY, |it| it.priority),
         key,
@@ -128,10 +132,10 @@
         stream,
     };
     let kind = kind.map_or_else(|| "chat".to_owned(), |it| it.name.clone());
-    Ok(Reading { arrival, call, body, kind })
+    Ok(ParsedRequest { arrival, call, body, kind })
 }
 
-/// The kind with the longest path that the request's path starts with.
+/// The kind whose path is the longest prefix of the path of the request.
 fn find_kind<'a>(kinds: &'a [Kind], path: &str) -> Option<&'a Kind> {
     let matching = kinds.iter().filter(|kind| path.starts_with(&kind.path));
     matching.max_by_key(|kind| kind.path.len())
@@ -139,10 +143,14 @@
 
 fn read_completion(path: &str, body: &[u8]) -> Result<(Target, u64, bool)> {
     if path != CHAT_PATH {
-        return Err(Error::new(Code::UnknownTarget, format!("nothing answers {path}")));
+        return Err(Error::new(
+            Code::UnknownTarget,
+            format!("no model or service handles the path {path}"),
+        ));
     }
-    let completion: Completion = serde_json::from_slice(body)
-        .map_err(|error| Error::new(Code::BadRequest, format!("body: {error}")))?;
+    let completion: Completion = serde_json::from_slice(body).map_err(|error| {
+        Error::new(Code::BadRequest, format!("cannot parse the request body: {error}"))
+    })?;
     let prompt: String = completion.messages.into_iter().map(|it| it.content).collect();
     let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     let digest = blake3::hash(prefix);
@@ -154,9 +162,12 @@
     let Some(text) = header(request, "silverdock-deadline-ms") else {
         return Ok(shared.deadline);
     };
-    let millis: u64 = text
-        .parse()
-        .map_err(|_| Error::new(Code::BadRequest, "silverdock-deadline-ms takes milliseconds"))?;
+    let millis: u64 = text.parse().map_err(|_| {
+        Error::new(
+            Code::BadRequest,
+            "the header silverdock-deadline-ms must be a whole number of milliseconds",
+        )
+    })?;
     Ok(Duration::from_millis(millis).min(shared.deadline))
 }
 
@@ -164,35 +175,36 @@
     request.header(name).map(|values| values.last().to_string())
 }
 
-/// Follows the reducer's commands until the request is answered or refused.
-async fn serve(shared: &Arc<Shared>, reading: Reading) -> Response {
-    let Reading { arrival, mut call, body, kind } = reading;
+/// Executes the commands of the reducer until the request is answered or refused.
+async fn serve(shared: &Arc<Shared>, parsed: ParsedRequest) -> Response {
+    let ParsedRequest { arrival, mut call, body, kind } = parsed;
     let request = arrival.request;
     let deadline = arrival.deadline;
-    let commands = shared.requests.begin(request);
+    let commands = shared.requests.register(request);
     shared.inbox.send(EntryEvent::Arrived(Box::new(arrival))).await;
     loop {
         let (attempt, address, budget_ms) = match commands.recv().await {
             Ok(Command::Send { attempt, address, budget_ms }) => (attempt, address, budget_ms),
             Ok(Command::Replay(answer)) => {
-                count(shared, &kind, "replayed");
-                return replay(*answer);
+                count_outcome(shared, &kind, "replayed");
+                return replay_answer(*answer);
             }
-            Ok(Command::Refuse(error)) => return end(shared, request, &kind, &error),
+            Ok(Command::Refuse(error)) => return refuse_request(shared, request, &kind, &error),
             Err(_) => {
-                let error = Error::new(Code::Internal, "the request was lost");
-                return end(shared, request, &kind, &error);
+                let error =
+                    Error::new(Code::Internal, "the request was dropped before it was answered");
+                return refuse_request(shared, request, &kind, &error);
             }
         };
         call.budget_ms = budget_ms;
-        let tried = Attempt { id: attempt, address, call: &call, body: &body, deadline };
-        match attempts::run(shared, tried).await {
-            Ok(Parts::Whole(response)) => {
-                count(shared, &kind, "whole");
+        let current = Attempt { id: attempt, address, call: &call, body: &body, deadline };
+        match attempts::run(shared, current).await {
+            Ok(AttemptAnswer::Whole(response)) => {
+                count_outcome(shared, &kind, "whole");
                 return response;
             }
-            Ok(Parts::Stream(response)) => {
-                count(shared, &kind, "streamed");
+            Ok(AttemptAnswer::Stream(response)) => {
+                count_outcome(shared, &kind, "streamed");
                 return response;
             }
             Err(failure) => {
@@ -202,15 +214,15 @@
     }
 }
 
-fn end(shared: &Shared, request: RequestId, kind: &str, error: &Error) -> Response {
-    count(shared, kind, error.code.name());
+fn refuse_request(shared: &Shared, request: RequestId, kind: &str, error: &Error) -> Response {
+    count_outcome(shared, kind, error.code.name());
     let code = error.code.number();
-    log::info!(request:display, kind, code; "refused: {error}");
+    log::info!(request:display, kind, code; "request refused: {error}");
     refuse(error)
 }
 
-/// The answer that an earlier request got under the same key.
-fn replay(answer: SavedAnswer) -> Response {
+/// The response for a request whose idempotency key was answered before.
+fn replay_answer(answer: SavedAnswer) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::Ok);
     let mut response = Response::new(status);
     response.set_body(answer.body);
@@ -219,16 +231,16 @@
     response
 }
 
-fn count(shared: &Shared, kind: &str, outcome: &str) {
-    shared.surroundings.host.metrics.count_request(kind, outcome);
+fn count_outcome(shared: &Shared, kind: &str, outcome: &str) {
+    shared.context.host.metrics.count_request(kind, outcome);
 }
 
-fn with_id(mut response: Response, id: RequestId) -> Response {
+fn with_request_id(mut response: Response, id: RequestId) -> Response {
     response.insert_header("silverdock-request", id.to_string());
     response
 }
 
-/// The span until a deadline.
-pub(super) fn remaining(shared: &Shared, deadline: Millis) -> Duration {
-    shared.surroundings.clock.until(deadline)
+/// The duration from now until a deadline.
+pub(super) fn time_until(shared: &Shared, deadline: Millis) -> Duration {
+    shared.context.clock.time_until(deadline)
 }
--- a/components/node/src/entry/claims.rs
+++ b/components/node/src/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys in the table.
+//! Reads and writes the claims on idempotency keys in the table.
 
 use std::sync::Arc;
 
@@ -9,34 +9,34 @@
 
 use super::Shared;
 
-/// How often a claim is written or read before it is given up.
-const CLAIM_TRIES: u32 = 3;
-/// The largest answer that is kept, in bytes.
-const SAVED_BYTES: usize = 64 * 1024;
+/// The largest number of attempts to write or read a claim.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
+/// The largest body of an answer that is saved under its idempotency key, in bytes.
+const MAX_SAVED_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Takes the claim and reports what became of it.
-pub(super) async fn take(
+/// Acquires the claim and reports the result to the reducer.
+pub(super) async fn acquire(
     shared: Arc<Shared>,
     request: RequestId,
     workspace: WorkspaceId,
     key: String,
 ) {
     let row = Claim::row(&workspace, &key);
-    let state = settle(&shared, &row, request).await;
+    let state = acquire_row(&shared, &row, request).await;
     shared.inbox.send(EntryEvent::ClaimSettled { request, state }).await;
 }
 
-/// Gives a claim back after a refusal.
+/// Releases a claim after its request was refused.
 pub(super) async fn release(
     shared: Arc<Shared>,
     request: RequestId,
     workspace: WorkspaceId,
     key: String,
 ) {
-    replace(&shared, request, &Claim::row(&workspace, &key), &Claim::Released).await;
+    replace_held(&shared, request, &Claim::row(&workspace, &key), &Claim::Released).await;
 }
 
-/// Keeps the answer of a request for whoever repeats it.
+/// Saves the answer of a request for later requests with the same key.
 pub(super) async fn save(
     shared: Arc<Shared>,
     request: RequestId,
@@ -44,24 +44,25 @@
     key: String,
     answer: SavedAnswer,
 ) {
-    if answer.body.len() > SAVED_BYTES {
+    if answer.body.len() > MAX_SAVED_ANSWER_BYTES {
         return;
     }
-    replace(&shared, request, &Claim::row(&workspace, &key), &Claim::Answered(answer)).await;
+    replace_held(&shared, request, &Claim::row(&workspace, &key), &Claim::Answered(answer)).await;
 }
 
-/// Writes the claim if the key is free. A lost answer is settled by looking again.
-async fn settle(shared: &Shared, row: &str, request: RequestId) -> ClaimState {
-    let table = &shared.surroundings.host.platform.table;
-    let held = encode(&Claim::Held(request));
+/// Writes the claim if the key is free. If the response to a write is lost, the next attempt finds out whether the
+/// write took effect.
+async fn acquire_row(shared: &Shared, row: &str, request: RequestId) -> ClaimState {
+    let table = &shared.context.host.platform.table;
+    let encoded_claim = encode(&Claim::Held(request));
     let mut expected = Expected::Absent;
-    for _ in 0..CLAIM_TRIES {
-        let error = match table.write(row, &held, &expected).await {
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
+        let error = match table.write(row, &encoded_claim, &expected).await {
             Ok(_) => return ClaimState::Held,
             Err(error) => error,
         };
         if error.code != Code::RowChanged {
-            // Whether a lost write took effect shows at the next one: the row is then there.
+            // If the write took effect although it failed, the next one fails with `RowChanged` and the row is read.
             continue;
         }
         match table.read(row).await.map(|found| found.map(decode)) {
@@ -77,11 +78,11 @@
     ClaimState::Unavailable
 }
 
-/// Replaces a claim that this request holds. Best effort: if it does not succeed, the key stays
-/// held, and whoever repeats it is told that it may have run.
-async fn replace(shared: &Shared, request: RequestId, row: &str, claim: &Claim) {
-    let table = &shared.surroundings.host.platform.table;
-    for _ in 0..CLAIM_TRIES {
+/// Replaces a claim that this request holds. Best effort: if it fails, the claim stays held, and a later request with
+/// the same key is refused because the first one may have run.
+async fn replace_held(shared: &Shared, request: RequestId, row: &str, claim: &Claim) {
+    let table = &shared.context.host.platform.table;
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
         let found = table.read(row).await.map(|found| found.map(decode));
         match found {
             Ok(Some(Ok((Claim::Held(holder), tag)))) if holder == request => {
@@ -90,13 +91,13 @@
                 }
             }
             Ok(_) => return,
-            Err(error) => log::debug!(request:display; "claim: {error}"),
+            Err(error) => log::debug!(request:display; "cannot read the claim: {error}"),
         }
     }
 }
 
 fn encode(claim: &Claim) -> Vec<u8> {
-    postcard::to_stdvec(claim).expect("a claim has no type that cannot be encoded")
+    postcard::to_stdvec(claim).expect("every type in a claim can be encoded")
 }
 
 fn decode(row: Row) -> Result<(Claim, String)> {
--- a/components/node/src/entry/intents.rs
+++ b/components/node/src/entry/intents.rs
@@ -1,4 +1,4 @@
-//! The operators' door: intents, plans, confirmations and status.
+//! The HTTP handler for operators: intents, plans, confirmations and status.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,34 +13,34 @@
 
 use super::changes::load_plan;
 use super::Shared;
-use crate::operators::{describe, open_page, status_page};
+use crate::operators::{daemon_status, public_page, status_page};
 
-/// How long an operator's call may take.
-const CALL_TIME: Duration = Duration::from_secs(30);
-/// How long a replica may take to say how far it has come.
-const PROGRESS_TIME: Duration = Duration::from_millis(500);
-/// How many replicas are asked how far they have come.
-const PROGRESS_SAMPLE: usize = 8;
+/// The time limit for a call of an operator.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time limit for a replica to report its download progress.
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(500);
+/// The largest number of replicas that are asked for their download progress.
+const MAX_PROGRESS_REPLICAS: usize = 8;
 
-/// The operators' port of an entry.
-pub(super) struct OperatorPage(pub(super) Arc<Shared>);
+/// The HTTP handler for operators of an entry.
+pub(super) struct OperatorHandler(pub(super) Arc<Shared>);
 
 #[async_trait]
-impl Handler for OperatorPage {
+impl Handler for OperatorHandler {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         let shared = &self.0;
-        let host = &shared.surroundings.host;
+        let host = &shared.context.host;
         let path = request.url().path().to_owned();
-        let ready = shared.look(|entry| entry.control.is_current());
-        let (under_way, waiting) = shared.look(|entry| entry.load());
-        host.metrics.set("requests_under_way", under_way as u64);
+        let ready = shared.with_entry(|entry| entry.control.is_current());
+        let (in_progress, waiting) = shared.with_entry(|entry| entry.load());
+        host.metrics.set("requests_under_way", in_progress as u64);
         host.metrics.set("requests_waiting", waiting as u64);
         host.metrics.set("events_dropped", shared.inbox.dropped());
-        if let Some(page) = open_page(&path, ready, &host.metrics) {
+        if let Some(page) = public_page(&path, ready, &host.metrics) {
             return Reply::Answer(page);
         }
         let result = match host.tokens.check(&request) {
-            Ok(()) => answer(shared, &path, &mut request).await,
+            Ok(()) => handle_call(shared, &path, &mut request).await,
             Err(error) => Err(error),
         };
         Reply::Answer(result.unwrap_or_else(|error| {
@@ -52,12 +52,14 @@
     }
 }
 
-async fn answer(shared: &Arc<Shared>, path: &str, request: &mut Request) -> Result<Response> {
-    let steps: Vec<&str> = path.trim_matches('/').split('/').collect();
-    match (request.method(), steps.as_slice()) {
-        (Method::Get, ["v1", "status"]) => Ok(shared.look(|entry| status_page(&entry.control))),
+async fn handle_call(shared: &Arc<Shared>, path: &str, request: &mut Request) -> Result<Response> {
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    match (request.method(), segments.as_slice()) {
+        (Method::Get, ["v1", "status"]) => {
+            Ok(shared.with_entry(|entry| status_page(&entry.control)))
+        }
         (Method::Get, ["v1", "rollouts", model]) => {
-            let status = rollout(shared, &ModelName::from(*model)).await?;
+            let status = rollout_status(shared, &ModelName::from(*model)).await?;
             Ok(json(200, &status))
         }
         (Method::Get, ["v1", "plans", id]) => Ok(json(200, &load_plan(shared, id).await?)),
@@ -66,14 +68,16 @@
             let body = body.map_err(|error| Error::new(Code::BadRequest, error.to_string()))?;
             let intent: Intent = serde_json::from_slice(&body)
                 .map_err(|error| Error::new(Code::BadIntent, error.to_string()))?;
-            finish(ask(shared, intent).await?)
+            outcome_response(request_plan(shared, intent).await?)
+        }
+        (Method::Post, ["v1", "plans", id, "confirm"]) => {
+            outcome_response(confirm(shared, id).await?)
         }
-        (Method::Post, ["v1", "plans", id, "confirm"]) => finish(confirm(shared, id).await?),
         _ => Err(Error::new(Code::BadRequest, format!("no such operator call: {path}"))),
     }
 }
 
-fn finish(outcome: Outcome) -> Result<Response> {
+fn outcome_response(outcome: Outcome) -> Result<Response> {
     match outcome {
         Outcome::Planned(plan) => Ok(json(200, &PlanReply::Planned(plan))),
         Outcome::Accepted(revision) => Ok(json(200, &PlanReply::Accepted(revision))),
@@ -81,41 +85,41 @@
     }
 }
 
-async fn ask(shared: &Arc<Shared>, intent: Intent) -> Result<Outcome> {
+async fn request_plan(shared: &Arc<Shared>, intent: Intent) -> Result<Outcome> {
     let release = match &intent {
         Intent::Deploy { version, .. } => Some(find_release(shared, *version).await?),
         _ => None,
     };
-    let (call, outcome) = shared.calls.begin();
+    let (call, outcome) = shared.calls.register();
     let event = ChangeEvent::Ask { call, intent: Box::new(intent), release };
     shared.inbox.send(EntryEvent::Change(event)).await;
-    wait(outcome).await
+    wait_for_outcome(outcome).await
 }
 
 async fn confirm(shared: &Arc<Shared>, id: &str) -> Result<Outcome> {
     let plan = load_plan(shared, id).await?;
     debug_assert_eq!(plan.id, PlanId::from(id));
-    let (call, outcome) = shared.calls.begin();
+    let (call, outcome) = shared.calls.register();
     let event = ChangeEvent::Confirm { call, plan: Box::new(plan) };
     shared.inbox.send(EntryEvent::Change(event)).await;
-    let outcome = wait(outcome).await?;
+    let outcome = wait_for_outcome(outcome).await?;
     if let Outcome::Accepted(revision) = &outcome {
         log::info!(plan = id, revision = revision.0; "plan accepted");
     }
     Ok(outcome)
 }
 
-async fn wait(outcome: async_channel::Receiver<Outcome>) -> Result<Outcome> {
+async fn wait_for_outcome(outcome: async_channel::Receiver<Outcome>) -> Result<Outcome> {
     let received = async {
         let outcome = outcome.recv().await;
-        outcome.map_err(|_| Error::new(Code::Internal, "the call was lost"))
+        outcome.map_err(|_| Error::new(Code::Internal, "the call ended without an outcome"))
     };
-    Deadline::after(CALL_TIME).limit(Code::OutcomeUnknown, received).await
+    Deadline::after(CALL_TIMEOUT).limit(Code::OutcomeUnknown, received).await
 }
 
-/// What a version is, from its manifest in the object store.
+/// Reads the label and the size of a version from its manifest in the object store.
 async fn find_release(shared: &Shared, version: VersionId) -> Result<Release> {
-    let objects = &shared.surroundings.host.platform.objects;
+    let objects = &shared.context.host.platform.objects;
     let bytes = objects.get(&format!("manifests/{version}")).await.map_err(|error| {
         let code = match error.code {
             Code::NotFound => Code::UnknownVersion,
@@ -127,33 +131,37 @@
     Ok(Release { version, label: manifest.label, bytes: manifest.bytes })
 }
 
-/// How far a rollout has come: who serves the version, and what a few of the others hold.
-async fn rollout(shared: &Arc<Shared>, model: &ModelName) -> Result<RolloutStatus> {
-    let status = shared.look(|entry| describe(&entry.control));
+/// The progress of a rollout: the number of replicas that serve the version, and the mean download progress of some of
+/// the others.
+async fn rollout_status(shared: &Arc<Shared>, model: &ModelName) -> Result<RolloutStatus> {
+    let status = shared.with_entry(|entry| daemon_status(&entry.control));
     let deployment = status.deployments.into_iter().find(|it| &it.model == model);
     let unknown = || Error::new(Code::UnknownTarget, format!("{model} is not deployed"));
     let deployment = deployment.ok_or_else(unknown)?;
     let version: VersionId = deployment.version.parse()?;
-    let addresses = shared.look(|entry| {
+    let addresses = shared.with_entry(|entry| {
         let placements = entry.control.configuration().deployments.get(model);
         let placements = placements.map(|it| it.placements.clone()).unwrap_or_default();
         let others = entry.control.members.others().filter(|it| {
             let serves = it.record.serving.iter().any(|tag| tag.is_version(version));
             placements.contains_key(&it.record.id) && !serves
         });
-        others.map(|it| it.record.address).take(PROGRESS_SAMPLE).collect::<Vec<_>>()
+        others.map(|it| it.record.address).take(MAX_PROGRESS_REPLICAS).collect::<Vec<_>>()
     });
-    let mut shares = Vec::new();
+    let mut fractions = Vec::new();
     for address in addresses {
-        let ask = Message::GetProgress { version };
-        let deadline = Deadline::after(PROGRESS_TIME);
-        let answer = shared.surroundings.peers.ask(address, &ask, deadline).await;
+        let progress_request = Message::GetProgress { version };
+        let deadline = Deadline::after(PROGRESS_TIMEOUT);
+        let answer = shared.context.peers.request(address, &progress_request, deadline).await;
         if let Ok(Message::Progress { held, chunks }) = answer.map(|frame| frame.message) {
-            shares.push(f64::from(held) / f64::from(chunks.max(1)));
+            fractions.push(f64::from(held) / f64::from(chunks.max(1)));
         }
     }
-    let staged =
-        if shares.is_empty() { 0.0 } else { shares.iter().sum::<f64>() / shares.len() as f64 };
+    let staged = if fractions.is_empty() {
+        0.0
+    } else {
+        fractions.iter().sum::<f64>() / fractions.len() as f64
+    };
     Ok(RolloutStatus {
         model: deployment.model,
         label: deployment.label,
--- a/components/node/src/entry/mod.rs
+++ b/components/node/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The driver of an entry.
+//! The driver of an entry: executes the effects of the entry reducer.
 
 mod attempts;
 mod callers;
@@ -22,27 +22,27 @@
 use wire::{Frame, Message};
 
 use crate::control::{bind, ControlDriver};
-use crate::doors::{accept, pack_configuration, Answer, Door};
-use crate::host::{Host, Identity, Surroundings};
+use crate::host::{DaemonContext, Host, Identity};
+use crate::inbound::{accept_sessions, configuration_payload, InboundSession, MessageHandler};
 use crate::inbox::Inbox;
-use changes::Calls;
-use requests::{Command, Requests};
+use changes::OperatorCalls;
+use requests::{Command, RequestTasks};
 
-/// What an entry is started with.
+/// The parameters of an entry.
 pub struct EntrySetup {
-    /// Its surroundings.
+    /// The services that the entry uses.
     pub host: Host,
-    /// Who it is.
+    /// The name, the place and the addresses of the entry.
     pub identity: Identity,
-    /// Where callers connect; port 0 takes any free one.
+    /// The address for callers; port 0 selects a free port.
     pub callers: SocketAddr,
-    /// How requests of each kind are treated.
+    /// The settings for each kind of request.
     pub kinds: Vec<Kind>,
-    /// The time a request has when the caller names none.
+    /// The time limit of a request, unless its caller sets a shorter one.
     pub deadline: Duration,
-    /// The largest body of a request, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: u64,
-    /// Numbers for the reducer.
+    /// The options of the reducer.
     pub options: EntryOptions,
 }
 
@@ -56,14 +56,14 @@
     drained: Receiver<()>,
 }
 
-/// What the tasks of an entry share.
+/// The state that the tasks of an entry share.
 pub(crate) struct Shared {
-    pub(crate) surroundings: Arc<Surroundings>,
+    pub(crate) context: Arc<DaemonContext>,
     pub(crate) inbox: Inbox<EntryEvent>,
     pub(crate) kinds: Vec<Kind>,
     pub(crate) deadline: Duration,
-    pub(crate) requests: Requests,
-    pub(crate) calls: Calls,
+    pub(crate) requests: RequestTasks,
+    pub(crate) calls: OperatorCalls,
     entry: Mutex<Entry>,
     next_serial: AtomicU64,
 }
@@ -72,99 +72,101 @@
     /// Starts an entry.
     pub async fn start(setup: EntrySetup) -> Result<Self> {
         let tasks = setup.host.tasks.clone();
-        let doors = bind(setup.identity.listen).await?;
-        let surroundings = Arc::new(Surroundings::new(setup.host, setup.identity));
-        let record = surroundings.record(Process::Entry, doors.address);
+        let sockets = bind(setup.identity.listen).await?;
+        let context = Arc::new(DaemonContext::new(setup.host, setup.identity));
+        let record = context.initial_record(Process::Entry, sockets.address);
         let (inbox, events) = Inbox::new();
         let shared = Arc::new(Shared {
             inbox: inbox.clone(),
             kinds: setup.kinds,
             deadline: setup.deadline,
-            requests: Requests::default(),
-            calls: Calls::default(),
+            requests: RequestTasks::default(),
+            calls: OperatorCalls::default(),
             entry: Mutex::new(Entry::new(record, setup.options)),
             next_serial: AtomicU64::new(1),
-            surroundings: surroundings.clone(),
+            context: context.clone(),
         });
-        let wrap = EntryEvent::Control;
-        let control = ControlDriver::new(surroundings.clone(), doors.udp, inbox, wrap);
+        let to_event = EntryEvent::Control;
+        let control = ControlDriver::new(context.clone(), sockets.udp, inbox, to_event);
         control.start(|| EntryEvent::Tick);
-        let answer = Arc::new(EntryDoors(shared.clone()));
-        tasks.spawn(accept(surroundings.host.clone(), doors.tcp, answer));
-        let page = Arc::new(intents::OperatorPage(shared.clone()));
-        let operators = surroundings.identity.operators;
-        let operators = Server::start(&tasks, operators, Bounds::default(), page).await?;
+        let message_handler = Arc::new(EntryMessageHandler(shared.clone()));
+        tasks.spawn(accept_sessions(context.host.clone(), sockets.tcp, message_handler));
+        let operator_handler = Arc::new(intents::OperatorHandler(shared.clone()));
+        let operators = context.identity.operators;
+        let operators =
+            Server::start(&tasks, operators, Bounds::default(), operator_handler).await?;
         let bounds = Bounds { body_bytes: setup.body_bytes, ..Bounds::default() };
-        let handler = Arc::new(callers::CallerDoor(shared.clone()));
-        let callers = Server::start(&tasks, setup.callers, bounds, handler).await?;
+        let caller_handler = Arc::new(callers::CallerHandler(shared.clone()));
+        let callers = Server::start(&tasks, setup.callers, bounds, caller_handler).await?;
         let (drain, drained) = async_channel::bounded(1);
         tasks.spawn(run(shared.clone(), control, events, drain));
-        Ok(Self { shared, tasks, callers, operators, address: doors.address, drained })
+        Ok(Self { shared, tasks, callers, operators, address: sockets.address, drained })
     }
 
-    /// Where other daemons reach it.
+    /// The address for other daemons.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where callers reach it.
+    /// The address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where operators reach it.
+    /// The address for operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Asks for a planned stop: no new connections and no new requests.
+    /// Starts a planned stop: the entry accepts no new connections and no new requests.
     pub async fn stop(&self) {
         self.shared.inbox.send(EntryEvent::Stop).await;
         self.callers.stop();
     }
 
-    /// Waits until a planned stop is done, or `grace` is over. `true` if nothing was cut off.
+    /// Waits until a planned stop is complete, at most for `grace`. `true` if it is complete, so that no request was
+    /// aborted.
     pub async fn stopped(&self, grace: Duration) -> bool {
         let done = async {
             let drained = self.drained.recv().await.is_ok();
-            // The last bytes of the last answers are still on their way to the callers.
+            // The last bytes of the last responses may still have to be sent to the callers.
             self.callers.drain().await;
             drained
         };
-        let late = async {
+        let timeout = async {
             async_io::Timer::after(grace).await;
             false
         };
-        futures_lite::future::or(done, late).await
+        futures_lite::future::or(done, timeout).await
     }
 
-    /// Ends the entry where it stands, as a killed process would.
+    /// Stops the entry abruptly, as if its process had been killed.
     pub fn kill(&self) {
         self.callers.stop();
         self.operators.stop();
         self.tasks.cancel();
     }
 
-    /// Looks at the reducer's state.
-    pub fn inspect<T>(&self, look: impl FnOnce(&Entry) -> T) -> T {
-        self.shared.look(look)
+    /// Calls a function with the state of the reducer.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Entry) -> T) -> T {
+        self.shared.with_entry(read)
     }
 }
 
 impl Shared {
     pub(crate) fn now(&self) -> Millis {
-        self.surroundings.clock.now()
+        self.context.clock.now()
     }
 
-    /// Looks at the reducer's state.
-    pub(crate) fn look<T>(&self, look: impl FnOnce(&Entry) -> T) -> T {
-        look(&self.entry.lock().expect("the lock is never poisoned"))
+    /// Calls a function with the state of the reducer.
+    pub(crate) fn with_entry<T>(&self, read: impl FnOnce(&Entry) -> T) -> T {
+        read(&self.entry.lock().expect("the lock is never poisoned"))
     }
 
-    /// An identity that no other request has.
+    /// Allocates a unique request id.
     pub(crate) fn next_request(&self) -> RequestId {
         let serial = self.next_serial.fetch_add(1, Ordering::Relaxed);
-        RequestId { entry: self.surroundings.clock.incarnation(), serial }
+        RequestId { entry: self.context.clock.incarnation(), serial }
     }
 
     fn reduce(&self, event: EntryEvent) -> Vec<EntryEffect> {
@@ -174,7 +176,7 @@
     }
 }
 
-/// Takes events in one after the other and carries out their effects.
+/// Passes events to the reducer one at a time and executes their effects.
 async fn run(
     shared: Arc<Shared>,
     control: ControlDriver<EntryEvent>,
@@ -183,40 +185,40 @@
 ) {
     while let Ok(event) = events.recv().await {
         for effect in shared.reduce(event) {
-            carry_out(&shared, &control, &drain, effect);
+            execute(&shared, &control, &drain, effect);
         }
     }
 }
 
-fn carry_out(
+fn execute(
     shared: &Arc<Shared>,
     control: &ControlDriver<EntryEvent>,
     drain: &Sender<()>,
     effect: EntryEffect,
 ) {
-    let host = &shared.surroundings.host;
+    let host = &shared.context.host;
     match effect {
-        EntryEffect::Control(effect) => control.carry_out(effect),
-        EntryEffect::Change(effect) => changes::carry_out(shared, effect),
+        EntryEffect::Control(effect) => control.execute(effect),
+        EntryEffect::Change(effect) => changes::execute(shared, effect),
         EntryEffect::Claim { request, workspace, key } => {
-            host.tasks.spawn(claims::take(shared.clone(), request, workspace, key));
+            host.tasks.spawn(claims::acquire(shared.clone(), request, workspace, key));
         }
         EntryEffect::Release { request, workspace, key } => {
             host.tasks.spawn(claims::release(shared.clone(), request, workspace, key));
         }
         EntryEffect::Replay { request, answer } => {
-            shared.requests.command(request, Command::Replay(answer));
+            shared.requests.send_command(request, Command::Replay(answer));
         }
         EntryEffect::Send { attempt, address, budget_ms, .. } => {
             let command = Command::Send { attempt, address, budget_ms };
-            shared.requests.command(attempt.request, command);
+            shared.requests.send_command(attempt.request, command);
         }
         EntryEffect::Refuse { request, error } => {
             host.metrics.count_refusal(error.code);
-            shared.requests.command(request, Command::Refuse(error));
+            shared.requests.send_command(request, Command::Refuse(error));
         }
-        // The task of the request has ended with its caller, and the connection with it.
-        EntryEffect::Cancel(attempt) => shared.requests.end(attempt.request),
+        // The task of the request and its connection ended when the caller disconnected; only the queue may remain.
+        EntryEffect::Cancel(attempt) => shared.requests.remove(attempt.request),
         EntryEffect::CountRetry(code) => host.metrics.count_retry(code),
         EntryEffect::Crash(news) => telemetry::note_crash(&host.metrics, &news),
         EntryEffect::Drained => {
@@ -225,18 +227,19 @@
     }
 }
 
-/// The doors of an entry.
-struct EntryDoors(Arc<Shared>);
+/// The message handler of an entry for other daemons.
+struct EntryMessageHandler(Arc<Shared>);
 
 #[async_trait]
-impl Answer for EntryDoors {
-    async fn answer(&self, door: &mut Door, frame: Frame) -> Result<()> {
+impl MessageHandler for EntryMessageHandler {
+    async fn handle(&self, session: &mut InboundSession, frame: Frame) -> Result<()> {
         match frame.message {
             Message::GetConfiguration => {
-                let (revision, bytes) = self.0.look(|entry| pack_configuration(&entry.control));
-                door.send_configuration(revision, &bytes).await
+                let (revision, bytes) =
+                    self.0.with_entry(|entry| configuration_payload(&entry.control));
+                session.send_configuration(revision, &bytes).await
             }
-            _ => door.refuse(errors::Code::BadFrame).await,
+            _ => session.reject(errors::Code::BadFrame).await,
         }
     }
 }
--- a/components/node/src/entry/requests.rs
+++ b/components/node/src/entry/requests.rs
@@ -1,4 +1,4 @@
-//! The requests under way and the tasks that serve them.
+//! The requests in progress and the tasks that serve them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,49 +9,49 @@
 use fleet::RequestId;
 use reducer::{AttemptId, SavedAnswer};
 
-/// Commands that may wait for a request's task.
-const COMMANDS_AHEAD: usize = 8;
+/// The capacity of the command queue of a request, in commands.
+const COMMAND_QUEUE_CAPACITY: usize = 8;
 
-/// What the reducer tells the task of a request.
+/// A command from the reducer to the task of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
-    /// Send a try to an agent.
+    /// Send the request to an agent.
     Send {
-        /// The try.
+        /// The id of the attempt.
         attempt: AttemptId,
-        /// Where the agent listens.
+        /// The address of the agent.
         address: SocketAddr,
-        /// Milliseconds left.
+        /// The time left until the deadline, in milliseconds.
         budget_ms: u64,
     },
-    /// End with a code.
+    /// Respond with an error.
     Refuse(Error),
-    /// End with the answer of an earlier request under the same key.
+    /// Respond with the answer of an earlier request with the same idempotency key.
     Replay(Box<SavedAnswer>),
 }
 
-/// The tasks of requests, by identity.
+/// The command queues of the tasks, by request id.
 #[derive(Default)]
-pub(crate) struct Requests(Mutex<HashMap<RequestId, Sender<Command>>>);
+pub(crate) struct RequestTasks(Mutex<HashMap<RequestId, Sender<Command>>>);
 
-impl Requests {
-    /// Makes a queue of commands for a request.
-    pub(crate) fn begin(&self, request: RequestId) -> Receiver<Command> {
-        let (sender, receiver) = async_channel::bounded(COMMANDS_AHEAD);
+impl RequestTasks {
+    /// Creates the command queue of a request.
+    pub(crate) fn register(&self, request: RequestId) -> Receiver<Command> {
+        let (sender, receiver) = async_channel::bounded(COMMAND_QUEUE_CAPACITY);
         self.0.lock().expect("the lock is never poisoned").insert(request, sender);
         receiver
     }
 
-    /// Forgets a request.
-    pub(crate) fn end(&self, request: RequestId) {
+    /// Removes the command queue of a request.
+    pub(crate) fn remove(&self, request: RequestId) {
         self.0.lock().expect("the lock is never poisoned").remove(&request);
     }
 
-    /// Passes a command to the task of a request. A request that has ended gets none.
-    pub(crate) fn command(&self, request: RequestId, command: Command) {
+    /// Sends a command to the task of a request. Does nothing if the request has ended.
+    pub(crate) fn send_command(&self, request: RequestId, command: Command) {
         let requests = self.0.lock().expect("the lock is never poisoned");
         if let Some(sender) = requests.get(&request) {
-            // The reducer gives one command at a time, far fewer than the queue holds.
+            // The reducer sends one command at a time, so the queue is never full.
             let _ = sender.try_send(command);
         }
     }
--- a/components/node/src/host.rs
+++ b/components/node/src/host.rs
@@ -1,4 +1,4 @@
-//! What every daemon runs on.
+//! The services, keys and settings that every daemon uses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,53 +10,53 @@
 use wire::{KeyRing, MemberRecord, MemberState};
 
 use crate::clock::Clock;
-use crate::peers::Peers;
+use crate::peers::PeerPool;
 use crate::tokens::TokenRing;
 
-/// Who a daemon is and where it listens.
+/// The name, the place and the addresses of a daemon.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The instance's name.
+    /// The name of the instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// The region and data hall of the instance.
     pub place: Place,
-    /// Where it listens for daemons; port 0 takes any free one.
+    /// The address for other daemons; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where it listens for operators; port 0 takes any free one.
+    /// The address for operators; port 0 selects a free port.
     pub operators: SocketAddr,
 }
 
-/// The surroundings of a daemon.
+/// The services of a process that a daemon uses.
 #[derive(Clone)]
 pub struct Host {
-    /// Everything the daemon starts.
+    /// The tasks of the daemon.
     pub tasks: Tasks,
-    /// The platform's services.
+    /// The services of the platform.
     pub platform: Platform,
     /// The cluster keys.
     pub keys: KeyRing,
-    /// The operators' tokens.
+    /// The tokens of the operators.
     pub tokens: TokenRing,
     /// The metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// A host together with what is set up for one daemon on it.
-pub(crate) struct Surroundings {
+/// A host with the identity, the clock and the connections of one daemon.
+pub(crate) struct DaemonContext {
     pub(crate) host: Host,
     pub(crate) identity: Identity,
     pub(crate) clock: Clock,
-    pub(crate) peers: Peers,
+    pub(crate) peers: PeerPool,
 }
 
-impl Surroundings {
+impl DaemonContext {
     pub(crate) fn new(host: Host, identity: Identity) -> Self {
-        let peers = Peers::new(host.keys.clone(), identity.id.clone());
+        let peers = PeerPool::new(host.keys.clone(), identity.id.clone());
         Self { host, identity, clock: Clock::start(), peers }
     }
 
-    /// The daemon's first record of itself.
-    pub(crate) fn record(&self, process: Process, address: SocketAddr) -> MemberRecord {
+    /// The membership record that the daemon starts with.
+    pub(crate) fn initial_record(&self, process: Process, address: SocketAddr) -> MemberRecord {
         MemberRecord {
             id: self.identity.id.clone(),
             incarnation: self.clock.incarnation(),
--- a/components/node/src/inbox.rs
+++ b/components/node/src/inbox.rs
@@ -1,12 +1,13 @@
-//! The queue of events that a daemon's reducer takes in one after the other.
+//! The queue of events for the reducer of a daemon.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
 use async_channel::{Receiver, Sender};
 
-/// Events that may wait; datagrams beyond that are dropped and counted.
-const INBOX_EVENTS: usize = 8192;
+/// The capacity of the queue, in events. Events that do not fit and were not sent with [`Inbox::send`], such as
+/// datagrams and ticks, are dropped and counted.
+const INBOX_CAPACITY: usize = 8192;
 
 /// The sending end of the queue.
 pub(crate) struct Inbox<E> {
@@ -21,27 +22,27 @@
 }
 
 impl<E> Inbox<E> {
-    /// Makes a queue.
+    /// Creates a queue.
     pub(crate) fn new() -> (Self, Receiver<E>) {
-        let (sender, receiver) = async_channel::bounded(INBOX_EVENTS);
+        let (sender, receiver) = async_channel::bounded(INBOX_CAPACITY);
         (Self { sender, dropped: Arc::default() }, receiver)
     }
 
-    /// Puts an event into the queue and waits for room. Must not be called by the task that takes
-    /// events out.
+    /// Adds an event and waits for capacity if the queue is full. The task that receives the events must not call this,
+    /// as it would wait for itself.
     pub(crate) async fn send(&self, event: E) {
-        // The queue is only closed when the daemon ends.
+        // The queue is only closed when the daemon exits.
         let _ = self.sender.send(event).await;
     }
 
-    /// Puts an event into the queue if there is room.
-    pub(crate) fn offer(&self, event: E) {
+    /// Adds an event, or drops and counts it if the queue is full.
+    pub(crate) fn send_or_drop(&self, event: E) {
         if self.sender.try_send(event).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Events dropped for want of room.
+    /// The number of events dropped because the queue was full.
     pub(crate) fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,11 +1,11 @@
-//! Drivers that turn the effects of the reducers into input and output.
+//! Drivers that execute the effects of the reducers as input and output.
 
 mod agent;
 mod clock;
 mod control;
-mod doors;
 mod entry;
 mod host;
+mod inbound;
 mod inbox;
 mod operators;
 mod peers;
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators read, and the pages that scrapers and health checks ask for.
+//! The status of a daemon for operators, and the pages for metrics scrapers and health checks.
 
 use fleet::{DeploymentStatus, MemberStatus, ModelName, Status};
 use http_types::{Response, StatusCode};
@@ -7,20 +7,24 @@
 use telemetry::Metrics;
 use wire::MemberState;
 
-/// Describes what a daemon knows.
-pub(crate) fn describe(control: &Control) -> Status {
+/// Builds the status of a daemon.
+pub(crate) fn daemon_status(control: &Control) -> Status {
     let configuration = control.configuration();
     Status {
         instance: control.members.me().id.clone(),
         revision: configuration.revision,
         current: control.is_current(),
-        deployments: configuration.deployments.keys().map(|it| deployment(control, it)).collect(),
+        deployments: configuration
+            .deployments
+            .keys()
+            .map(|it| deployment_status(control, it))
+            .collect(),
         leaving: configuration.leaving.iter().cloned().collect(),
-        members: control.members.others().map(|it| member(&it.record)).collect(),
+        members: control.members.others().map(|it| member_status(&it.record)).collect(),
     }
 }
 
-fn deployment(control: &Control, model: &ModelName) -> DeploymentStatus {
+fn deployment_status(control: &Control, model: &ModelName) -> DeploymentStatus {
     let deployment = &control.configuration().deployments[model];
     let version = deployment.release.version;
     let live = control.members.others().filter(|it| {
@@ -36,7 +40,7 @@
     }
 }
 
-fn member(record: &wire::MemberRecord) -> MemberStatus {
+fn member_status(record: &wire::MemberRecord) -> MemberStatus {
     let state = match record.state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
@@ -52,17 +56,17 @@
     }
 }
 
-/// Answers the pages that need no token; `None` for any other path.
-pub(crate) fn open_page(path: &str, ready: bool, metrics: &Metrics) -> Option<Response> {
+/// The response for the pages that need no token; `None` for any other path.
+pub(crate) fn public_page(path: &str, ready: bool, metrics: &Metrics) -> Option<Response> {
     match path {
-        "/healthz" => Some(text(StatusCode::Ok, "alive\n")),
-        "/readyz" if ready => Some(text(StatusCode::Ok, "ready\n")),
+        "/healthz" => Some(text_response(StatusCode::Ok, "alive\n")),
+        "/readyz" if ready => Some(text_response(StatusCode::Ok, "ready\n")),
         "/readyz" => {
-            let reason = "not ready: the configuration may be behind, or a stop was asked for\n";
-            Some(text(StatusCode::ServiceUnavailable, reason))
+            let reason = "not ready: the configuration may be outdated, or a stop was requested\n";
+            Some(text_response(StatusCode::ServiceUnavailable, reason))
         }
         "/metrics" => {
-            let mut response = text(StatusCode::Ok, &metrics.render());
+            let mut response = text_response(StatusCode::Ok, &metrics.render());
             response.insert_header("content-type", "text/plain; version=0.0.4");
             Some(response)
         }
@@ -70,12 +74,12 @@
     }
 }
 
-/// The answer with the whole status.
+/// The response with the status of the daemon.
 pub(crate) fn status_page(control: &Control) -> Response {
-    json(200, &describe(control))
+    json(200, &daemon_status(control))
 }
 
-fn text(status: StatusCode, body: &str) -> Response {
+fn text_response(status: StatusCode, body: &str) -> Response {
     let mut response = Response::new(status);
     response.set_body(body);
     response
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other daemons, kept and used again.
+//! A pool of sessions with other daemons.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use net::Deadline;
 use wire::{dial_session, Frame, FrameReader, FrameWriter, KeyRing, Message};
 
-/// How long a connection and its session may take to be made.
-const DIAL_TIME: Duration = Duration::from_secs(2);
-/// Idle connections kept for each daemon.
-const IDLE_PER_PEER: usize = 4;
+/// The time limit for opening a connection and establishing its session.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest number of idle sessions that are kept for each daemon.
+const MAX_IDLE_SESSIONS_PER_PEER: usize = 4;
 
-/// An open session with another daemon.
+/// An open session that this daemon dialled.
 pub(crate) struct Session {
     pub(crate) reader: FrameReader<TcpStream>,
     pub(crate) writer: FrameWriter<TcpStream>,
@@ -25,19 +25,19 @@
     address: SocketAddr,
 }
 
-/// The connections of a daemon.
-pub(crate) struct Peers {
+/// The idle sessions of a daemon, by the address of the peer.
+pub(crate) struct PeerPool {
     keys: KeyRing,
-    me: InstanceId,
+    own_id: InstanceId,
     idle: Mutex<HashMap<SocketAddr, Vec<Session>>>,
 }
 
-impl Peers {
-    pub(crate) fn new(keys: KeyRing, me: InstanceId) -> Self {
-        Self { keys, me, idle: Mutex::default() }
+impl PeerPool {
+    pub(crate) fn new(keys: KeyRing, own_id: InstanceId) -> Self {
+        Self { keys, own_id, idle: Mutex::default() }
     }
 
-    /// Takes an idle session or dials a new one. `Unreachable` when there is none to be had.
+    /// Returns an idle session or establishes a new one. Fails with `Unreachable` if neither is possible.
     pub(crate) async fn open(&self, address: SocketAddr) -> Result<Session> {
         while let Some(session) = self.take_idle(address) {
             if is_open(&session.stream).await {
@@ -45,20 +45,20 @@
             }
         }
         let dial = async { self.dial(address).await };
-        Deadline::after(DIAL_TIME).limit(Code::Unreachable, dial).await
+        Deadline::after(DIAL_TIMEOUT).limit(Code::Unreachable, dial).await
     }
 
-    /// Keeps a session whose last exchange is complete.
-    pub(crate) fn keep(&self, session: Session) {
+    /// Returns a session to the pool. Its last exchange must be complete.
+    pub(crate) fn put_idle(&self, session: Session) {
         let mut idle = self.idle.lock().expect("the lock is never poisoned");
         let sessions = idle.entry(session.address).or_default();
-        if sessions.len() < IDLE_PER_PEER {
+        if sessions.len() < MAX_IDLE_SESSIONS_PER_PEER {
             sessions.push(session);
         }
     }
 
-    /// Sends a message and waits for its answer.
-    pub(crate) async fn ask(
+    /// Sends a message and waits for the response.
+    pub(crate) async fn request(
         &self,
         address: SocketAddr,
         message: &Message,
@@ -67,8 +67,8 @@
         let exchange = async {
             let mut session = self.open(address).await?;
             session.writer.send(message).await?;
-            let frame = session.reader.expect().await?;
-            self.keep(session);
+            let frame = session.reader.read_required().await?;
+            self.put_idle(session);
             Ok(frame)
         };
         deadline.limit(Code::PeerStalled, exchange).await
@@ -84,14 +84,14 @@
         let stream = TcpStream::connect(address).await;
         let stream = stream.map_err(|error| unreachable(format!("{address}: {error}")))?;
         let _ = stream.set_nodelay(true);
-        let session = dial_session(&self.keys, &self.me, rand::random(), stream.clone()).await;
-        // A session that was never opened has carried nothing.
+        let session = dial_session(&self.keys, &self.own_id, rand::random(), stream.clone()).await;
+        // The session was not established, so no message was sent.
         let (reader, writer) = session.map_err(|error| unreachable(error.to_string()))?;
         Ok(Session { reader, writer, stream, address })
     }
 }
 
-/// Whether an idle connection is still open: the other side neither closed it nor sent anything.
+/// Whether an idle connection can be reused: the peer has neither closed it nor sent anything.
 async fn is_open(stream: &TcpStream) -> bool {
     let mut byte = [0];
     poll_once(stream.peek(&mut byte)).await.is_none()
--- a/components/node/src/tokens.rs
+++ b/components/node/src/tokens.rs
@@ -1,4 +1,4 @@
-//! The operators' tokens, of which two are valid during a change.
+//! The operator tokens. Two are valid while the token is being rotated.
 
 use std::sync::{Arc, RwLock};
 
@@ -6,28 +6,28 @@
 use http_types::Request;
 use net::bearer_token;
 
-/// The shortest line accepted as a token, in characters.
+/// The shortest accepted token, in characters.
 const MIN_TOKEN_CHARS: usize = 16;
-/// How many tokens may be valid at once.
+/// The largest number of tokens that are valid at the same time.
 const MAX_TOKENS: usize = 2;
 
-/// The valid tokens, kept as digests.
+/// The digests of the valid tokens.
 #[derive(Clone)]
 pub struct TokenRing(Arc<RwLock<Vec<blake3::Hash>>>);
 
 impl TokenRing {
-    /// Reads tokens from the text of a token file: one or two lines.
+    /// Parses the text of a token file: one or two lines.
     pub fn parse(text: &str) -> Result<Self> {
-        Ok(Self(Arc::new(RwLock::new(parse(text)?))))
+        Ok(Self(Arc::new(RwLock::new(parse_tokens(text)?))))
     }
 
-    /// Takes the tokens of a changed file into use.
+    /// Replaces the tokens by those of a changed file, in all clones of this ring.
     pub fn replace(&self, text: &str) -> Result<()> {
-        *self.0.write().expect("the lock is never poisoned") = parse(text)?;
+        *self.0.write().expect("the lock is never poisoned") = parse_tokens(text)?;
         Ok(())
     }
 
-    /// Checks the token of a request.
+    /// Verifies the bearer token of a request.
     pub(crate) fn check(&self, request: &Request) -> Result<()> {
         let given = bearer_token(request).map(|token| blake3::hash(token.as_bytes()));
         let valid = self.0.read().expect("the lock is never poisoned");
@@ -39,14 +39,14 @@
     }
 }
 
-// A derived implementation would print the digests into a log.
+// A derived implementation would write the digests into logs.
 impl std::fmt::Debug for TokenRing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("TokenRing(..)")
     }
 }
 
-fn parse(text: &str) -> Result<Vec<blake3::Hash>> {
+fn parse_tokens(text: &str) -> Result<Vec<blake3::Hash>> {
     let lines: Vec<&str> = text.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
     let too_short = lines.iter().any(|line| line.len() < MIN_TOKEN_CHARS);
     if lines.is_empty() || lines.len() > MAX_TOKENS || too_short {
--- a/components/node/src/tokens/tests.rs
+++ b/components/node/src/tokens/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `tokens`.
-
 use super::*;
 use http_types::{Method, Url};
 
@@ -10,11 +8,11 @@
 }
 
 #[test]
-fn can_use_two_tokens_during_a_change() {
+fn two_tokens_are_valid_during_a_rotation() {
     let ring = TokenRing::parse("token-number-one-1\ntoken-number-two-2\n").unwrap();
     assert!(ring.check(&request("token-number-one-1")).is_ok());
     assert!(ring.check(&request("token-number-two-2")).is_ok());
     ring.replace("token-number-two-2").unwrap();
-    let refused = ring.check(&request("token-number-one-1")).unwrap_err();
-    assert_eq!(refused.code, Code::Unauthorized);
+    let error = ring.check(&request("token-number-one-1")).unwrap_err();
+    assert_eq!(error.code, Code::Unauthorized);
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -94,7 +94,7 @@
     }
 
     /// Reads the next frame; the end of the stream is an error.
-    pub async fn expect(&mut self) -> Result<Frame> {
+    pub async fn read_required(&mut self) -> Result<Frame> {
         let frame = self.read().await?;
         frame.ok_or_else(|| {
             Error::new(Code::ConnectionLost, "the other daemon closed the connection")
@@ -179,7 +179,7 @@
 {
     let session = exchange_nonces(stream.clone(), nonce, FROM_ACCEPTOR).await?;
     let (mut reader, writer) = session_halves(keys, session, FROM_ACCEPTOR, stream);
-    let Message::Hello { from } = reader.expect().await?.message else {
+    let Message::Hello { from } = reader.read_required().await?.message else {
         return Err(Error::new(Code::BadFrame, "the first message must be a Hello"));
     };
     reader.raise_limits();
--- a/components/wire/src/frame/tests.rs
+++ b/components/wire/src/frame/tests.rs
@@ -17,8 +17,8 @@
         let accepting = async {
             let (stream, _) = listener.accept().await.unwrap();
             let (_, mut reader, _) = accept_session(&keys, [1; 16], stream).await.unwrap();
-            let first = reader.expect().await.unwrap().message;
-            (first, reader.expect().await.unwrap())
+            let first = reader.read_required().await.unwrap().message;
+            (first, reader.read_required().await.unwrap())
         };
         let dialling = async {
             let stream = TcpStream::connect(address).await.unwrap();
--- a/components/wire/tests/session.rs
+++ b/components/wire/tests/session.rs
@@ -17,7 +17,7 @@
 async fn accept(listener: &TcpListener) -> Result<(InstanceId, Frame)> {
     let (stream, _) = listener.accept().await.unwrap();
     let (from, mut reader, mut writer) = accept_session(&ring(KEY), [1; 16], stream).await?;
-    let frame = reader.expect().await?;
+    let frame = reader.read_required().await?;
     writer.send(&Message::Manifest).await?;
     Ok((from, frame))
 }
@@ -41,7 +41,7 @@
         let id = InstanceId::from("a");
         let (mut reader, mut writer) = dial_session(&keys, &id, [2; 16], stream).await.unwrap();
         writer.send_with(&Message::GetConfiguration, &[9; 100_000]).await.unwrap();
-        assert_eq!(reader.expect().await.unwrap().message, Message::Manifest);
+        assert_eq!(reader.read_required().await.unwrap().message, Message::Manifest);
     });
     let (from, frame) = received.unwrap();
     assert_eq!((from, frame.payload), ("a".into(), vec![9; 100_000]));
@@ -55,7 +55,7 @@
         let session = dial_session(&keys, &id, [2; 16], stream).await;
         if let Ok((mut reader, mut writer)) = session {
             let _ = writer.send(&Message::GetConfiguration).await;
-            assert!(reader.expect().await.is_err());
+            assert!(reader.read_required().await.is_err());
         }
     });
     assert_eq!(received.unwrap_err().code, Code::BadAuthentication);
