--- a/components/account/src/decision.rs
+++ b/components/account/src/decision.rs
@@ -10,9 +10,9 @@
     Routed {
         /// The route.
         route: String,
-        /// The service that was picked at random among those of the route.
+        /// The service, which is selected at random by the weights of the route.
         service: String,
-        /// The revision of the configuration.
+        /// The version of the configuration.
         configuration: u64,
         /// `safe`, `unsafe`, `stream` or `resumable_stream`.
         kind: String,
@@ -25,7 +25,7 @@
     },
     /// The configuration has no route for the request or does not know its API key.
     Unrouted {
-        /// The revision of the configuration.
+        /// The version of the configuration.
         configuration: u64,
         /// The time since the store last confirmed that the configuration is the newest, in milliseconds. Absent if it
         /// never did.
@@ -61,8 +61,8 @@
     },
     /// A sidecar denied a reservation. Logged by the sidecar.
     Denied {
-        /// The reason: `evacuated`, `runner_leaves`, `leaving`, `too_old`, `full`, `reading`, `unheard`, `not_serving`
-        /// or `cold`.
+        /// The reason: `evacuated`, `runner_leaves`, `leaving`, `too_old`, `last_order`, `cold`, `limited`, `full`,
+        /// `reading`, `later`, `unheard` or `not_serving`.
         reason: String,
         /// The number of requests at the runner or on their way to it.
         taken: u32,
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -225,8 +225,9 @@
     first_bytes
 }
 
-/// The state of one daemon as others know it. The record with the higher incarnation replaces others; among records of
-/// the same incarnation, the one with the higher serial number does.
+/// The state of one daemon as others know it. Of two records of a daemon, the one with the higher incarnation replaces
+/// the other; if these are equal, the one with the higher serial number; if these are equal too, the one with the later
+/// state in the order of [`MemberState`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The id of the instance.
