--- a/components/settings/src/deployment.rs
+++ b/components/settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway or a sidecar on the users' platform.
+//! Settings of a gateway or sidecar that runs on the users' platform.
 
 use std::collections::BTreeMap;
 use std::net::{AddrParseError, IpAddr, Ipv4Addr, SocketAddr};
@@ -9,161 +9,163 @@
 use crate::file::File;
 use crate::Faults;
 
-/// Bytes a second of a link of one Mbit/s.
+/// Bytes per second of a 1 Mbit/s link.
 const BYTES_PER_MBIT: f64 = 1_000_000.0 / 8.0;
-/// How much the log may say, from nothing to everything.
+/// The accepted log levels, from no output to the most verbose.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// Everything that a gateway or a sidecar is told at start.
+/// All settings of a gateway or sidecar.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSettings {
-    /// Who and where it is.
+    /// Name, location and resources of the process.
     pub node: DeploymentNode,
-    /// The platform's store.
+    /// Address and rate limits of the platform's store.
     pub store: StoreSettings,
-    /// What the platform holds it to.
+    /// Limits that the platform imposes on the process.
     pub bounds: BoundSettings,
-    /// `[ablation]`: what is switched off for a measurement.
+    /// `[ablation]`: mechanisms that are disabled for a measurement.
     pub ablation: Ablation,
-    /// What it does.
+    /// Whether the process is a gateway or a sidecar, with the settings of that role.
     pub role: DeploymentRole,
 }
 
-/// `[node]`: who and where the process is.
+/// `[node]`: name, location and resources of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentNode {
-    /// Its unique name.
+    /// The unique name of the process.
     pub name: InstanceId,
-    /// Where it stands.
+    /// The region and data hall of the process.
     pub place: Place,
     /// Every data hall with its region.
     pub halls: BTreeMap<Hall, Region>,
-    /// The address of its machine.
+    /// The IP address of the machine.
     pub address: IpAddr,
-    /// The first port that is free for messages between processes.
+    /// The first port of the range for messages between processes.
     pub first_port: u16,
-    /// The last such port.
+    /// The last port of that range, inclusive.
     pub last_port: u16,
-    /// Memory that it may use, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// Its link, in bytes a second.
+    /// Bandwidth of the machine's link, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// The lowest level of logs that is written.
+    /// The least severe log level that is written.
     pub log_level: String,
-    /// The most lines of logs in a second.
+    /// Maximum number of log lines per second.
     pub log_lines_per_s: u32,
 }
 
-/// `[store]`: the platform's store.
+/// `[store]`: address and rate limits of the platform's store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// The address on which the store listens.
     pub address: SocketAddr,
-    /// Writing calls a second that all processes together may make.
+    /// Maximum number of write calls per second from all processes together.
     pub writes_per_s: u64,
-    /// Reading calls a second that all processes together may make.
+    /// Maximum number of read calls per second from all processes together.
     pub reads_per_s: u64,
 }
 
-/// `[bounds]`: what the platform holds a process to.
+/// `[bounds]`: limits that the platform imposes on a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BoundSettings {
-    /// Seconds between the signal to stop and the kill.
+    /// Seconds between the stop signal and the kill.
     pub grace_s: u64,
-    /// Milliseconds after an outage of the store, or a failure of the process or its links, after which the
-    /// bounds below hold again.
+    /// Milliseconds after the end of a store outage, or of a failure of the process or its links, until the bounds
+    /// below apply again.
     pub contact_ms: u64,
-    /// Milliseconds within which a leaving runner gets nothing new.
+    /// Milliseconds within which a leaving runner stops receiving new requests.
     pub drain_ms: u64,
-    /// Milliseconds within which a configuration is in force.
+    /// Milliseconds within which a new configuration takes effect.
     pub configuration_ms: u64,
-    /// Milliseconds within which a named version is served.
+    /// Milliseconds within which a newly named version is served.
     pub version_ms: u64,
-    /// Repeats for each request.
+    /// Maximum number of retries per request in each window.
     pub repeat_ratio: f64,
-    /// Seconds over which repeats are counted.
+    /// Length of the window over which retries are counted, in seconds.
     pub repeat_window_s: u64,
-    /// Repeats on top in each window, of all gateways together.
+    /// Additional retries that all gateways together may send in each window.
     pub repeat_allowance: f64,
-    /// Milliseconds within which nothing is sent to a data hall that is evacuated. `None` where the platform
-    /// evacuates none.
+    /// Milliseconds after which no more requests are sent to a data hall that is being evacuated. `None` if the
+    /// platform evacuates no data halls.
     pub evacuate_ms: Option<u64>,
-    /// How much a cold runner gets at most. `None` where the platform's runners do not start cold.
+    /// Limit on the request rate of a cold runner. `None` if the platform's runners do not start cold.
     pub cold: Option<ColdSettings>,
 }
 
 impl BoundSettings {
-    /// Within how many milliseconds a data hall that is evacuated is left. A process that stood still takes what it
-    /// reads when it wakes for new, and is bound again a contact time later: by then it must have left the hall. The
-    /// bound may be longer by what is kept free of it.
+    /// Returns the milliseconds within which a process stops sending requests to an evacuated data hall.
+    ///
+    /// A process that was suspended treats an evacuation that it reads after it resumes as new, and the bounds apply to
+    /// it again `contact_ms` later. It must have left the hall by then, so the result is at most `contact_ms` plus
+    /// `Evacuations::NEWS_MARGIN`, the margin that is subtracted from the result before it is used.
     pub fn leave_ms(&self) -> Option<u64> {
         self.evacuate_ms.map(|it| it.min(self.contact_ms + Evacuations::NEWS_MARGIN))
     }
 }
 
-/// How many requests a cold runner gets at most in any second, from all gateways together: `overrun` times what
-/// it bears, and `slack` on top.
+/// Limit on the requests that a cold runner receives in any second from all gateways together: `overrun` times the
+/// rate that it can handle, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdSettings {
-    /// The factor.
+    /// Factor on the rate that the runner can handle.
     pub overrun: f64,
-    /// Requests on top.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
-/// What the process does.
+/// The role of the process, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DeploymentRole {
-    /// It takes requests from callers.
+    /// Accepts requests from callers.
     Gateway(GatewaySettings),
-    /// It stands beside a runner.
+    /// Runs next to a runner.
     Sidecar(SidecarSettings),
 }
 
-/// `[gateway]`: where a gateway listens.
+/// `[gateway]`: listening addresses of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// For callers.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// For questions whether it is ready.
+    /// Listening address for readiness checks.
     pub readiness: SocketAddr,
 }
 
-/// `[sidecar]`: the runner that a sidecar stands beside.
+/// `[sidecar]`: the runner that a sidecar runs next to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SidecarSettings {
-    /// Where the runner listens.
+    /// The address on which the runner listens.
     pub runner: SocketAddr,
-    /// The service that it belongs to.
+    /// The service that the runner belongs to.
     pub service: ServiceName,
 }
 
 impl DeploymentSettings {
-    /// Whether a text is meant to hold such settings.
+    /// Returns whether a text has a `[gateway]` or `[sidecar]` section.
     pub fn is_meant(text: &str) -> bool {
         text.lines().map(str::trim).any(|line| line == "[gateway]" || line == "[sidecar]")
     }
 
-    /// Reads and checks a whole file. Every fault is reported.
+    /// Parses and validates a whole file. All faults are reported together.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         let mut file = File::parse(text)?;
         let role = if text.lines().any(|line| line.trim() == "[gateway]") {
-            DeploymentRole::Gateway(gateway(&mut file))
+            DeploymentRole::Gateway(read_gateway(&mut file))
         } else {
-            DeploymentRole::Sidecar(sidecar(&mut file))
+            DeploymentRole::Sidecar(read_sidecar(&mut file))
         };
         let settings = Self {
-            node: node(&mut file),
-            store: store(&mut file),
-            bounds: bounds(&mut file),
-            ablation: ablation(&mut file),
+            node: read_node(&mut file),
+            store: read_store(&mut file),
+            bounds: read_bounds(&mut file),
+            ablation: read_ablation(&mut file),
             role,
         };
         file.finish()?;
         Ok(settings)
     }
 
-    /// What a gateway is told, if this is one.
+    /// Returns the gateway settings if the process is a gateway.
     pub fn gateway(&self) -> Option<&GatewaySettings> {
         match &self.role {
             DeploymentRole::Gateway(gateway) => Some(gateway),
@@ -171,7 +173,7 @@
         }
     }
 
-    /// What a sidecar is told, if this is one.
+    /// Returns the sidecar settings if the process is a sidecar.
     pub fn sidecar(&self) -> Option<&SidecarSettings> {
         match &self.role {
             DeploymentRole::Gateway(_) => None,
@@ -180,13 +182,17 @@
     }
 }
 
-fn node(file: &mut File) -> DeploymentNode {
+fn read_node(file: &mut File) -> DeploymentNode {
     let section = "node";
-    let hall: String = file.need(section, "hall", "the name of the data hall");
-    let region: String = file.need(section, "region", "the name of the region");
-    let name: String = file.need(section, "name", "a unique name");
-    let places: String =
-        file.with_default(section, "halls", String::new(), "HALL=REGION, split by commas");
+    let hall: String = file.require(section, "hall", "the name of the data hall");
+    let region: String = file.require(section, "region", "the name of the region");
+    let name: String = file.require(section, "name", "a unique name");
+    let halls: String = file.with_default(
+        section,
+        "halls",
+        String::new(),
+        "HALL=REGION pairs, separated by commas",
+    );
     let address = file.with_default(
         section,
         "address",
@@ -196,104 +202,116 @@
     let first_port = file.bounded(section, "first_port", 7700, (1, u16::MAX));
     let last_port = file.bounded(section, "last_port", first_port, (first_port, u16::MAX));
     let memory_mb = file.bounded(section, "memory_mb", 256, (16, 1 << 20));
-    let link: f64 = file.bounded(section, "link_mbps", 1000.0, (0.1, 1e6));
-    let log_level = log_level(file, section);
+    let link_mbps: f64 = file.bounded(section, "link_mbps", 1000.0, (0.1, 1e6));
+    let log_level = read_log_level(file, section);
     DeploymentNode {
         name: InstanceId(name),
         place: Place { region: Region(region), hall: Hall(hall) },
-        halls: halls(&places),
+        halls: parse_halls(&halls),
         address,
         first_port,
         last_port,
         memory_mb,
-        link_bytes_per_s: (link * BYTES_PER_MBIT) as u64,
+        link_bytes_per_s: (link_mbps * BYTES_PER_MBIT) as u64,
         log_level,
         log_lines_per_s: file.bounded(section, "log_lines_per_s", 100, (1, 100_000)),
     }
 }
 
-fn log_level(file: &mut File, section: &str) -> String {
+fn read_log_level(file: &mut File, section: &str) -> String {
     let expected = LOG_LEVELS.join(", ");
     let level = file.with_default(section, "log_level", "info".to_owned(), &expected);
     if !LOG_LEVELS.iter().any(|it| it.eq_ignore_ascii_case(&level)) {
-        file.complain(section, "log_level", &level, &expected);
+        file.report_fault(section, "log_level", &level, &expected);
     }
     level
 }
 
-fn halls(text: &str) -> BTreeMap<Hall, Region> {
+fn parse_halls(text: &str) -> BTreeMap<Hall, Region> {
     let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
     pairs.map(|(hall, region)| (Hall(hall.trim().into()), Region(region.trim().into()))).collect()
 }
 
-fn store(file: &mut File) -> StoreSettings {
+fn read_store(file: &mut File) -> StoreSettings {
     let section = "store";
     StoreSettings {
-        address: address(file, section, "address"),
-        writes_per_s: file.need_bounded(section, "writes_per_s", (0.0, 1e9)) as u64,
-        reads_per_s: file.need_bounded(section, "reads_per_s", (0.0, 1e9)) as u64,
+        address: read_address(file, section, "address"),
+        writes_per_s: file.require_bounded(section, "writes_per_s", (0.0, 1e9)) as u64,
+        reads_per_s: file.require_bounded(section, "reads_per_s", (0.0, 1e9)) as u64,
     }
 }
 
-/// Every bound decides something, so none has a default.
-fn bounds(file: &mut File) -> BoundSettings {
+/// Reads `[bounds]`. The required bounds have no defaults, because each of them affects a decision.
+fn read_bounds(file: &mut File) -> BoundSettings {
     let section = "bounds";
-    let whole = |it: f64| it as u64;
+    let to_integer = |it: f64| it as u64;
     BoundSettings {
-        grace_s: whole(file.need_bounded(section, "grace_s", (0.0, 3600.0))),
-        contact_ms: whole(file.need_bounded(section, "contact_ms", (0.0, 1e7))),
-        drain_ms: whole(file.need_bounded(section, "drain_ms", (0.0, 1e7))),
-        configuration_ms: whole(file.need_bounded(section, "configuration_ms", (0.0, 1e7))),
-        version_ms: whole(file.need_bounded(section, "version_ms", (0.0, 1e7))),
-        repeat_ratio: file.need_bounded(section, "repeat_ratio", (0.0, 100.0)),
-        repeat_window_s: whole(file.need_bounded(section, "repeat_window_s", (1.0, 3600.0))),
-        repeat_allowance: file.need_bounded(section, "repeat_allowance", (0.0, 1e9)),
-        evacuate_ms: file.optional_bounded(section, "evacuate_ms", (0.0, 1e7)).map(whole),
-        cold: cold(file, section),
+        grace_s: to_integer(file.require_bounded(section, "grace_s", (0.0, 3600.0))),
+        contact_ms: to_integer(file.require_bounded(section, "contact_ms", (0.0, 1e7))),
+        drain_ms: to_integer(file.require_bounded(section, "drain_ms", (0.0, 1e7))),
+        configuration_ms: to_integer(file.require_bounded(section, "configuration_ms", (0.0, 1e7))),
+        version_ms: to_integer(file.require_bounded(section, "version_ms", (0.0, 1e7))),
+        repeat_ratio: file.require_bounded(section, "repeat_ratio", (0.0, 100.0)),
+        repeat_window_s: to_integer(file.require_bounded(
+            section,
+            "repeat_window_s",
+            (1.0, 3600.0),
+        )),
+        repeat_allowance: file.require_bounded(section, "repeat_allowance", (0.0, 1e9)),
+        evacuate_ms: file.optional_bounded(section, "evacuate_ms", (0.0, 1e7)).map(to_integer),
+        cold: read_cold(file, section),
     }
 }
 
-/// Both or none: one without the other would leave a bound to a guess.
-fn cold(file: &mut File, section: &str) -> Option<ColdSettings> {
+/// Reads `cold_overrun` and `cold_slack`. One without the other is a fault: the missing one would have to be guessed.
+fn read_cold(file: &mut File, section: &str) -> Option<ColdSettings> {
     let overrun = file.optional_bounded(section, "cold_overrun", (0.0, 100.0));
     let slack = file.optional_bounded(section, "cold_slack", (0.0, 1e6));
     match (overrun, slack) {
         (Some(overrun), Some(slack)) => Some(ColdSettings { overrun, slack }),
         (None, None) => None,
         _ => {
-            file.complain(section, "cold_slack", "", "cold_overrun and cold_slack, or neither");
+            file.report_fault(
+                section,
+                "cold_slack",
+                "",
+                "both cold_overrun and cold_slack, or neither",
+            );
             None
         }
     }
 }
 
-fn ablation(file: &mut File) -> Ablation {
-    let expected = "names of mechanisms, split by commas; see docs/POLICY.md";
+fn read_ablation(file: &mut File) -> Ablation {
+    let expected = "names of mechanisms, separated by commas; see docs/POLICY.md";
     file.with_default("ablation", "without", Ablation::default(), expected)
 }
 
-fn gateway(file: &mut File) -> GatewaySettings {
+fn read_gateway(file: &mut File) -> GatewaySettings {
     GatewaySettings {
-        callers: address(file, "gateway", "callers"),
-        readiness: address(file, "gateway", "readiness"),
+        callers: read_address(file, "gateway", "callers"),
+        readiness: read_address(file, "gateway", "readiness"),
     }
 }
 
-fn sidecar(file: &mut File) -> SidecarSettings {
-    let service: String = file.need("sidecar", "service", "the name of the runner's service");
-    SidecarSettings { runner: address(file, "sidecar", "runner"), service: ServiceName(service) }
+fn read_sidecar(file: &mut File) -> SidecarSettings {
+    let service: String = file.require("sidecar", "service", "the name of the runner's service");
+    SidecarSettings {
+        runner: read_address(file, "sidecar", "runner"),
+        service: ServiceName(service),
+    }
 }
 
-/// An address with a port that must be given.
-struct Address(SocketAddr);
+/// A required socket address. Its default is a placeholder, so that the rest of the file is checked after a fault.
+struct RequiredAddress(SocketAddr);
 
-impl Default for Address {
+impl Default for RequiredAddress {
     fn default() -> Self {
         Self(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
     }
 }
 
-impl FromStr for Address {
+impl FromStr for RequiredAddress {
     type Err = AddrParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -301,6 +319,6 @@
     }
 }
 
-fn address(file: &mut File, section: &str, key: &str) -> SocketAddr {
-    file.need::<Address>(section, key, "an address with a port").0
+fn read_address(file: &mut File, section: &str, key: &str) -> SocketAddr {
+    file.require::<RequiredAddress>(section, key, "an address with a port").0
 }
--- a/components/settings/src/fault.rs
+++ b/components/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file.
+//! Faults of a settings file.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 /// One fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The section it is in.
+    /// The section that contains the fault.
     pub section: String,
-    /// The key, empty when the section itself is at fault.
+    /// The key; empty if the fault concerns the file or the section itself.
     pub key: String,
-    /// The value found, if any.
+    /// The value in the file, or `None` if the key is missing.
     pub value: Option<String>,
-    /// What was expected instead.
+    /// A description of what was expected.
     pub expected: String,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Every fault of one file.
+/// All faults of one settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/components/settings/src/file.rs
+++ b/components/settings/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads values out of an INI file and collects what is wrong with them.
+//! Reads values from an INI file and collects the faults in them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -8,7 +8,7 @@
 
 use crate::{Fault, Faults};
 
-/// A file being read. Each value asked for is marked as known; what is never asked for is a fault.
+/// A settings file that is being read. Reading a key marks it as known; keys that are never read are reported as faults.
 pub(crate) struct File {
     sections: BTreeMap<String, BTreeMap<String, String>>,
     known: BTreeSet<(String, String)>,
@@ -16,7 +16,7 @@
 }
 
 impl File {
-    /// Parses the text of a file.
+    /// Parses the INI text of a file.
     pub(crate) fn parse(text: &str) -> Result<Self, Faults> {
         let ini = Ini::load_from_str(text).map_err(|error| {
             let expected = format!("INI text ({error})");
@@ -29,9 +29,9 @@
         Ok(file)
     }
 
-    /// A value that must be there. Falls back to `T::default()` when it is at fault, so that the
-    /// rest of the file is still checked.
-    pub(crate) fn need<T: FromStr + Default>(
+    /// Reads a required value. A missing or invalid value is reported and replaced by `T::default()`, so that the rest
+    /// of the file is still checked.
+    pub(crate) fn require<T: FromStr + Default>(
         &mut self,
         section: &str,
         key: &str,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A value with a default.
+    /// Reads an optional value with a default. An invalid value is reported and replaced by the default.
     pub(crate) fn with_default<T: FromStr>(
         &mut self,
         section: &str,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A number with a default that must lie within bounds.
+    /// Reads an optional number with a default. A number outside of the bounds is reported and replaced by the default.
     pub(crate) fn bounded<T: FromStr + PartialOrd + Copy + Display>(
         &mut self,
         section: &str,
@@ -71,15 +71,15 @@
         let expected = format!("a number from {low} to {high}");
         let value = self.with_default(section, key, default, &expected);
         if value < low || value > high {
-            self.complain(section, key, &value.to_string(), &expected);
+            self.report_fault(section, key, &value.to_string(), &expected);
             return default;
         }
         value
     }
 
-    /// A number that must be there and lie within bounds. Falls back to the lower one when it is at fault, so
-    /// that the rest of the file is still checked.
-    pub(crate) fn need_bounded<T: FromStr + PartialOrd + Copy + Display>(
+    /// Reads a required number. A number that is missing, invalid or outside of the bounds is reported and replaced by
+    /// the lower bound, so that the rest of the file is still checked.
+    pub(crate) fn require_bounded<T: FromStr + PartialOrd + Copy + Display>(
         &mut self,
         section: &str,
         key: &str,
@@ -89,7 +89,7 @@
         match self.read(section, key, &expected) {
             Some(Some(value)) if value >= low && value <= high => value,
             Some(Some(value)) => {
-                self.complain(section, key, &value.to_string(), &expected);
+                self.report_fault(section, key, &value.to_string(), &expected);
                 low
             }
             Some(None) => low,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A number that must lie within bounds where it is there. A key without a value counts as absent.
+    /// Reads an optional number that must lie within bounds. A key with an empty value counts as absent.
     pub(crate) fn optional_bounded(
         &mut self,
         section: &str,
@@ -112,26 +112,26 @@
         if text.is_empty() {
             return None;
         }
-        Some(self.need_bounded(section, key, (low, high)))
+        Some(self.require_bounded(section, key, (low, high)))
     }
 
-    /// The sections whose names start with a prefix, without it.
+    /// Returns the names of all sections that start with a prefix, with the prefix removed.
     pub(crate) fn sections_under(&self, prefix: &str) -> Vec<String> {
         let names = self.sections.keys();
         names.filter_map(|name| name.strip_prefix(prefix).map(str::to_owned)).collect()
     }
 
-    /// Records a fault that only the caller can see.
-    pub(crate) fn complain(&mut self, section: &str, key: &str, value: &str, expected: &str) {
+    /// Records a fault that the caller has found in a value.
+    pub(crate) fn report_fault(&mut self, section: &str, key: &str, value: &str, expected: &str) {
         self.faults.push(fault(section, key, Some(value), expected));
     }
 
-    /// Ends the reading: faults found so far and keys nobody asked for.
+    /// Reports keys that were never read as faults, and fails if there is any fault.
     pub(crate) fn finish(mut self) -> Result<(), Faults> {
         for (section, values) in &self.sections {
             for (key, value) in values {
                 if !self.known.contains(&(section.clone(), key.clone())) {
-                    let unknown = "no such key; see docs/SETTINGS.md";
+                    let unknown = "a known key; see docs/SETTINGS.md";
                     self.faults.push(fault(section, key, Some(value), unknown));
                 }
             }
@@ -144,7 +144,7 @@
     }
 
     fn add_section(&mut self, name: &str, values: &ini::Properties) {
-        // `rust-ini` hands out a nameless section for keys above the first header.
+        // `rust-ini` always returns an unnamed section for keys above the first section header.
         if name.is_empty() && values.is_empty() {
             return;
         }
@@ -152,13 +152,13 @@
         let mut repeated = Vec::new();
         for (key, value) in values.iter() {
             if target.insert(key.to_owned(), value.to_owned()).is_some() {
-                repeated.push(fault(name, key, Some(value), "each key once"));
+                repeated.push(fault(name, key, Some(value), "each key only once"));
             }
         }
         self.faults.extend(repeated);
     }
 
-    /// `None` when the key is absent, `Some(None)` when its value is at fault.
+    /// Reads and parses a value. Returns `None` if the key is missing, and `Some(None)` if its value is invalid.
     fn read<T: FromStr>(&mut self, section: &str, key: &str, expected: &str) -> Option<Option<T>> {
         self.known.insert((section.to_owned(), key.to_owned()));
         let value = self.sections.get(section)?.get(key)?.clone();
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings files in INI, read once at start and checked whole: every fault is reported at once.
+//! Settings files in INI format. A file is validated as a whole, and all of its faults are reported together.
 
 mod deployment;
 mod fault;
--- a/components/settings/src/reload.rs
+++ b/components/settings/src/reload.rs
@@ -1,87 +1,87 @@
-//! What a settings file that has changed asks of a process that runs: some of it can change at once, the rest
-//! needs a new start.
+//! Compares a changed settings file with the settings that a running process uses. Some settings can be applied while
+//! the process runs; the others require a restart.
 
 use crate::deployment::{DeploymentRole, DeploymentSettings};
 
 /// A key whose value has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changed {
-    /// Its section and name, as `section.key`.
+    /// The section and name of the key, as `section.key`.
     pub key: &'static str,
-    /// What is in force.
+    /// The value in use.
     pub from: String,
-    /// What the file says.
+    /// The value in the file.
     pub to: String,
 }
 
-/// What comes of a file that has changed.
+/// The result of comparing the settings in use with a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reload {
-    /// The settings with everything that can change at once.
+    /// The settings in use, with the applied changes.
     pub settings: DeploymentSettings,
-    /// What changes at once.
+    /// Changes that are applied without a restart.
     pub applied: Vec<Changed>,
-    /// What stays as it is until the next start.
+    /// Changes that require a restart; the old values stay in use until then.
     pub refused: Vec<Changed>,
 }
 
-/// A key, how its value is shown and how it is taken over. `take` is `None` where it needs a new start.
+/// A key, how its value is formatted and how a new value is applied. `apply` is `None` if a change requires a restart.
 struct Key {
     name: &'static str,
-    show: fn(&DeploymentSettings) -> String,
-    take: Option<fn(&mut DeploymentSettings, &DeploymentSettings)>,
+    format: fn(&DeploymentSettings) -> String,
+    apply: Option<fn(&mut DeploymentSettings, &DeploymentSettings)>,
 }
 
-/// A key that needs a new start, by the path of its field.
-macro_rules! fixed {
+/// Defines a key whose change requires a restart, by the path of its field.
+macro_rules! requires_restart {
     ($name:literal, $($field:ident).+) => {
-        Key { name: $name, show: |it| format!("{:?}", it.$($field).+), take: None }
+        Key { name: $name, format: |it| format!("{:?}", it.$($field).+), apply: None }
     };
 }
 
-/// A key that can change at once, by the path of its field.
-macro_rules! live {
+/// Defines a key whose change is applied without a restart, by the path of its field.
+macro_rules! reloadable {
     ($name:literal, $($field:ident).+) => {
         Key {
             name: $name,
-            show: |it| format!("{:?}", it.$($field).+),
-            take: Some(|mine, new| mine.$($field).+ = new.$($field).+.clone()),
+            format: |it| format!("{:?}", it.$($field).+),
+            apply: Some(|current, new| current.$($field).+ = new.$($field).+.clone()),
         }
     };
 }
 
-/// Every key. What names the process, its addresses and its links is part of what runs; so is what the pace of
-/// the calls to the store follows from.
+/// All keys. The name, addresses and links of the process are in use while it runs, so a change of them requires a
+/// restart. The same holds for the bounds from which the pace of the calls to the store is derived.
 const KEYS: [Key; 25] = [
-    fixed!("node.name", node.name),
-    fixed!("node.region", node.place.region),
-    fixed!("node.hall", node.place.hall),
-    fixed!("node.halls", node.halls),
-    fixed!("node.address", node.address),
-    fixed!("node.first_port", node.first_port),
-    fixed!("node.last_port", node.last_port),
-    fixed!("node.memory_mb", node.memory_mb),
-    fixed!("node.link_mbps", node.link_bytes_per_s),
-    live!("node.log_level", node.log_level),
-    live!("node.log_lines_per_s", node.log_lines_per_s),
-    fixed!("store.address", store.address),
-    live!("store.writes_per_s", store.writes_per_s),
-    live!("store.reads_per_s", store.reads_per_s),
-    live!("bounds.grace_s", bounds.grace_s),
-    fixed!("bounds.contact_ms", bounds.contact_ms),
-    fixed!("bounds.drain_ms", bounds.drain_ms),
-    fixed!("bounds.configuration_ms", bounds.configuration_ms),
-    live!("bounds.version_ms", bounds.version_ms),
-    live!("bounds.repeat_ratio", bounds.repeat_ratio),
-    live!("bounds.repeat_window_s", bounds.repeat_window_s),
-    live!("bounds.repeat_allowance", bounds.repeat_allowance),
-    live!("bounds.evacuate_ms", bounds.evacuate_ms),
-    live!("bounds.cold_overrun, bounds.cold_slack", bounds.cold),
-    fixed!("ablation.without", ablation),
+    requires_restart!("node.name", node.name),
+    requires_restart!("node.region", node.place.region),
+    requires_restart!("node.hall", node.place.hall),
+    requires_restart!("node.halls", node.halls),
+    requires_restart!("node.address", node.address),
+    requires_restart!("node.first_port", node.first_port),
+    requires_restart!("node.last_port", node.last_port),
+    requires_restart!("node.memory_mb", node.memory_mb),
+    requires_restart!("node.link_mbps", node.link_bytes_per_s),
+    reloadable!("node.log_level", node.log_level),
+    reloadable!("node.log_lines_per_s", node.log_lines_per_s),
+    requires_restart!("store.address", store.address),
+    reloadable!("store.writes_per_s", store.writes_per_s),
+    reloadable!("store.reads_per_s", store.reads_per_s),
+    reloadable!("bounds.grace_s", bounds.grace_s),
+    requires_restart!("bounds.contact_ms", bounds.contact_ms),
+    requires_restart!("bounds.drain_ms", bounds.drain_ms),
+    requires_restart!("bounds.configuration_ms", bounds.configuration_ms),
+    reloadable!("bounds.version_ms", bounds.version_ms),
+    reloadable!("bounds.repeat_ratio", bounds.repeat_ratio),
+    reloadable!("bounds.repeat_window_s", bounds.repeat_window_s),
+    reloadable!("bounds.repeat_allowance", bounds.repeat_allowance),
+    reloadable!("bounds.evacuate_ms", bounds.evacuate_ms),
+    reloadable!("bounds.cold_overrun, bounds.cold_slack", bounds.cold),
+    requires_restart!("ablation.without", ablation),
 ];
 
-/// What the process does, as a text. It cannot change at once.
-fn show_role(role: &DeploymentRole) -> String {
+/// Formats the settings of the process's role. A change of them requires a restart.
+fn format_role(role: &DeploymentRole) -> String {
     match role {
         DeploymentRole::Gateway(gateway) => format!("{gateway:?}"),
         DeploymentRole::Sidecar(sidecar) => format!("{sidecar:?}"),
@@ -89,28 +89,29 @@
 }
 
 impl DeploymentSettings {
-    /// Compares what is in force with what the file says now.
+    /// Compares the settings in use with those of a file.
     pub fn reload(&self, file: &DeploymentSettings) -> Reload {
         let mut reload =
             Reload { settings: self.clone(), applied: Vec::new(), refused: Vec::new() };
         for key in &KEYS {
-            let Some(changed) = changed(key.name, (key.show)(self), (key.show)(file)) else {
+            let Some(changed) = find_change(key.name, (key.format)(self), (key.format)(file))
+            else {
                 continue;
             };
-            match key.take {
-                Some(take) => {
-                    take(&mut reload.settings, file);
+            match key.apply {
+                Some(apply) => {
+                    apply(&mut reload.settings, file);
                     reload.applied.push(changed);
                 }
                 None => reload.refused.push(changed),
             }
         }
-        let (mine, new) = (show_role(&self.role), show_role(&file.role));
-        reload.refused.extend(changed("gateway, sidecar", mine, new));
+        let (current, new) = (format_role(&self.role), format_role(&file.role));
+        reload.refused.extend(find_change("gateway, sidecar", current, new));
         reload
     }
 }
 
-fn changed(key: &'static str, from: String, to: String) -> Option<Changed> {
+fn find_change(key: &'static str, from: String, to: String) -> Option<Changed> {
     (from != to).then_some(Changed { key, from, to })
 }
--- a/components/settings/src/settings.rs
+++ b/components/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon.
+//! Settings of a fleet daemon: an entry or an agent.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,43 +8,43 @@
 use crate::file::File;
 use crate::Faults;
 
-/// Everything a daemon is told at start.
+/// All settings of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who and where the daemon is.
+    /// Name, location and addresses of the daemon.
     pub node: NodeSettings,
-    /// Where the platform's services listen.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// How time and origin bytes are weighed.
+    /// Weights of rollout time against bytes read from the origin.
     pub profile: ProfileSettings,
-    /// What the daemon does.
+    /// Whether the daemon is an entry or an agent, with the settings of that role.
     pub role: RoleSettings,
 }
 
-/// `[node]`: who and where the daemon is.
+/// `[node]`: name, location and addresses of the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// The instance's unique name.
+    /// The unique name of the instance.
     pub name: InstanceId,
-    /// Where it stands.
+    /// The region and data hall of the instance.
     pub place: Place,
-    /// Where it listens for other daemons, over TCP and UDP.
+    /// Listening address for other daemons, over TCP and UDP.
     pub listen: SocketAddr,
-    /// Where operators, scrapers and health checks connect.
+    /// Listening address for operators, metrics scrapers and health checks.
     pub operators: SocketAddr,
-    /// The file with the cluster keys, one or two lines.
+    /// The file with one or two cluster keys, one per line.
     pub cluster_key_file: PathBuf,
-    /// The file with the operators' tokens, one or two lines.
+    /// The file with one or two operator tokens, one per line.
     pub token_file: PathBuf,
-    /// The lowest level of logs that is written.
+    /// The least severe log level that is written.
     pub log_level: String,
-    /// Seconds a planned stop waits for requests in progress.
+    /// Seconds that a graceful shutdown waits for requests in progress.
     pub stop_grace_s: u64,
-    /// Bytes a second that messages between daemons may cost.
+    /// Bandwidth limit for messages between daemons, in bytes per second.
     pub control_bytes_per_s: u64,
 }
 
-/// `[platform]`: where the platform's services listen.
+/// `[platform]`: addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
     /// The transactional table.
@@ -53,129 +53,133 @@
     pub objects: SocketAddr,
     /// The origin of weights.
     pub weights: SocketAddr,
-    /// The list of instances.
+    /// The instance list.
     pub instances: SocketAddr,
 }
 
-/// `[profile]`: how the time until live and the bytes from the origin are weighed.
+/// `[profile]`: weights of the time until a version is live against the bytes read from the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProfileSettings {
-    /// The weight of the time until live.
+    /// The weight of the time until a version is live.
     pub time_weight: f64,
-    /// The weight of bytes drawn from the origin.
+    /// The weight of the bytes read from the origin.
     pub origin_weight: f64,
-    /// The origin's link in bytes a second.
+    /// Bandwidth of the origin's link, in bytes per second.
     pub origin_bytes_per_s: u64,
-    /// An instance's link in bytes a second, for estimates in plans.
+    /// Bandwidth of an instance's link in bytes per second, for estimates in plans.
     pub link_bytes_per_s: u64,
 }
 
 impl ProfileSettings {
-    /// The most copies the origin's link carries in a spread.
-    pub const MOST_COPIES: u32 = 4;
+    /// Maximum number of copies that are read from the origin when a version is distributed.
+    pub const MAX_COPIES: u32 = 4;
 
-    /// How many halls may draw a copy of their own: one when origin bytes weigh everything, up to
-    /// four when time does.
+    /// Returns how many data halls may each read a copy from the origin: 1 if only origin bytes have weight, up to
+    /// `MAX_COPIES` if only time has weight.
     pub fn origin_copies(&self) -> u32 {
-        let share = self.time_weight / (self.time_weight + self.origin_weight);
-        let copies = (share * f64::from(Self::MOST_COPIES)).round() as u32;
-        copies.clamp(1, Self::MOST_COPIES)
+        let time_share = self.time_weight / (self.time_weight + self.origin_weight);
+        let copies = (time_share * f64::from(Self::MAX_COPIES)).round() as u32;
+        copies.clamp(1, Self::MAX_COPIES)
     }
 }
 
-/// What the daemon does.
+/// The role of the daemon, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoleSettings {
-    /// It takes requests and intents.
+    /// Accepts requests from callers and intents from operators.
     Entry(EntrySettings),
-    /// It stands beside an upstream.
+    /// Runs next to an upstream.
     Agent(AgentSettings),
 }
 
 /// `[entry]`: settings of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntrySettings {
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// The most requests that wait for an upstream.
+    /// Maximum number of requests that wait for an upstream.
     pub queue_limit: u32,
-    /// Seconds a request may take when the caller names no deadline.
+    /// Deadline in seconds of a request whose caller specifies none.
     pub deadline_s: u64,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_limit_bytes: u64,
-    /// The share of first tries that may be tried again, from 0 to 1.
+    /// Maximum ratio of retries to first attempts, from 0 to 1.
     pub retry_share: f64,
-    /// How requests of a kind are treated; `[kind.NAME]`.
+    /// Kinds of requests and how they are handled; `[kind.NAME]`.
     pub kinds: Vec<Kind>,
 }
 
-/// `[kind.NAME]`: requests whose path starts with a prefix.
+/// `[kind.NAME]`: how requests whose path starts with a prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// The name, which stands in logs and metrics.
+    /// The name of the kind in logs and metrics.
     pub name: String,
-    /// The start of the path.
+    /// The path prefix.
     pub path: String,
-    /// The plain service that answers; empty for models.
+    /// The plain service that handles the requests; `None` for models.
     pub service: Option<ServiceName>,
-    /// Whether a request may be run more than once.
+    /// Whether a request may be executed more than once.
     pub repeatable: bool,
-    /// Higher goes first.
+    /// Requests with a higher priority are sent first.
     pub priority: u8,
-    /// How long a request may wait for an upstream, in milliseconds.
+    /// Maximum time that a request waits for an upstream, in milliseconds.
     pub max_wait_ms: u64,
 }
 
 impl Kind {
-    /// How long a request may wait when no kind says otherwise, in milliseconds: with the time for
-    /// the prompt, the first token still comes within 0.36 s.
+    /// Default of `max_wait_ms`, in milliseconds. With the time to process the prompt, the first token still arrives
+    /// within 0.36 s.
     pub const USUAL_WAIT_MS: u64 = 250;
 }
 
 /// `[agent]`: settings of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentSettings {
-    /// Where the upstream listens.
+    /// The address on which the upstream listens.
     pub upstream: SocketAddr,
-    /// The plain service beside it; empty for a model engine.
+    /// The plain service next to the agent; `None` for a model engine.
     pub service: Option<ServiceName>,
-    /// Whether the engine refuses orders of an old epoch itself.
+    /// Whether the engine itself rejects orders with an old epoch.
     pub upstream_checks_fence: bool,
-    /// Where the engine reads staged weights; only the engine beside it connects.
+    /// Listening address from which the engine reads staged weights. Only the engine next to the agent connects to it.
     pub weights_listen: SocketAddr,
-    /// The most requests the upstream takes at once.
+    /// Maximum number of requests that the upstream handles concurrently.
     pub concurrency: u32,
-    /// Memory for weights, in bytes.
+    /// Memory available for weights, in bytes.
     pub memory_bytes: u64,
-    /// The instance's link.
+    /// Bandwidth of the instance's link.
     pub link: LinkSettings,
 }
 
-/// `[link]`: the instance's link and how it is shared.
+/// `[link]`: bandwidth of the instance's link and the part reserved for serving.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkSettings {
-    /// The link up, in bytes a second.
+    /// Upload bandwidth, in bytes per second.
     pub upload_bytes_per_s: u64,
-    /// The link down, in bytes a second.
+    /// Download bandwidth, in bytes per second.
     pub download_bytes_per_s: u64,
-    /// The share kept for serving, in percent.
+    /// Percentage of the bandwidth that is reserved for serving.
     pub serving_percent: u64,
 }
 
 impl LinkSettings {
-    /// What is left of a rate for weights once the share for serving is kept back.
+    /// Returns the part of a bandwidth that is available for weights, without the part reserved for serving.
     pub fn for_weights(&self, bytes_per_s: u64) -> u64 {
         (bytes_per_s * (100 - self.serving_percent) / 100).max(1)
     }
 }
 
-const ADDRESS: &str = "an address such as 127.0.0.1:7400";
-const BYTES: (u64, u64) = (1024, 1 << 50);
-const DEFAULT_MEMORY: u64 = 16 << 30;
-const DEFAULT_LINK: u64 = 1 << 30;
+/// What a fault in an address is reported to expect.
+const EXPECTED_ADDRESS: &str = "an address such as 127.0.0.1:7400";
+/// Lower and upper bound of memory sizes, in bytes, and of bandwidths, in bytes per second.
+const BYTES_BOUNDS: (u64, u64) = (1024, 1 << 50);
+/// Default memory for weights, in bytes.
+const DEFAULT_MEMORY_BYTES: u64 = 16 << 30;
+/// Default bandwidth of a link, in bytes per second.
+const DEFAULT_LINK_BYTES_PER_S: u64 = 1 << 30;
 
 impl Settings {
-    /// Reads settings and reports every fault at once.
+    /// Parses and validates a whole file. All faults are reported together.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         let mut file = File::parse(text)?;
         let node = read_node(&mut file);
@@ -188,20 +192,20 @@
 }
 
 fn read_address(file: &mut File, section: &str, key: &str) -> SocketAddr {
-    let address: Address = file.need(section, key, ADDRESS);
+    let address: RequiredAddress = file.require(section, key, EXPECTED_ADDRESS);
     address.0
 }
 
-/// An address with a default, so that a faulty one does not end the check.
-struct Address(SocketAddr);
+/// A required socket address. Its default is a placeholder, so that the rest of the file is checked after a fault.
+struct RequiredAddress(SocketAddr);
 
-impl Default for Address {
+impl Default for RequiredAddress {
     fn default() -> Self {
         Self(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 }
 
-impl std::str::FromStr for Address {
+impl std::str::FromStr for RequiredAddress {
     type Err = std::net::AddrParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -212,20 +216,20 @@
 fn read_node(file: &mut File) -> NodeSettings {
     let section = "node";
     let place = Place {
-        region: Region(file.need(section, "region", "the name of a region")),
-        hall: Hall(file.need(section, "hall", "the name of a hall")),
+        region: Region(file.require(section, "region", "the name of a region")),
+        hall: Hall(file.require(section, "hall", "the name of a hall")),
     };
-    let level: String = file.with_default(section, "log_level", "info".into(), "a level");
+    let level: String = file.with_default(section, "log_level", "info".into(), "a log level");
     if !["error", "warn", "info", "debug", "trace"].contains(&level.as_str()) {
-        file.complain(section, "log_level", &level, "error, warn, info, debug or trace");
+        file.report_fault(section, "log_level", &level, "error, warn, info, debug or trace");
     }
     NodeSettings {
-        name: InstanceId(file.need(section, "name", "the instance's unique name")),
+        name: InstanceId(file.require(section, "name", "the instance's unique name")),
         place,
         listen: read_address(file, section, "listen"),
         operators: read_address(file, section, "operators"),
-        cluster_key_file: file.need(section, "cluster_key_file", "the path of a key file"),
-        token_file: file.need(section, "token_file", "the path of a token file"),
+        cluster_key_file: file.require(section, "cluster_key_file", "the path of a key file"),
+        token_file: file.require(section, "token_file", "the path of a token file"),
         log_level: level,
         stop_grace_s: file.bounded(section, "stop_grace_s", 60, (0, 3600)),
         control_bytes_per_s: file.bounded(section, "control_bytes_per_s", 3000, (200, 1 << 30)),
@@ -246,25 +250,35 @@
     let profile = ProfileSettings {
         time_weight: file.bounded(section, "time_weight", 1.0, (0.0, 1000.0)),
         origin_weight: file.bounded(section, "origin_weight", 1.0, (0.0, 1000.0)),
-        origin_bytes_per_s: file.bounded(section, "origin_bytes_per_s", DEFAULT_LINK, BYTES),
-        link_bytes_per_s: file.bounded(section, "link_bytes_per_s", DEFAULT_LINK, BYTES),
+        origin_bytes_per_s: file.bounded(
+            section,
+            "origin_bytes_per_s",
+            DEFAULT_LINK_BYTES_PER_S,
+            BYTES_BOUNDS,
+        ),
+        link_bytes_per_s: file.bounded(
+            section,
+            "link_bytes_per_s",
+            DEFAULT_LINK_BYTES_PER_S,
+            BYTES_BOUNDS,
+        ),
     };
     if profile.time_weight + profile.origin_weight <= 0.0 {
         let value = profile.origin_weight.to_string();
-        file.complain(section, "origin_weight", &value, "at least one weight above 0");
+        file.report_fault(section, "origin_weight", &value, "at least one weight above 0");
     }
     profile
 }
 
 fn read_role(file: &mut File) -> RoleSettings {
     let expected = "entry or agent";
-    let role: String = file.need("node", "role", expected);
+    let role: String = file.require("node", "role", expected);
     match role.as_str() {
         "agent" => RoleSettings::Agent(read_agent(file)),
         "entry" => RoleSettings::Entry(read_entry(file)),
         other => {
             if !other.is_empty() {
-                file.complain("node", "role", other, expected);
+                file.report_fault("node", "role", other, expected);
             }
             RoleSettings::Entry(read_entry(file))
         }
@@ -286,9 +300,9 @@
 fn read_kind(file: &mut File, name: &str) -> Kind {
     let section = format!("kind.{name}");
     let service: String = file.with_default(&section, "service", String::new(), "a service");
-    let path: String = file.need(&section, "path", "the start of a path, such as /till/");
+    let path: String = file.require(&section, "path", "a path prefix, such as /till/");
     if !path.is_empty() && !path.starts_with('/') {
-        file.complain(&section, "path", &path, "a path that starts with /");
+        file.report_fault(&section, "path", &path, "a path that starts with /");
     }
     Kind {
         name: name.to_owned(),
@@ -304,25 +318,35 @@
     let section = "agent";
     let service: String = file.with_default(section, "service", String::new(), "a service");
     let service = (!service.is_empty()).then_some(ServiceName(service));
-    let checks = "true or false";
+    let expected = "true or false";
     AgentSettings {
         upstream: read_address(file, section, "upstream"),
-        upstream_checks_fence: file.with_default(section, "upstream_checks_fence", true, checks),
+        upstream_checks_fence: file.with_default(section, "upstream_checks_fence", true, expected),
         weights_listen: match service {
             Some(_) => SocketAddr::from(([127, 0, 0, 1], 0)),
             None => read_address(file, section, "weights_listen"),
         },
         service,
         concurrency: file.bounded(section, "concurrency", 16, (1, 1 << 16)),
-        memory_bytes: file.bounded(section, "memory_bytes", DEFAULT_MEMORY, BYTES),
+        memory_bytes: file.bounded(section, "memory_bytes", DEFAULT_MEMORY_BYTES, BYTES_BOUNDS),
         link: read_link(file),
     }
 }
 
 fn read_link(file: &mut File) -> LinkSettings {
     LinkSettings {
-        upload_bytes_per_s: file.bounded("link", "upload_bytes_per_s", DEFAULT_LINK, BYTES),
-        download_bytes_per_s: file.bounded("link", "download_bytes_per_s", DEFAULT_LINK, BYTES),
+        upload_bytes_per_s: file.bounded(
+            "link",
+            "upload_bytes_per_s",
+            DEFAULT_LINK_BYTES_PER_S,
+            BYTES_BOUNDS,
+        ),
+        download_bytes_per_s: file.bounded(
+            "link",
+            "download_bytes_per_s",
+            DEFAULT_LINK_BYTES_PER_S,
+            BYTES_BOUNDS,
+        ),
         serving_percent: file.bounded("link", "serving_percent", 10, (0, 90)),
     }
 }
--- a/components/settings/src/settings/tests.rs
+++ b/components/settings/src/settings/tests.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 
-const ENTRY: &str = include_str!("../../../../examples/settings/entry.ini");
-const AGENT: &str = include_str!("../../../../examples/settings/agent.ini");
+const ENTRY_EXAMPLE: &str = include_str!("../../../../examples/settings/entry.ini");
+const AGENT_EXAMPLE: &str = include_str!("../../../../examples/settings/agent.ini");
 
 #[test]
-fn can_read_the_example_of_each_role() {
-    let entry = Settings::parse(ENTRY).unwrap();
+fn can_parse_the_example_of_each_role() {
+    let entry = Settings::parse(ENTRY_EXAMPLE).unwrap();
     let RoleSettings::Entry(role) = entry.role else { panic!("not an entry") };
     assert_eq!(role.kinds[0].service, Some(ServiceName("ledger".into())));
     assert!(!role.kinds[0].repeatable);
-    let agent = Settings::parse(AGENT).unwrap();
+    let agent = Settings::parse(AGENT_EXAMPLE).unwrap();
     assert!(matches!(agent.role, RoleSettings::Agent(_)));
 }
 
 #[test]
-fn can_read_the_settings_of_both_deployments() {
+fn can_parse_the_example_settings_of_both_deployments() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/settings/");
     let copies = [("mizani", "ledger", 3), ("authority", "register", 1)];
     for (deployment, service, copies) in copies {
@@ -29,9 +29,10 @@
     }
 }
 
-/// Each settings file of the build that landed last is read, as the same settings as this build's example.
+/// Guards against a change that stops this build from reading the settings files of an earlier build: each of them
+/// must still parse, into the same settings as the example of this build.
 #[test]
-fn can_read_the_settings_of_the_landed_build() {
+fn can_parse_the_settings_files_of_an_earlier_build() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/");
     let read = |path: String| {
         let text = std::fs::read_to_string(&path).unwrap();
@@ -48,14 +49,14 @@
         "authority/runner",
     ];
     for file in files {
-        let landed = read(format!("{root}samples/3667619/{}.ini", file.replace('/', "-")));
-        assert_eq!(landed, read(format!("{root}../../examples/settings/{file}.ini")), "{file}");
+        let earlier = read(format!("{root}samples/3667619/{}.ini", file.replace('/', "-")));
+        assert_eq!(earlier, read(format!("{root}../../examples/settings/{file}.ini")), "{file}");
     }
 }
 
 #[test]
-fn errors_on_every_fault_at_once() {
-    let text = AGENT
+fn reports_all_faults_together() {
+    let text = AGENT_EXAMPLE
         .replace("listen = 127.0.0.1:7410", "listen = nowhere")
         .replace("concurrency = 16", "concurrency = 0")
         .replace("log_level = info", "log_level = loud")
@@ -66,13 +67,13 @@
 }
 
 #[test]
-fn errors_on_a_section_nobody_asks_for() {
-    let faults = Settings::parse(&format!("{AGENT}\n[typo]\nkey = 1\n")).unwrap_err().0;
+fn reports_an_unknown_section() {
+    let faults = Settings::parse(&format!("{AGENT_EXAMPLE}\n[typo]\nkey = 1\n")).unwrap_err().0;
     assert_eq!(faults[0].section, "typo");
 }
 
 #[test]
-fn can_keep_a_share_of_the_link_for_serving() {
+fn reserves_a_share_of_the_link_for_serving() {
     let link = LinkSettings { upload_bytes_per_s: 1, download_bytes_per_s: 1, serving_percent: 25 };
     assert_eq!(link.for_weights(1000), 750);
 }
--- a/components/settings/tests/deployment.rs
+++ b/components/settings/tests/deployment.rs
@@ -1,15 +1,15 @@
-//! Settings of gateways and sidecars, and the templates that the platform fills.
+//! Tests of the settings of gateways and sidecars, and of the templates that the platform fills in.
 
 use fleet::{Hall, Region};
 use settings::{ColdSettings, DeploymentRole, DeploymentSettings};
 
-const GATEWAY: &str = include_str!("../../../platform/gateway.ini");
-const SIDECAR: &str = include_str!("../../../platform/sidecar.ini");
-/// The templates of the build that landed last.
-const LANDED_GATEWAY: &str = include_str!("../samples/3667619/gateway.ini");
-const LANDED_SIDECAR: &str = include_str!("../samples/3667619/sidecar.ini");
+const GATEWAY_TEMPLATE: &str = include_str!("../../../platform/gateway.ini");
+const SIDECAR_TEMPLATE: &str = include_str!("../../../platform/sidecar.ini");
+/// The templates of an earlier build.
+const EARLIER_GATEWAY_TEMPLATE: &str = include_str!("../samples/3667619/gateway.ini");
+const EARLIER_SIDECAR_TEMPLATE: &str = include_str!("../samples/3667619/sidecar.ini");
 
-/// Fills a template with a few fields as the platform would.
+/// Fills in the placeholders of a template as the platform does.
 fn fill(template: &str) -> String {
     let zones = "{{#zones}}{{@}}={{.}}{{,}}{{/zones}}";
     let fields = [
@@ -41,25 +41,28 @@
         ("{{bounds.coldOverrun}}", ""),
         ("{{bounds.coldSlack}}", ""),
     ];
-    fields.iter().fold(template.to_owned(), |text, (gap, value)| text.replace(gap, value))
+    fields
+        .iter()
+        .fold(template.to_owned(), |text, (placeholder, value)| text.replace(placeholder, value))
 }
 
 #[test]
-fn the_templates_hold_settings_that_can_be_read() {
-    let gateway = DeploymentSettings::parse(&fill(GATEWAY)).unwrap();
+fn the_filled_templates_can_be_parsed() {
+    let gateway = DeploymentSettings::parse(&fill(GATEWAY_TEMPLATE)).unwrap();
     assert_eq!(gateway.gateway().unwrap().callers.port(), 8005);
     assert_eq!(gateway.node.link_bytes_per_s, 950_000);
     assert_eq!(gateway.node.halls.get(&Hall::from("b")), Some(&Region::from("south")));
     assert_eq!(gateway.bounds.repeat_allowance, 106.0);
-    let sidecar = DeploymentSettings::parse(&fill(SIDECAR)).unwrap();
+    let sidecar = DeploymentSettings::parse(&fill(SIDECAR_TEMPLATE)).unwrap();
     assert_eq!(sidecar.sidecar().unwrap().service, "s1".into());
     assert!(matches!(sidecar.role, DeploymentRole::Sidecar(_)));
 }
 
-/// Each key of the landed build's templates is still read, with the same value.
+/// Guards against a change that stops this build from reading the templates of an earlier build: each of their keys
+/// must still be read with the same value.
 #[test]
-fn the_templates_of_the_landed_build_are_read_as_it_read_them() {
-    let text = fill(LANDED_GATEWAY)
+fn the_templates_of_an_earlier_build_are_parsed_into_the_same_values() {
+    let text = fill(EARLIER_GATEWAY_TEMPLATE)
         .replace("evacuate_ms =", "evacuate_ms = 5000")
         .replace("cold_overrun =", "cold_overrun = 1.5")
         .replace("cold_slack =", "cold_slack = 5");
@@ -85,23 +88,23 @@
     assert_eq!((bounds.repeat_ratio, bounds.repeat_allowance), (0.2, 106.0));
     assert_eq!(bounds.evacuate_ms, Some(5000));
     assert_eq!(bounds.cold, Some(ColdSettings { overrun: 1.5, slack: 5.0 }));
-    let sidecar = DeploymentSettings::parse(&fill(LANDED_SIDECAR)).unwrap();
+    let sidecar = DeploymentSettings::parse(&fill(EARLIER_SIDECAR_TEMPLATE)).unwrap();
     let role = sidecar.sidecar().unwrap();
     assert_eq!((role.runner.to_string().as_str(), &role.service), ("10.1.0.40:8001", &"s1".into()));
     assert_eq!(sidecar.bounds.evacuate_ms, None);
 }
 
 #[test]
-fn a_gap_that_the_platform_left_empty_is_a_fault() {
-    let text = fill(GATEWAY).replace("callers = 10.1.0.40:8005", "callers = ");
+fn a_placeholder_that_the_platform_left_empty_is_a_fault() {
+    let text = fill(GATEWAY_TEMPLATE).replace("callers = 10.1.0.40:8005", "callers = ");
     let faults = DeploymentSettings::parse(&text).unwrap_err();
     assert_eq!(faults.0.len(), 1, "{faults}");
     assert_eq!((faults.0[0].section.as_str(), faults.0[0].key.as_str()), ("gateway", "callers"));
 }
 
 #[test]
-fn every_fault_is_reported_at_once() {
-    let text = fill(SIDECAR)
+fn all_faults_are_reported_together() {
+    let text = fill(SIDECAR_TEMPLATE)
         .replace("first_port = 7700", "first_port = none")
         .replace("repeat_ratio = 0.2", "repeat_ratio = -1")
         .replace("[store]", "[store]\nspeed = 3");
@@ -110,9 +113,10 @@
     assert_eq!(keys, ["first_port", "repeat_ratio", "speed"], "{faults}");
 }
 
-/// The rates of the store and the bounds are the platform's to say: a guess would be in force unnoticed.
+/// The platform defines the rate limits of the store and the bounds. A default in place of a missing one would be used
+/// without anyone noticing.
 #[test]
-fn a_rate_or_a_bound_that_is_missing_is_a_fault() {
+fn a_missing_rate_limit_or_bound_is_a_fault() {
     for key in [
         "writes_per_s",
         "reads_per_s",
@@ -125,7 +129,7 @@
         "repeat_window_s",
         "repeat_allowance",
     ] {
-        let text = fill(GATEWAY);
+        let text = fill(GATEWAY_TEMPLATE);
         let kept: Vec<&str> = text.lines().filter(|line| !line.starts_with(key)).collect();
         let faults = DeploymentSettings::parse(&kept.join("\n")).unwrap_err();
         let missing: Vec<&str> = faults.0.iter().map(|it| it.key.as_str()).collect();
@@ -134,10 +138,10 @@
 }
 
 #[test]
-fn bounds_of_evacuations_and_cold_starts_may_be_absent_or_empty() {
-    let bounds = DeploymentSettings::parse(&fill(GATEWAY)).unwrap().bounds;
+fn evacuation_and_cold_start_bounds_may_be_absent_or_empty() {
+    let bounds = DeploymentSettings::parse(&fill(GATEWAY_TEMPLATE)).unwrap().bounds;
     assert_eq!((bounds.evacuate_ms, bounds.cold), (None, None));
-    let filled = fill(GATEWAY)
+    let filled = fill(GATEWAY_TEMPLATE)
         .replace("evacuate_ms =", "evacuate_ms = 5000")
         .replace("cold_overrun =", "cold_overrun = 1.5")
         .replace("cold_slack =", "cold_slack = 5");
@@ -147,8 +151,8 @@
 }
 
 #[test]
-fn an_evacuated_hall_is_left_by_the_time_at_which_a_process_that_woke_is_bound_again() {
-    let mut bounds = DeploymentSettings::parse(&fill(GATEWAY)).unwrap().bounds;
+fn an_evacuated_hall_is_left_before_the_bounds_apply_again_to_a_resumed_process() {
+    let mut bounds = DeploymentSettings::parse(&fill(GATEWAY_TEMPLATE)).unwrap().bounds;
     assert_eq!(bounds.leave_ms(), None);
     (bounds.contact_ms, bounds.evacuate_ms) = (4000, Some(5000));
     assert_eq!(bounds.leave_ms(), Some(5000));
@@ -157,40 +161,44 @@
 }
 
 #[test]
-fn one_bound_of_cold_starts_without_the_other_is_a_fault() {
-    let text = fill(GATEWAY).replace("cold_overrun =", "cold_overrun = 1.5");
+fn one_cold_start_bound_without_the_other_is_a_fault() {
+    let text = fill(GATEWAY_TEMPLATE).replace("cold_overrun =", "cold_overrun = 1.5");
     let faults = DeploymentSettings::parse(&text).unwrap_err();
     assert_eq!(faults.0[0].key, "cold_slack");
 }
 
 #[test]
-fn the_rates_of_the_store_are_the_platforms() {
-    let settings = DeploymentSettings::parse(&fill(SIDECAR)).unwrap();
+fn the_store_rate_limits_are_those_of_the_platform() {
+    let settings = DeploymentSettings::parse(&fill(SIDECAR_TEMPLATE)).unwrap();
     assert_eq!((settings.store.writes_per_s, settings.store.reads_per_s), (400, 2000));
 }
 
 #[test]
-fn the_settings_of_a_fleet_of_our_own_are_told_apart() {
-    assert!(DeploymentSettings::is_meant(GATEWAY) && DeploymentSettings::is_meant(SIDECAR));
+fn settings_of_a_fleet_daemon_are_not_taken_for_deployment_settings() {
+    assert!(
+        DeploymentSettings::is_meant(GATEWAY_TEMPLATE)
+            && DeploymentSettings::is_meant(SIDECAR_TEMPLATE)
+    );
     assert!(!DeploymentSettings::is_meant("[node]\nrole = entry\n[entry]\n"));
 }
 
 #[test]
-fn mechanisms_are_switched_off_in_a_section_of_their_own() {
-    let plain = DeploymentSettings::parse(&fill(GATEWAY)).unwrap();
+fn the_ablation_section_disables_mechanisms() {
+    let plain = DeploymentSettings::parse(&fill(GATEWAY_TEMPLATE)).unwrap();
     assert!(plain.ablation.is_empty());
-    let text = fill(GATEWAY) + "\n[ablation]\nwithout = turns\n";
+    let text = fill(GATEWAY_TEMPLATE) + "\n[ablation]\nwithout = turns\n";
     let settings = DeploymentSettings::parse(&text).unwrap();
     assert!(!settings.ablation.keeps(fleet::Mechanism::Turns));
-    let text = fill(GATEWAY) + "\n[ablation]\nwithout = luck\n";
+    let text = fill(GATEWAY_TEMPLATE) + "\n[ablation]\nwithout = luck\n";
     let faults = DeploymentSettings::parse(&text).unwrap_err();
     assert!(faults.to_string().contains("luck"));
 }
 
 #[test]
-fn a_log_level_that_does_not_exist_is_a_fault() {
-    let with =
-        |level: &str| fill(GATEWAY).replace("[node]", &format!("[node]\nlog_level = {level}"));
+fn an_unknown_log_level_is_a_fault() {
+    let with = |level: &str| {
+        fill(GATEWAY_TEMPLATE).replace("[node]", &format!("[node]\nlog_level = {level}"))
+    };
     let faults = DeploymentSettings::parse(&with("loud")).unwrap_err();
     assert_eq!(faults.0.len(), 1, "{faults}");
     for level in ["off", "error", "warn", "info", "debug", "trace", "INFO"] {
--- a/components/settings/tests/reload.rs
+++ b/components/settings/tests/reload.rs
@@ -1,4 +1,4 @@
-//! What a changed settings file changes in a process that runs.
+//! Tests of applying a changed settings file to a running process.
 
 use settings::DeploymentSettings;
 
@@ -41,12 +41,12 @@
 without = ranks
 ";
 
-fn read(text: &str) -> DeploymentSettings {
+fn parse(text: &str) -> DeploymentSettings {
     DeploymentSettings::parse(text).unwrap()
 }
 
-/// A file in which one key has another value that can be read too.
-fn with_another(key: &str) -> String {
+/// Returns the file with another valid value for one key.
+fn with_changed_value(key: &str) -> String {
     let change = |line: &str| {
         let Some((name, value)) = line.split_once(" = ") else {
             return line.to_owned();
@@ -71,48 +71,49 @@
     FILE.lines().map(|line| change(line) + "\n").collect()
 }
 
-fn keys() -> impl Iterator<Item = &'static str> {
+fn file_keys() -> impl Iterator<Item = &'static str> {
     FILE.lines().filter_map(|line| line.split_once(" = ")).map(|(key, _)| key)
 }
 
-/// A key that is in no file here could change unseen.
+/// Guards against a template key that the other tests here do not cover.
 #[test]
-fn every_key_that_the_platform_fills_is_in_the_file_of_these_tests() {
+fn every_template_key_is_in_the_test_file() {
     let template = include_str!("../../../platform/gateway.ini");
-    let filled = template.lines().filter_map(|line| line.split_once(" = ")).map(|(key, _)| key);
-    let missing: Vec<_> = filled.filter(|key| !keys().any(|it| it == *key)).collect();
+    let template_keys =
+        template.lines().filter_map(|line| line.split_once(" = ")).map(|(key, _)| key);
+    let missing: Vec<_> = template_keys.filter(|key| !file_keys().any(|it| it == *key)).collect();
     assert!(missing.is_empty(), "{missing:?}");
 }
 
 #[test]
-fn a_file_that_has_not_changed_changes_nothing() {
-    let reload = read(FILE).reload(&read(FILE));
+fn an_unchanged_file_changes_nothing() {
+    let reload = parse(FILE).reload(&parse(FILE));
     assert!(reload.applied.is_empty() && reload.refused.is_empty());
 }
 
 #[test]
-fn every_key_that_changes_is_either_applied_or_refused_by_its_name() {
-    for key in keys() {
-        let (old, new) = (read(FILE), read(&with_another(key)));
+fn every_changed_key_is_reported_by_name_as_applied_or_refused() {
+    for key in file_keys() {
+        let (old, new) = (parse(FILE), parse(&with_changed_value(key)));
         assert_ne!(old, new, "{key}");
         let reload = old.reload(&new);
-        let told: Vec<_> = reload.applied.iter().chain(&reload.refused).collect();
-        // Two sections have an address.
+        let reported: Vec<_> = reload.applied.iter().chain(&reload.refused).collect();
+        // `address` is a key of two sections, and both change.
         let expected = if key == "address" { 2 } else { 1 };
-        assert_eq!(told.len(), expected, "{key}: {told:?}");
+        assert_eq!(reported.len(), expected, "{key}: {reported:?}");
         let is_role = ["callers", "readiness"].contains(&key);
-        assert!(is_role || told[0].key.contains(key), "{key}: {told:?}");
-        // What is applied is in force, what is refused is not.
+        assert!(is_role || reported[0].key.contains(key), "{key}: {reported:?}");
+        // Applied values are in the new settings, refused values are not.
         let expected = if reload.refused.is_empty() { &new } else { &old };
         assert_eq!(&reload.settings, expected, "{key}");
     }
 }
 
 #[test]
-fn bounds_and_logs_change_at_once_while_addresses_and_names_stay() {
-    let changes_at_once =
-        |key: &str| !read(FILE).reload(&read(&with_another(key))).applied.is_empty();
-    let live = [
+fn bounds_and_log_settings_are_applied_while_addresses_and_names_need_a_restart() {
+    let is_applied =
+        |key: &str| !parse(FILE).reload(&parse(&with_changed_value(key))).applied.is_empty();
+    let reloadable = [
         "log_level",
         "log_lines_per_s",
         "grace_s",
@@ -120,16 +121,16 @@
         "repeat_allowance",
         "evacuate_ms",
     ];
-    assert!(live.into_iter().all(changes_at_once));
-    let fixed = ["name", "hall", "address", "callers", "contact_ms", "without"];
-    assert!(!fixed.into_iter().any(changes_at_once));
+    assert!(reloadable.into_iter().all(is_applied));
+    let requires_restart = ["name", "hall", "address", "callers", "contact_ms", "without"];
+    assert!(!requires_restart.into_iter().any(is_applied));
 }
 
 #[test]
-fn a_change_of_both_kinds_applies_the_one_and_refuses_the_other() {
+fn a_file_with_both_kinds_of_changes_is_applied_in_part() {
     let text =
         FILE.replace("version_ms = 8000", "version_ms = 9000").replace("hall = a\n", "hall = b\n");
-    let reload = read(FILE).reload(&read(&text));
+    let reload = parse(FILE).reload(&parse(&text));
     assert_eq!(reload.settings.bounds.version_ms, 9000);
     assert_eq!(reload.settings.node.place.hall, "a".into());
     assert_eq!((reload.applied.len(), reload.refused.len()), (1, 1));
