--- a/components/telemetry/src/bounded.rs
+++ b/components/telemetry/src/bounded.rs
@@ -1,4 +1,4 @@
-//! Logs that never hold a process up: bounded in number, written by a thread of their own.
+//! Rate-limited logging that never blocks the process: a separate thread writes the lines.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,56 +11,58 @@
 use log::{Level, LevelFilter, Record};
 use serde_json::json;
 
-use crate::allowance::{Allowance, LineKind};
 use crate::logs::{render, unix_millis};
+use crate::token_bucket::{LineKind, TokenBucket};
 
-/// The target of lines that are JSON already.
+/// The log target of records whose message already is a line of JSON.
 pub const REQUEST_TARGET: &str = "request";
-/// Lines that wait for the writer.
-const QUEUE: usize = 512;
-/// How often the log says how many lines were dropped.
-const TELL_DROPPED_EVERY: Duration = Duration::from_secs(1);
+/// Maximum number of lines that wait for the writer thread.
+const QUEUE_LINES: usize = 512;
+/// Minimum interval between two log lines that report the number of dropped lines.
+const DROPPED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many lines were dropped, for want of allowance or of a reader.
+/// Number of lines dropped because the rate limit was reached or the queue was full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines dropped since the start.
+/// Returns the number of lines dropped since the process started.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// The logs of the process, to change how much they say.
+/// A handle that changes the level and the rate limit of the logs.
 pub struct BoundedLogs {
-    allowance: Arc<Mutex<Allowance>>,
+    bucket: Arc<Mutex<TokenBucket>>,
 }
 
 impl BoundedLogs {
-    /// Changes the lowest level that is written and the most lines a second: both, or neither on an error.
+    /// Changes the least severe level that is written and the maximum number of lines per second. On an error, neither
+    /// is changed.
     pub fn set(&self, level: &str, lines_per_s: u32) -> Result<()> {
-        let level = read_level(level)?;
-        let poisoned = |_| Error::new(Code::Internal, "the allowance of lines is lost");
-        self.allowance.lock().map_err(poisoned)?.set(lines_per_s);
+        let level = parse_level(level)?;
+        let poisoned =
+            |_| Error::new(Code::Internal, "the lock of the log rate limiter is poisoned");
+        self.bucket.lock().map_err(poisoned)?.set_rate(lines_per_s);
         log::set_max_level(level);
         Ok(())
     }
 }
 
-fn read_level(level: &str) -> Result<LevelFilter> {
+fn parse_level(level: &str) -> Result<LevelFilter> {
     level.parse().map_err(|_| Error::new(Code::BadSettings, "unknown log level"))
 }
 
-/// Starts logging for the process: JSON lines on standard output, at most `lines_per_s` a second. A
-/// reader that stops reading costs lines and nothing else.
+/// Starts logging for the process: JSON lines on standard output, at most `lines_per_s` per second. If standard output
+/// blocks because its reader has stopped, lines are dropped and the process continues.
 pub fn start_bounded_logs(instance: &str, level: &str, lines_per_s: u32) -> Result<BoundedLogs> {
-    let level = read_level(level)?;
-    let (sender, receiver) = sync_channel(QUEUE);
+    let level = parse_level(level)?;
+    let (sender, receiver) = sync_channel(QUEUE_LINES);
     let name = instance.to_owned();
     thread::Builder::new()
         .name("log-writer".into())
-        .spawn(move || write(&name, &receiver))
+        .spawn(move || write_lines(&name, &receiver))
         .map_err(|error| Error::new(Code::Internal, error.to_string()))?;
-    let allowance = Arc::new(Mutex::new(Allowance::new(Instant::now(), lines_per_s)));
-    let logs = BoundedLogs { allowance: allowance.clone() };
+    let bucket = Arc::new(Mutex::new(TokenBucket::new(Instant::now(), lines_per_s)));
+    let logs = BoundedLogs { bucket: bucket.clone() };
     let instance = instance.to_owned();
     fern::Dispatch::new()
         .format(move |out, message, record| {
@@ -71,25 +73,25 @@
                 out.finish(format_args!("{line}"));
             }
         })
-        .chain(fern::Output::call(move |record| pass_on(record, &sender, &allowance)))
+        .chain(fern::Output::call(move |record| enqueue(record, &sender, &bucket)))
         .apply()
         .map_err(|error| Error::new(Code::Internal, error.to_string()))?;
     log::set_max_level(level);
     Ok(logs)
 }
 
-fn pass_on(record: &Record<'_>, sender: &SyncSender<String>, allowance: &Mutex<Allowance>) {
-    let kind = kind(record);
-    let allowed = allowance.lock().is_ok_and(|mut it| it.take(Instant::now(), kind));
-    let sent = allowed
+fn enqueue(record: &Record<'_>, sender: &SyncSender<String>, bucket: &Mutex<TokenBucket>) {
+    let kind = line_kind(record);
+    let allowed = bucket.lock().is_ok_and(|mut it| it.try_take(Instant::now(), kind));
+    let enqueued = allowed
         && !matches!(sender.try_send(record.args().to_string()), Err(TrySendError::Full(_)));
-    if !sent {
+    if !enqueued {
         DROPPED.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// What a line tells of.
-fn kind(record: &Record<'_>) -> LineKind {
+/// Classifies a log record by its target and level.
+fn line_kind(record: &Record<'_>) -> LineKind {
     match (record.target(), record.level()) {
         (REQUEST_TARGET, Level::Error | Level::Warn) => LineKind::FailedRequest,
         (REQUEST_TARGET, _) => LineKind::Request,
@@ -97,10 +99,10 @@
     }
 }
 
-/// Writes lines for as long as the process runs, as many at once as wait, and says what was dropped.
-fn write(instance: &str, receiver: &Receiver<String>) {
-    let mut told = 0;
-    let mut told_at = Instant::now();
+/// Writes all queued lines at once, for as long as the process runs, and reports how many lines were dropped.
+fn write_lines(instance: &str, receiver: &Receiver<String>) {
+    let mut reported = 0;
+    let mut reported_at = Instant::now();
     while let Ok(first) = receiver.recv() {
         let mut text = first + "\n";
         for line in receiver.try_iter() {
@@ -108,14 +110,14 @@
             text.push('\n');
         }
         let dropped = dropped_lines();
-        if dropped > told && told_at.elapsed() >= TELL_DROPPED_EVERY {
-            told_at = Instant::now();
+        if dropped > reported && reported_at.elapsed() >= DROPPED_REPORT_INTERVAL {
+            reported_at = Instant::now();
             let line = json!({
                 "ts_ms": unix_millis(), "level": "WARN", "instance": instance,
-                "message": "lines dropped", "lines": dropped - told,
+                "message": "lines dropped", "lines": dropped - reported,
             });
             text.push_str(&format!("{line}\n"));
-            told = dropped;
+            reported = dropped;
         }
         let _ = std::io::stdout().write_all(text.as_bytes());
     }
--- a/components/telemetry/src/crashes.rs
+++ b/components/telemetry/src/crashes.rs
@@ -1,10 +1,11 @@
-//! Logs and counts what is known of requests that runners crash under. As warnings: the log keeps room for them.
+//! Logs and counts requests that crash runners. Crashes and quarantines are warnings of the process, for which the log
+//! reserves part of its rate limit.
 
 use quarantine::{CrashChange, CrashNews};
 
 use crate::metrics::Metrics;
 
-/// Logs and counts what was found or heard.
+/// Logs and counts a crash or a status change that this process found or another one reported.
 pub fn note_crash(metrics: &Metrics, news: &CrashNews) {
     match news {
         CrashNews::Crashed { digest, runner, crashes } => {
@@ -16,7 +17,7 @@
     }
 }
 
-/// Logs and counts that the status of a request has changed.
+/// Logs and counts a change of a request's status.
 pub fn note_crash_change(metrics: &Metrics, change: &CrashChange, is_own: bool) {
     match change {
         CrashChange::Quarantined(digest) => {
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,10 +1,10 @@
 //! Structured logs and metrics.
 
-mod allowance;
 mod bounded;
 mod crashes;
 mod logs;
 mod metrics;
+mod token_bucket;
 
 pub use bounded::{dropped_lines, start_bounded_logs, BoundedLogs, REQUEST_TARGET};
 pub use crashes::{note_crash, note_crash_change};
--- a/components/telemetry/src/logs.rs
+++ b/components/telemetry/src/logs.rs
@@ -7,7 +7,7 @@
 use log::{LevelFilter, Record};
 use serde_json::{Map, Value};
 
-/// Starts logging for the process: one JSON object a line on standard error.
+/// Starts logging for the process: one JSON object per line on standard error.
 pub fn start_logs(instance: &str, level: &str) -> Result<()> {
     let level: LevelFilter =
         level.parse().map_err(|_| Error::new(Code::BadSettings, "unknown log level"))?;
@@ -22,7 +22,7 @@
         .map_err(|error| Error::new(Code::Internal, error.to_string()))
 }
 
-/// One line: time, level, instance, module, message, then the fields of the record.
+/// Renders a log line with time, level, instance, module and message, followed by the key-value pairs of the record.
 pub(crate) fn render(instance: &str, message: &str, record: &Record<'_>) -> Value {
     let mut line = Map::new();
     line.insert("ts_ms".into(), unix_millis().into());
@@ -30,19 +30,21 @@
     line.insert("instance".into(), instance.into());
     line.insert("module".into(), record.target().into());
     line.insert("message".into(), message.into());
-    let _ = record.key_values().visit(&mut Fields(&mut line));
+    let _ = record.key_values().visit(&mut FieldCopier(&mut line));
     Value::Object(line)
 }
 
-/// The time of day, in milliseconds.
+/// Returns the Unix time, in milliseconds.
 pub fn unix_millis() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
-/// Copies the fields of a record into the line.
-struct Fields<'a>(&'a mut Map<String, Value>);
+/// Copies the key-value pairs of a record into the line.
+struct FieldCopier<'a>(&'a mut Map<String, Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldCopier<'_> {
     fn visit_pair(&mut self, key: kv::Key<'kvs>, value: kv::Value<'kvs>) -> Result<(), kv::Error> {
         let value = match value.to_u64() {
             Some(number) => number.into(),
--- a/components/telemetry/src/logs/tests.rs
+++ b/components/telemetry/src/logs/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn can_render_fields_as_json() {
+fn renders_key_value_pairs_as_json() {
     let fields = [("request", kv::Value::from("1-2")), ("code", kv::Value::from(105u64))];
     let record = Record::builder().key_values(&fields).level(log::Level::Warn).build();
     let line = render("agent-1", "refused", &record);
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a daemon, in the text format that scrapers expect.
+//! Metrics of a daemon, rendered in the Prometheus text format.
 
 use errors::{Code, Error, Result};
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
@@ -6,26 +6,26 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// A span of time that is measured.
+/// A measured duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Span {
-    /// From the arrival of a request to the first byte of its answer.
+    /// From the arrival of a request to the first byte of its response.
     First,
-    /// Between two events of a stream.
+    /// Between two successive events of a stream.
     Gap,
-    /// From the arrival of a request to the end of its answer.
+    /// From the arrival of a request to the end of its response.
     Whole,
-    /// From the arrival of a request to its first place at a runner.
+    /// From the arrival of a request to its first reservation at a runner.
     Queue,
-    /// From the sending of a request to the head of the runner's answer.
+    /// From sending a request to a runner to receiving its response headers.
     Runner,
-    /// A call to the platform's store, the wait of a feed apart.
+    /// A call to the platform's store, except for the time that a feed call waits for changes.
     Store,
 }
 
 impl Span {
-    /// Its name in the metrics.
-    fn name(self) -> &'static str {
+    /// Returns the name of the duration in the metrics.
+    fn metric_name(self) -> &'static str {
         match self {
             Self::First => "first_byte",
             Self::Gap => "event_gap",
@@ -37,13 +37,14 @@
     }
 }
 
-/// Upper bounds of the classes of spans, in seconds.
-const SPAN_BOUNDS: [f64; 12] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
+/// Upper bounds of the histogram buckets for durations, in seconds.
+const SPAN_BUCKETS_S: [f64; 12] =
+    [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
 /// The metrics of one daemon.
 pub struct Metrics {
     registry: Registry,
-    // Dropping the provider would stop the export.
+    // Kept alive because dropping the provider stops the export.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     refusals: Counter<u64>,
@@ -67,7 +68,7 @@
 }
 
 impl Metrics {
-    /// Starts an empty set of metrics.
+    /// Creates the metrics and their exporter.
     pub fn start() -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -157,7 +158,7 @@
                 .f64_histogram("silverdock_span")
                 .with_unit("s")
                 .with_description("How long things took, by what")
-                .with_boundaries(SPAN_BOUNDS.to_vec())
+                .with_boundaries(SPAN_BUCKETS_S.to_vec())
                 .build(),
             gauges: meter
                 .u64_gauge("silverdock_state")
@@ -173,32 +174,32 @@
         self.requests.add(1, &[kind, KeyValue::new("outcome", outcome.to_owned())]);
     }
 
-    /// Counts something refused, by its code.
+    /// Counts a rejected request, by its code.
     pub fn count_refusal(&self, code: Code) {
         self.refusals.add(1, &[KeyValue::new("reason", code.name())]);
     }
 
-    /// Counts a place at a runner that was not given, by the reason.
+    /// Counts a denied reservation at a runner, by the reason.
     pub fn count_denial(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts something tried again, by the code of the try before.
+    /// Counts a retry, by the code of the preceding failure.
     pub fn count_retry(&self, code: Code) {
         self.retries.add(1, &[KeyValue::new("reason", code.name())]);
     }
 
-    /// Counts an attempt that was sent, or could not be, and did not end in an answer, by its code.
+    /// Counts an attempt that could not be sent or did not end in a response, by its code.
     pub fn count_failed_attempt(&self, code: Code) {
         self.failed_attempts.add(1, &[KeyValue::new("reason", code.name())]);
     }
 
-    /// Counts a chunk, by what became of it: `origin`, `peer`, `sent` or the name of a code.
+    /// Counts a chunk by its outcome: read from the `origin` or a `peer`, `sent` to a peer, or the name of a code.
     pub fn count_chunk(&self, outcome: &'static str) {
         self.chunks.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts bytes that control messages cost, by direction.
+    /// Counts bytes of control messages, by direction.
     pub fn count_control(&self, direction: &'static str, bytes: u64) {
         self.control_bytes.add(bytes, &[KeyValue::new("direction", direction)]);
     }
@@ -209,70 +210,73 @@
         self.platform_calls.add(1, &[service, KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts bytes of a table of the platform's store, by what they were read for: a `listing` or a `feed`.
+    /// Counts bytes read from a table of the platform's store, by cause: a `listing` or a `feed`.
     pub fn count_store_bytes(&self, table: &'static str, cause: &'static str, bytes: u64) {
         let table = KeyValue::new("table", table);
         self.store_bytes.add(bytes, &[table, KeyValue::new("cause", cause)]);
     }
 
-    /// Counts an evacuation of a data hall that `began` or `ended`.
+    /// Counts a data hall evacuation that `began` or `ended`.
     pub fn count_evacuation(&self, change: &'static str) {
         self.evacuations.add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// Counts a runner that crashed under a request, or a request whose status changed: `crashed`, `quarantined` or `cleared`.
+    /// Counts a runner that `crashed` while it executed a request, or a request that was `quarantined` or `cleared`.
     pub fn count_crash(&self, what: &'static str) {
         self.crashes.add(1, &[KeyValue::new("what", what)]);
     }
 
-    /// Counts a word about a runner that is not of the life that is known: `began`, `earlier` or `untold`.
+    /// Counts a report about a runner whose process start differs from the known one: the runner has restarted
+    /// (`began`), the report is from before the known start (`earlier`), or it no longer states a start (`untold`).
     pub fn count_life(&self, change: &'static str) {
         self.lives.add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// Counts an answer in which a runner says what it takes: `leaving`, `rest` or `limit`.
+    /// Counts a response in which a runner restricts its load: it is `leaving`, asks for a pause (`rest`), or
+    /// advertises a rate `limit`.
     pub fn count_runner_word(&self, word: &'static str) {
         self.runner_words.add(1, &[KeyValue::new("word", word)]);
     }
 
-    /// Counts a connection that was closed on a caller who did not read: `stalled`, `late` or `memory`.
+    /// Counts a connection that was closed because the caller did not read, by the reason: `stalled`, `late` or
+    /// `memory`.
     pub fn count_slow_reader(&self, reason: &'static str) {
         self.slow_readers.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts that the platform's store came back from an older copy.
+    /// Counts that the platform's store was restored from an older copy.
     pub fn count_era(&self) {
         self.eras.add(1, &[]);
     }
 
-    /// Counts a message of another build that was passed over: a `datagram`, `request` or `answer`, or only what rides
-    /// behind one as `additions`.
+    /// Counts a message of another build that was ignored: a whole `datagram`, `request` or `answer`, or only the
+    /// `additions` that are appended to one.
     pub fn count_foreign_message(&self, kind: &'static str) {
         self.foreign_messages.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts that the machine was suspended.
+    /// Counts a suspension of the machine.
     pub fn count_suspension(&self) {
         self.suspensions.add(1, &[]);
     }
 
-    /// Counts a setting of a file that was read again: `applied`, `refused` until the next start, or a whole file
-    /// that is `faulty` or `unreadable`.
+    /// Counts a changed setting of a reloaded file that was `applied`, or `refused` because it requires a restart; or a
+    /// whole file that is `faulty` or `unreadable`.
     pub fn count_setting(&self, outcome: &'static str) {
         self.settings.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes how long something took, in milliseconds.
+    /// Records a duration, in milliseconds.
     pub fn note_span(&self, span: Span, millis: u64) {
-        self.spans.record(millis as f64 / 1000.0, &[KeyValue::new("what", span.name())]);
+        self.spans.record(millis as f64 / 1000.0, &[KeyValue::new("what", span.metric_name())]);
     }
 
-    /// Sets a gauge, by name.
+    /// Sets the gauge with this name.
     pub fn set(&self, name: &'static str, value: u64) {
         self.gauges.record(value, &[KeyValue::new("name", name)]);
     }
 
-    /// Renders everything in the text format of scrapers.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         let families = self.registry.gather();
--- a/components/telemetry/src/metrics/tests.rs
+++ b/components/telemetry/src/metrics/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn can_render_a_counter_for_each_reason() {
+fn renders_a_separate_counter_for_each_reason() {
     let metrics = Metrics::start().unwrap();
     metrics.count_refusal(Code::Leaving);
     metrics.count_refusal(Code::Leaving);
