--- a/components/settings/src/file.rs
+++ b/components/settings/src/file.rs
@@ -8,7 +8,8 @@
 
 use crate::{Fault, Faults};
 
-/// A settings file that is being read. Reading a key marks it as known; keys that are never read are reported as faults.
+/// A settings file that is being read. Reading a key marks it as known; keys that are never read are reported as
+/// faults.
 pub(crate) struct File {
     sections: BTreeMap<String, BTreeMap<String, String>>,
     known: BTreeSet<(String, String)>,
