--- a/components/settings/src/deployment.rs
+++ b/components/settings/src/deployment.rs
@@ -6,7 +6,7 @@
 
 use fleet::{Ablation, Evacuations, Hall, InstanceId, Place, Region, ServiceName};
 
-use crate::file::File;
+use crate::file::IniFile;
 use crate::Faults;
 
 /// Bytes per second of a 1 Mbit/s link.
@@ -148,7 +148,7 @@
 
     /// Parses and validates a whole file. All faults are reported together.
     pub fn parse(text: &str) -> Result<Self, Faults> {
-        let mut file = File::parse(text)?;
+        let mut file = IniFile::parse(text)?;
         let role = if text.lines().any(|line| line.trim() == "[gateway]") {
             DeploymentRole::Gateway(read_gateway(&mut file))
         } else {
@@ -182,27 +182,28 @@
     }
 }
 
-fn read_node(file: &mut File) -> DeploymentNode {
+fn read_node(file: &mut IniFile) -> DeploymentNode {
     let section = "node";
     let hall: String = file.require(section, "hall", "the name of the data hall");
     let region: String = file.require(section, "region", "the name of the region");
     let name: String = file.require(section, "name", "a unique name");
-    let halls: String = file.with_default(
+    let halls: String = file.value_or_default(
         section,
         "halls",
         String::new(),
         "HALL=REGION pairs, separated by commas",
     );
-    let address = file.with_default(
+    let address = file.value_or_default(
         section,
         "address",
         IpAddr::V4(Ipv4Addr::LOCALHOST),
         "the IP address of the machine",
     );
-    let first_port = file.bounded(section, "first_port", 7700, (1, u16::MAX));
-    let last_port = file.bounded(section, "last_port", first_port, (first_port, u16::MAX));
-    let memory_mb = file.bounded(section, "memory_mb", 256, (16, 1 << 20));
-    let link_mbps: f64 = file.bounded(section, "link_mbps", 1000.0, (0.1, 1e6));
+    let first_port = file.bounded_or_default(section, "first_port", 7700, (1, u16::MAX));
+    let last_port =
+        file.bounded_or_default(section, "last_port", first_port, (first_port, u16::MAX));
+    let memory_mb = file.bounded_or_default(section, "memory_mb", 256, (16, 1 << 20));
+    let link_mbps: f64 = file.bounded_or_default(section, "link_mbps", 1000.0, (0.1, 1e6));
     let log_level = read_log_level(file, section);
     DeploymentNode {
         name: InstanceId(name),
@@ -214,13 +215,13 @@
         memory_mb,
         link_bytes_per_s: (link_mbps * BYTES_PER_MBIT) as u64,
         log_level,
-        log_lines_per_s: file.bounded(section, "log_lines_per_s", 100, (1, 100_000)),
+        log_lines_per_s: file.bounded_or_default(section, "log_lines_per_s", 100, (1, 100_000)),
     }
 }
 
-fn read_log_level(file: &mut File, section: &str) -> String {
+fn read_log_level(file: &mut IniFile, section: &str) -> String {
     let expected = LOG_LEVELS.join(", ");
-    let level = file.with_default(section, "log_level", "info".to_owned(), &expected);
+    let level = file.value_or_default(section, "log_level", "info".to_owned(), &expected);
     if !LOG_LEVELS.iter().any(|it| it.eq_ignore_ascii_case(&level)) {
         file.report_fault(section, "log_level", &level, &expected);
     }
@@ -232,7 +233,7 @@
     pairs.map(|(hall, region)| (Hall(hall.trim().into()), Region(region.trim().into()))).collect()
 }
 
-fn read_store(file: &mut File) -> StoreSettings {
+fn read_store(file: &mut IniFile) -> StoreSettings {
     let section = "store";
     StoreSettings {
         address: read_address(file, section, "address"),
@@ -242,7 +243,7 @@
 }
 
 /// Reads `[bounds]`. The required bounds have no defaults, because each of them affects a decision.
-fn read_bounds(file: &mut File) -> BoundSettings {
+fn read_bounds(file: &mut IniFile) -> BoundSettings {
     let section = "bounds";
     let to_integer = |it: f64| it as u64;
     BoundSettings {
@@ -264,7 +265,7 @@
 }
 
 /// Reads `cold_overrun` and `cold_slack`. One without the other is a fault: the missing one would have to be guessed.
-fn read_cold(file: &mut File, section: &str) -> Option<ColdSettings> {
+fn read_cold(file: &mut IniFile, section: &str) -> Option<ColdSettings> {
     let overrun = file.optional_bounded(section, "cold_overrun", (0.0, 100.0));
     let slack = file.optional_bounded(section, "cold_slack", (0.0, 1e6));
     match (overrun, slack) {
@@ -282,19 +283,19 @@
     }
 }
 
-fn read_ablation(file: &mut File) -> Ablation {
+fn read_ablation(file: &mut IniFile) -> Ablation {
     let expected = "names of mechanisms, separated by commas; see docs/POLICY.md";
-    file.with_default("ablation", "without", Ablation::default(), expected)
+    file.value_or_default("ablation", "without", Ablation::default(), expected)
 }
 
-fn read_gateway(file: &mut File) -> GatewaySettings {
+fn read_gateway(file: &mut IniFile) -> GatewaySettings {
     GatewaySettings {
         callers: read_address(file, "gateway", "callers"),
         readiness: read_address(file, "gateway", "readiness"),
     }
 }
 
-fn read_sidecar(file: &mut File) -> SidecarSettings {
+fn read_sidecar(file: &mut IniFile) -> SidecarSettings {
     let service: String = file.require("sidecar", "service", "the name of the runner's service");
     SidecarSettings {
         runner: read_address(file, "sidecar", "runner"),
@@ -319,6 +320,6 @@
     }
 }
 
-fn read_address(file: &mut File, section: &str, key: &str) -> SocketAddr {
+fn read_address(file: &mut IniFile, section: &str, key: &str) -> SocketAddr {
     file.require::<RequiredAddress>(section, key, "an address with a port").0
 }
--- a/components/settings/src/file.rs
+++ b/components/settings/src/file.rs
@@ -10,13 +10,13 @@
 
 /// A settings file that is being read. Reading a key marks it as known; keys that are never read are reported as
 /// faults.
-pub(crate) struct File {
+pub(crate) struct IniFile {
     sections: BTreeMap<String, BTreeMap<String, String>>,
     known: BTreeSet<(String, String)>,
     faults: Vec<Fault>,
 }
 
-impl File {
+impl IniFile {
     /// Parses the INI text of a file.
     pub(crate) fn parse(text: &str) -> Result<Self, Faults> {
         let ini = Ini::load_from_str(text).map_err(|error| {
@@ -48,7 +48,7 @@
     }
 
     /// Reads an optional value with a default. An invalid value is reported and replaced by the default.
-    pub(crate) fn with_default<T: FromStr>(
+    pub(crate) fn value_or_default<T: FromStr>(
         &mut self,
         section: &str,
         key: &str,
@@ -62,7 +62,7 @@
     }
 
     /// Reads an optional number with a default. A number outside of the bounds is reported and replaced by the default.
-    pub(crate) fn bounded<T: FromStr + PartialOrd + Copy + Display>(
+    pub(crate) fn bounded_or_default<T: FromStr + PartialOrd + Copy + Display>(
         &mut self,
         section: &str,
         key: &str,
@@ -70,7 +70,7 @@
         (low, high): (T, T),
     ) -> T {
         let expected = format!("a number from {low} to {high}");
-        let value = self.with_default(section, key, default, &expected);
+        let value = self.value_or_default(section, key, default, &expected);
         if value < low || value > high {
             self.report_fault(section, key, &value.to_string(), &expected);
             return default;
--- a/components/settings/src/settings.rs
+++ b/components/settings/src/settings.rs
@@ -5,7 +5,7 @@
 
 use fleet::{Hall, InstanceId, Place, Region, ServiceName};
 
-use crate::file::File;
+use crate::file::IniFile;
 use crate::Faults;
 
 /// All settings of a daemon.
@@ -181,7 +181,7 @@
 impl Settings {
     /// Parses and validates a whole file. All faults are reported together.
     pub fn parse(text: &str) -> Result<Self, Faults> {
-        let mut file = File::parse(text)?;
+        let mut file = IniFile::parse(text)?;
         let node = read_node(&mut file);
         let platform = read_platform(&mut file);
         let profile = read_profile(&mut file);
@@ -191,7 +191,7 @@
     }
 }
 
-fn read_address(file: &mut File, section: &str, key: &str) -> SocketAddr {
+fn read_address(file: &mut IniFile, section: &str, key: &str) -> SocketAddr {
     let address: RequiredAddress = file.require(section, key, EXPECTED_ADDRESS);
     address.0
 }
@@ -213,13 +213,13 @@
     }
 }
 
-fn read_node(file: &mut File) -> NodeSettings {
+fn read_node(file: &mut IniFile) -> NodeSettings {
     let section = "node";
     let place = Place {
         region: Region(file.require(section, "region", "the name of a region")),
         hall: Hall(file.require(section, "hall", "the name of a hall")),
     };
-    let level: String = file.with_default(section, "log_level", "info".into(), "a log level");
+    let level: String = file.value_or_default(section, "log_level", "info".into(), "a log level");
     if !["error", "warn", "info", "debug", "trace"].contains(&level.as_str()) {
         file.report_fault(section, "log_level", &level, "error, warn, info, debug or trace");
     }
@@ -231,12 +231,17 @@
         cluster_key_file: file.require(section, "cluster_key_file", "the path of a key file"),
         token_file: file.require(section, "token_file", "the path of a token file"),
         log_level: level,
-        stop_grace_s: file.bounded(section, "stop_grace_s", 60, (0, 3600)),
-        control_bytes_per_s: file.bounded(section, "control_bytes_per_s", 3000, (200, 1 << 30)),
+        stop_grace_s: file.bounded_or_default(section, "stop_grace_s", 60, (0, 3600)),
+        control_bytes_per_s: file.bounded_or_default(
+            section,
+            "control_bytes_per_s",
+            3000,
+            (200, 1 << 30),
+        ),
     }
 }
 
-fn read_platform(file: &mut File) -> PlatformSettings {
+fn read_platform(file: &mut IniFile) -> PlatformSettings {
     PlatformSettings {
         table: read_address(file, "platform", "table"),
         objects: read_address(file, "platform", "objects"),
@@ -245,18 +250,18 @@
     }
 }
 
-fn read_profile(file: &mut File) -> ProfileSettings {
+fn read_profile(file: &mut IniFile) -> ProfileSettings {
     let section = "profile";
     let profile = ProfileSettings {
-        time_weight: file.bounded(section, "time_weight", 1.0, (0.0, 1000.0)),
-        origin_weight: file.bounded(section, "origin_weight", 1.0, (0.0, 1000.0)),
-        origin_bytes_per_s: file.bounded(
+        time_weight: file.bounded_or_default(section, "time_weight", 1.0, (0.0, 1000.0)),
+        origin_weight: file.bounded_or_default(section, "origin_weight", 1.0, (0.0, 1000.0)),
+        origin_bytes_per_s: file.bounded_or_default(
             section,
             "origin_bytes_per_s",
             DEFAULT_LINK_BYTES_PER_S,
             BYTES_BOUNDS,
         ),
-        link_bytes_per_s: file.bounded(
+        link_bytes_per_s: file.bounded_or_default(
             section,
             "link_bytes_per_s",
             DEFAULT_LINK_BYTES_PER_S,
@@ -270,7 +275,7 @@
     profile
 }
 
-fn read_role(file: &mut File) -> RoleSettings {
+fn read_role(file: &mut IniFile) -> RoleSettings {
     let expected = "entry or agent";
     let role: String = file.require("node", "role", expected);
     match role.as_str() {
@@ -285,21 +290,26 @@
     }
 }
 
-fn read_entry(file: &mut File) -> EntrySettings {
+fn read_entry(file: &mut IniFile) -> EntrySettings {
     let section = "entry";
     EntrySettings {
         callers: read_address(file, section, "callers"),
-        queue_limit: file.bounded(section, "queue_limit", 256, (0, 1 << 20)),
-        deadline_s: file.bounded(section, "deadline_s", 60, (1, 3600)),
-        body_limit_bytes: file.bounded(section, "body_limit_bytes", 4 << 20, (1, 1 << 30)),
-        retry_share: file.bounded(section, "retry_share", 0.1, (0.0, 1.0)),
+        queue_limit: file.bounded_or_default(section, "queue_limit", 256, (0, 1 << 20)),
+        deadline_s: file.bounded_or_default(section, "deadline_s", 60, (1, 3600)),
+        body_limit_bytes: file.bounded_or_default(
+            section,
+            "body_limit_bytes",
+            4 << 20,
+            (1, 1 << 30),
+        ),
+        retry_share: file.bounded_or_default(section, "retry_share", 0.1, (0.0, 1.0)),
         kinds: file.sections_under("kind.").iter().map(|name| read_kind(file, name)).collect(),
     }
 }
 
-fn read_kind(file: &mut File, name: &str) -> Kind {
+fn read_kind(file: &mut IniFile, name: &str) -> Kind {
     let section = format!("kind.{name}");
-    let service: String = file.with_default(&section, "service", String::new(), "a service");
+    let service: String = file.value_or_default(&section, "service", String::new(), "a service");
     let path: String = file.require(&section, "path", "a path prefix, such as /till/");
     if !path.is_empty() && !path.starts_with('/') {
         file.report_fault(&section, "path", &path, "a path that starts with /");
@@ -308,46 +318,61 @@
         name: name.to_owned(),
         path,
         service: (!service.is_empty()).then_some(ServiceName(service)),
-        repeatable: file.with_default(&section, "repeatable", false, "true or false"),
-        priority: file.bounded(&section, "priority", 1, (0, 9)),
-        max_wait_ms: file.bounded(&section, "max_wait_ms", Kind::USUAL_WAIT_MS, (0, 600_000)),
+        repeatable: file.value_or_default(&section, "repeatable", false, "true or false"),
+        priority: file.bounded_or_default(&section, "priority", 1, (0, 9)),
+        max_wait_ms: file.bounded_or_default(
+            &section,
+            "max_wait_ms",
+            Kind::USUAL_WAIT_MS,
+            (0, 600_000),
+        ),
     }
 }
 
-fn read_agent(file: &mut File) -> AgentSettings {
+fn read_agent(file: &mut IniFile) -> AgentSettings {
     let section = "agent";
-    let service: String = file.with_default(section, "service", String::new(), "a service");
+    let service: String = file.value_or_default(section, "service", String::new(), "a service");
     let service = (!service.is_empty()).then_some(ServiceName(service));
     let expected = "true or false";
     AgentSettings {
         upstream: read_address(file, section, "upstream"),
-        upstream_checks_fence: file.with_default(section, "upstream_checks_fence", true, expected),
+        upstream_checks_fence: file.value_or_default(
+            section,
+            "upstream_checks_fence",
+            true,
+            expected,
+        ),
         weights_listen: match service {
             Some(_) => SocketAddr::from(([127, 0, 0, 1], 0)),
             None => read_address(file, section, "weights_listen"),
         },
         service,
-        concurrency: file.bounded(section, "concurrency", 16, (1, 1 << 16)),
-        memory_bytes: file.bounded(section, "memory_bytes", DEFAULT_MEMORY_BYTES, BYTES_BOUNDS),
+        concurrency: file.bounded_or_default(section, "concurrency", 16, (1, 1 << 16)),
+        memory_bytes: file.bounded_or_default(
+            section,
+            "memory_bytes",
+            DEFAULT_MEMORY_BYTES,
+            BYTES_BOUNDS,
+        ),
         link: read_link(file),
     }
 }
 
-fn read_link(file: &mut File) -> LinkSettings {
+fn read_link(file: &mut IniFile) -> LinkSettings {
     LinkSettings {
-        upload_bytes_per_s: file.bounded(
+        upload_bytes_per_s: file.bounded_or_default(
             "link",
             "upload_bytes_per_s",
             DEFAULT_LINK_BYTES_PER_S,
             BYTES_BOUNDS,
         ),
-        download_bytes_per_s: file.bounded(
+        download_bytes_per_s: file.bounded_or_default(
             "link",
             "download_bytes_per_s",
             DEFAULT_LINK_BYTES_PER_S,
             BYTES_BOUNDS,
         ),
-        serving_percent: file.bounded("link", "serving_percent", 10, (0, 90)),
+        serving_percent: file.bounded_or_default("link", "serving_percent", 10, (0, 90)),
     }
 }
 
--- a/components/settings/tests/deployment.rs
+++ b/components/settings/tests/deployment.rs
@@ -196,12 +196,12 @@
 
 #[test]
 fn an_unknown_log_level_is_a_fault() {
-    let with = |level: &str| {
+    let with_level = |level: &str| {
         fill(GATEWAY_TEMPLATE).replace("[node]", &format!("[node]\nlog_level = {level}"))
     };
-    let faults = DeploymentSettings::parse(&with("loud")).unwrap_err();
+    let faults = DeploymentSettings::parse(&with_level("loud")).unwrap_err();
     assert_eq!(faults.0.len(), 1, "{faults}");
     for level in ["off", "error", "warn", "info", "debug", "trace", "INFO"] {
-        assert!(DeploymentSettings::parse(&with(level)).is_ok(), "{level}");
+        assert!(DeploymentSettings::parse(&with_level(level)).is_ok(), "{level}");
     }
 }
--- a/components/settings/tests/reload.rs
+++ b/components/settings/tests/reload.rs
@@ -2,7 +2,7 @@
 
 use settings::DeploymentSettings;
 
-const FILE: &str = "[node]
+const SETTINGS_FILE: &str = "[node]
 name = g1
 region = north
 hall = a
@@ -68,11 +68,11 @@
         };
         format!("{name} = {value}")
     };
-    FILE.lines().map(|line| change(line) + "\n").collect()
+    SETTINGS_FILE.lines().map(|line| change(line) + "\n").collect()
 }
 
 fn file_keys() -> impl Iterator<Item = &'static str> {
-    FILE.lines().filter_map(|line| line.split_once(" = ")).map(|(key, _)| key)
+    SETTINGS_FILE.lines().filter_map(|line| line.split_once(" = ")).map(|(key, _)| key)
 }
 
 /// Guards against a template key that the other tests here do not cover.
@@ -87,14 +87,14 @@
 
 #[test]
 fn an_unchanged_file_changes_nothing() {
-    let reload = parse(FILE).reload(&parse(FILE));
+    let reload = parse(SETTINGS_FILE).reload(&parse(SETTINGS_FILE));
     assert!(reload.applied.is_empty() && reload.refused.is_empty());
 }
 
 #[test]
 fn every_changed_key_is_reported_by_name_as_applied_or_refused() {
     for key in file_keys() {
-        let (old, new) = (parse(FILE), parse(&with_changed_value(key)));
+        let (old, new) = (parse(SETTINGS_FILE), parse(&with_changed_value(key)));
         assert_ne!(old, new, "{key}");
         let reload = old.reload(&new);
         let reported: Vec<_> = reload.applied.iter().chain(&reload.refused).collect();
@@ -111,8 +111,9 @@
 
 #[test]
 fn bounds_and_log_settings_are_applied_while_addresses_and_names_need_a_restart() {
-    let is_applied =
-        |key: &str| !parse(FILE).reload(&parse(&with_changed_value(key))).applied.is_empty();
+    let is_applied = |key: &str| {
+        !parse(SETTINGS_FILE).reload(&parse(&with_changed_value(key))).applied.is_empty()
+    };
     let reloadable = [
         "log_level",
         "log_lines_per_s",
@@ -128,9 +129,10 @@
 
 #[test]
 fn a_file_with_both_kinds_of_changes_is_applied_in_part() {
-    let text =
-        FILE.replace("version_ms = 8000", "version_ms = 9000").replace("hall = a\n", "hall = b\n");
-    let reload = parse(FILE).reload(&parse(&text));
+    let text = SETTINGS_FILE
+        .replace("version_ms = 8000", "version_ms = 9000")
+        .replace("hall = a\n", "hall = b\n");
+    let reload = parse(SETTINGS_FILE).reload(&parse(&text));
     assert_eq!(reload.settings.bounds.version_ms, 9000);
     assert_eq!(reload.settings.node.place.hall, "a".into());
     assert_eq!((reload.applied.len(), reload.refused.len()), (1, 1));
