--- a/components/telemetry/src/bounded.rs
+++ b/components/telemetry/src/bounded.rs
@@ -17,16 +17,16 @@
 /// The log target of records whose message already is a line of JSON.
 pub const REQUEST_TARGET: &str = "request";
 /// Maximum number of lines that wait for the writer thread.
-const QUEUE_LINES: usize = 512;
+const MAX_QUEUED_LINES: usize = 512;
 /// Minimum interval between two log lines that report the number of dropped lines.
 const DROPPED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of lines dropped because the rate limit was reached or the queue was full.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the number of lines dropped since the process started.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 /// A handle that changes the level and the rate limit of the logs.
@@ -55,7 +55,7 @@
 /// blocks because its reader has stopped, lines are dropped and the process continues.
 pub fn start_bounded_logs(instance: &str, level: &str, lines_per_s: u32) -> Result<BoundedLogs> {
     let level = parse_level(level)?;
-    let (sender, receiver) = sync_channel(QUEUE_LINES);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     let name = instance.to_owned();
     thread::Builder::new()
         .name("log-writer".into())
@@ -86,7 +86,7 @@
     let enqueued = allowed
         && !matches!(sender.try_send(record.args().to_string()), Err(TrySendError::Full(_)));
     if !enqueued {
-        DROPPED.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     }
 }
 
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -44,7 +44,7 @@
 /// The metrics of one daemon.
 pub struct Metrics {
     registry: Registry,
-    // Kept alive because dropping the provider stops the export.
+    // Dropping the provider would stop the export.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     refusals: Counter<u64>,
@@ -56,15 +56,15 @@
     store_bytes: Counter<u64>,
     evacuations: Counter<u64>,
     crashes: Counter<u64>,
-    lives: Counter<u64>,
-    runner_words: Counter<u64>,
+    runner_life_reports: Counter<u64>,
+    runner_load_notices: Counter<u64>,
     slow_readers: Counter<u64>,
-    eras: Counter<u64>,
+    store_restores: Counter<u64>,
     foreign_messages: Counter<u64>,
     suspensions: Counter<u64>,
-    settings: Counter<u64>,
-    gauges: Gauge<u64>,
-    spans: Histogram<f64>,
+    reloaded_settings: Counter<u64>,
+    state: Gauge<u64>,
+    durations: Histogram<f64>,
 }
 
 impl Metrics {
@@ -124,11 +124,11 @@
                 .u64_counter("silverdock_crashes")
                 .with_description("Runners that crashed under requests, and what became of these")
                 .build(),
-            lives: meter
+            runner_life_reports: meter
                 .u64_counter("silverdock_runner_lives")
                 .with_description("Words about runners that are not of the life that is known")
                 .build(),
-            runner_words: meter
+            runner_load_notices: meter
                 .u64_counter("silverdock_runner_words")
                 .with_description("Answers in which a runner says what requests it takes")
                 .build(),
@@ -136,7 +136,7 @@
                 .u64_counter("silverdock_slow_readers")
                 .with_description("Connections that were closed on callers who did not read")
                 .build(),
-            eras: meter
+            store_restores: meter
                 .u64_counter("silverdock_store_eras")
                 .with_description("How often the platform's store came back from an older copy")
                 .build(),
@@ -150,17 +150,17 @@
                 .u64_counter("silverdock_suspensions")
                 .with_description("How often the machine was suspended while the process ran")
                 .build(),
-            settings: meter
+            reloaded_settings: meter
                 .u64_counter("silverdock_reloads")
                 .with_description("Settings of a file that was read again, by what became of them")
                 .build(),
-            spans: meter
+            durations: meter
                 .f64_histogram("silverdock_span")
                 .with_unit("s")
                 .with_description("How long things took, by what")
                 .with_boundaries(SPAN_BUCKETS_S.to_vec())
                 .build(),
-            gauges: meter
+            state: meter
                 .u64_gauge("silverdock_state")
                 .with_description("What is believed, by name")
                 .build(),
@@ -174,7 +174,7 @@
         self.requests.add(1, &[kind, KeyValue::new("outcome", outcome.to_owned())]);
     }
 
-    /// Counts a rejected request, by its code.
+    /// Counts a rejection, by its code.
     pub fn count_refusal(&self, code: Code) {
         self.refusals.add(1, &[KeyValue::new("reason", code.name())]);
     }
@@ -229,13 +229,13 @@
     /// Counts a report about a runner whose process start differs from the known one: the runner has restarted
     /// (`began`), the report is from before the known start (`earlier`), or it no longer states a start (`untold`).
     pub fn count_life(&self, change: &'static str) {
-        self.lives.add(1, &[KeyValue::new("change", change)]);
+        self.runner_life_reports.add(1, &[KeyValue::new("change", change)]);
     }
 
     /// Counts a response in which a runner restricts its load: it is `leaving`, asks for a pause (`rest`), or
     /// advertises a rate `limit`.
     pub fn count_runner_word(&self, word: &'static str) {
-        self.runner_words.add(1, &[KeyValue::new("word", word)]);
+        self.runner_load_notices.add(1, &[KeyValue::new("word", word)]);
     }
 
     /// Counts a connection that was closed because the caller did not read, by the reason: `stalled`, `late` or
@@ -246,7 +246,7 @@
 
     /// Counts that the platform's store was restored from an older copy.
     pub fn count_era(&self) {
-        self.eras.add(1, &[]);
+        self.store_restores.add(1, &[]);
     }
 
     /// Counts a message of another build that was ignored: a whole `datagram`, `request` or `answer`, or only the
@@ -263,17 +263,17 @@
     /// Counts a changed setting of a reloaded file that was `applied`, or `refused` because it requires a restart; or a
     /// whole file that is `faulty` or `unreadable`.
     pub fn count_setting(&self, outcome: &'static str) {
-        self.settings.add(1, &[KeyValue::new("outcome", outcome)]);
+        self.reloaded_settings.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Records a duration, in milliseconds.
     pub fn note_span(&self, span: Span, millis: u64) {
-        self.spans.record(millis as f64 / 1000.0, &[KeyValue::new("what", span.metric_name())]);
+        self.durations.record(millis as f64 / 1000.0, &[KeyValue::new("what", span.metric_name())]);
     }
 
     /// Sets the gauge with this name.
     pub fn set(&self, name: &'static str, value: u64) {
-        self.gauges.record(value, &[KeyValue::new("name", name)]);
+        self.state.record(value, &[KeyValue::new("name", name)]);
     }
 
     /// Renders all metrics in the Prometheus text format.
