--- a/components/externals/src/lib.rs
+++ b/components/externals/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform behind narrow traits, one for each service, and adapters that speak HTTP.
+//! Traits for the platform's services and the upstreams, one for each service, and HTTP clients that implement them.
 //!
-//! The traits are the seam at which another platform is connected: no decision knows which
-//! implementation stands behind them.
+//! Another platform is supported by implementing the traits; the code that makes decisions does not depend on an
+//! implementation.
 
 mod http_platform;
 mod http_upstream;
--- a/components/externals/src/traits.rs
+++ b/components/externals/src/traits.rs
@@ -1,4 +1,4 @@
-//! What silverdock asks of the platform.
+//! Interfaces of the platform's services and of upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,41 +8,43 @@
 use fleet::{Instance, ModelName, RequestId, Revision, Role, VersionId};
 use serde::{Deserialize, Serialize};
 
-/// A row of the table.
+/// A row of the transactional table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The content.
     pub value: Vec<u8>,
-    /// Changes with every write; names the state a write is based on.
+    /// The entity tag. It changes with every write and identifies the state that a write is based on.
     pub tag: String,
 }
 
-/// What a write expects to find.
+/// The precondition of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// No row.
+    /// The row does not exist.
     Absent,
-    /// The row with this tag.
+    /// The row exists and has this tag.
     Tag(String),
 }
 
-/// The transactional table. Errors of `write`: `RowChanged` when the expectation does not hold,
-/// `PlatformBusy` or `Unreachable` when nothing was written, and `PlatformUnavailable` when the
-/// answer was lost, so that the row must be read to learn what happened.
+/// The transactional table.
+///
+/// `write` fails with `RowChanged` if the precondition does not hold, with `PlatformBusy` or `Unreachable` if nothing
+/// was written, and with `PlatformUnavailable` if the response was lost; the row must then be read to find out whether
+/// the write took effect.
 #[async_trait]
 pub trait TableService: Send + Sync {
     /// Reads a row.
     async fn read(&self, key: &str) -> Result<Option<Row>>;
-    /// Writes a row if it is as expected; returns its new tag.
+    /// Writes a row if the precondition holds, and returns its new tag.
     async fn write(&self, key: &str, value: &[u8], expected: &Expected) -> Result<String>;
 }
 
 /// The object store.
 #[async_trait]
 pub trait ObjectStore: Send + Sync {
-    /// Reads an object; `NotFound` if there is none.
+    /// Reads an object. Fails with `NotFound` if it does not exist.
     async fn get(&self, key: &str) -> Result<Vec<u8>>;
-    /// Writes an object whole.
+    /// Writes a complete object.
     async fn put(&self, key: &str, value: Vec<u8>) -> Result<()>;
 }
 
@@ -55,75 +57,74 @@
     async fn publish(&self, version: VersionId, content: Vec<u8>) -> Result<()>;
 }
 
-/// The list of live and leaving instances. It lags.
+/// The list of live and leaving instances. It may be out of date.
 #[async_trait]
 pub trait InstanceList: Send + Sync {
-    /// Reads the whole list.
+    /// Reads the complete list.
     async fn list(&self) -> Result<Vec<Instance>>;
 }
 
 /// An order to a model engine, fenced by its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The revision behind the order; an engine that checks refuses lower ones than it has seen.
+    /// The revision that the order is based on. An engine that checks epochs rejects one lower than it has seen.
     pub epoch: Revision,
-    /// The name callers use.
+    /// The model name that callers use.
     pub model: ModelName,
     /// The version to load, or none to unload the model.
     pub version: Option<VersionId>,
     /// The model that an adapter belongs to.
     pub adapter_of: Option<ModelName>,
-    /// What the engine shall do with it.
+    /// The role in which the engine runs the model.
     pub role: Role,
-    /// Where the engine reads the weights.
+    /// The address from which the engine reads the weights.
     pub weights: SocketAddr,
-    /// How many bytes to read.
+    /// The size of the weights, in bytes.
     pub bytes: u64,
 }
 
-/// What an engine reports of its load. It lags.
+/// The load that an engine reports. It may be out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of requests waiting to join the batch.
     pub waiting: u32,
 }
 
-/// A request as it goes to an upstream.
+/// A request to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamCall {
-    /// The request's identity.
+    /// The request id.
     pub request: RequestId,
     /// The HTTP method.
     pub method: String,
     /// The path and query.
     pub path: String,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: String,
     /// The body.
     pub body: Vec<u8>,
-    /// Higher goes first.
+    /// Requests with a higher priority are run first.
     pub priority: u8,
-    /// Milliseconds left.
+    /// Milliseconds left until the request's deadline.
     pub budget_ms: u64,
 }
 
-/// The body of an answer, read part by part.
+/// The body of a response, read in parts.
 #[async_trait]
 pub trait AnswerBody: Send {
-    /// The next part, or `None` once the body is whole. A body that ends early is an error with
-    /// `CutShort`.
+    /// Returns the next part, or `None` at the end of a complete body. Fails with `CutShort` if the body ends early.
     async fn next(&mut self) -> Result<Option<Vec<u8>>>;
 }
 
-/// The answer of an upstream.
+/// The response of an upstream.
 pub struct UpstreamAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: String,
-    /// How long it wants to be left alone, in milliseconds, where it turned the call away for a time.
+    /// The pause that the upstream requests, in milliseconds, if it rejected the call because it is overloaded.
     pub rest_ms: Option<u64>,
     /// The body.
     pub body: Box<dyn AnswerBody>,
@@ -132,20 +133,21 @@
 /// A model engine.
 #[async_trait]
 pub trait ModelEngine: Send + Sync {
-    /// Gives an order; returns when it has taken effect. `OldEpoch` when it is fenced off.
+    /// Sends an order and returns when it has taken effect. Fails with `OldEpoch` if the engine has seen a higher
+    /// epoch.
     async fn order(&self, order: &EngineOrder) -> Result<()>;
-    /// Passes a request on. `Unreachable` when nothing was sent.
+    /// Forwards a request. Fails with `Unreachable` if nothing was sent.
     async fn call(&self, call: UpstreamCall) -> Result<UpstreamAnswer>;
-    /// Stops a request.
+    /// Cancels a request.
     async fn cancel(&self, request: RequestId) -> Result<()>;
-    /// Reads the load it reports.
+    /// Reads the load that the engine reports.
     async fn load(&self) -> Result<EngineLoad>;
 }
 
 /// A plain service.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Passes a request on. `Unreachable` when nothing was sent.
+    /// Forwards a request. Fails with `Unreachable` if nothing was sent.
     async fn call(&self, call: UpstreamCall) -> Result<UpstreamAnswer>;
 }
 
