--- a/components/client/src/lib.rs
+++ b/components/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' door of an entry, and publishing of weights.
+//! Client of the operator API of an entry, and publishing of weights.
 
 mod operator;
 mod publish;
--- a/components/client/src/operator.rs
+++ b/components/client/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' calls.
+//! Client of the operator API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,62 +10,68 @@
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 
-/// How long a call may take; an entry gives up earlier and says so.
-const CALL_TIME: Duration = Duration::from_secs(40);
-/// The largest answer, in bytes.
-const ANSWER_BYTES: usize = 64 << 20;
+/// Timeout of a call. An entry times out earlier and responds with an error.
+const CALL_TIMEOUT: Duration = Duration::from_secs(40);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// An entry's operators' door and the token that opens it.
+/// Client of an entry's operator API, with the token that authorizes its calls.
 #[derive(Clone)]
 pub struct Operator {
     address: SocketAddr,
     token: String,
 }
 
-/// The part of a refusal that is read here.
+/// The part of an error response that is read.
 #[derive(Deserialize)]
-struct Refusal {
-    error: RefusalBody,
+struct ErrorResponse {
+    error: ErrorBody,
 }
 
 #[derive(Deserialize)]
-struct RefusalBody {
+struct ErrorBody {
     code: u16,
     message: String,
 }
 
 impl Operator {
-    /// A door at an address.
+    /// Creates a client for the operator API at an address.
     pub fn new(address: SocketAddr, token: &str) -> Self {
         Self { address, token: token.trim().to_owned() }
     }
 
-    /// Declares an intent and gets the plan for it.
+    /// Declares an intent and returns the plan for it.
     pub async fn plan(&self, intent: &Intent) -> Result<Plan> {
         let body = serde_json::to_vec(intent)
             .map_err(|error| Error::new(Code::BadIntent, error.to_string()))?;
         match self.call(Method::Post, "/v1/plans", Some(body)).await? {
             PlanReply::Planned(plan) => Ok(*plan),
-            PlanReply::Accepted(_) => Err(Error::new(Code::Internal, "not a plan")),
+            PlanReply::Accepted(_) => Err(Error::new(
+                Code::Internal,
+                "the entry responded with an acceptance instead of a plan",
+            )),
         }
     }
 
-    /// Puts a plan in force.
+    /// Confirms a plan and returns the revision from which it is in force.
     pub async fn confirm(&self, plan: &PlanId) -> Result<Revision> {
         let path = format!("/v1/plans/{plan}/confirm");
-        let sent = self.call(Method::Post, &path, Some(Vec::new())).await;
-        match sent.map_err(unsettled)? {
+        let result = self.call(Method::Post, &path, Some(Vec::new())).await;
+        match result.map_err(unknown_outcome)? {
             PlanReply::Accepted(revision) => Ok(revision),
-            PlanReply::Planned(_) => Err(Error::new(Code::Internal, "not an acceptance")),
+            PlanReply::Planned(_) => Err(Error::new(
+                Code::Internal,
+                "the entry responded with a plan instead of an acceptance",
+            )),
         }
     }
 
-    /// What the entry knows of the fleet.
+    /// Returns the state of the fleet as the entry sees it.
     pub async fn status(&self) -> Result<Status> {
         self.call(Method::Get, "/v1/status", None).await
     }
 
-    /// How far a rollout has come.
+    /// Returns the progress of a rollout.
     pub async fn rollout(&self, model: &ModelName) -> Result<RolloutStatus> {
         self.call(Method::Get, &format!("/v1/rollouts/{model}"), None).await
     }
@@ -83,28 +89,32 @@
         if let Some(body) = body {
             request.set_body(body);
         }
-        let deadline = Deadline::after(CALL_TIME);
+        let deadline = Deadline::after(CALL_TIMEOUT);
         let response = send(self.address, request, deadline).await?;
-        let answer = read_body(response, ANSWER_BYTES, deadline).await?;
+        let answer = read_body(response, MAX_RESPONSE_BYTES, deadline).await?;
         if answer.status != 200 {
-            return Err(refusal(&answer));
+            return Err(response_error(&answer));
         }
-        serde_json::from_slice(&answer.body)
-            .map_err(|error| Error::new(Code::Internal, format!("answer: {error}")))
+        serde_json::from_slice(&answer.body).map_err(|error| {
+            Error::new(Code::Internal, format!("cannot parse the response: {error}"))
+        })
     }
 }
 
-/// The code that an entry answered with.
-fn refusal(answer: &Answer) -> Error {
-    let Ok(refusal) = serde_json::from_slice::<Refusal>(&answer.body) else {
-        return Error::new(Code::Internal, format!("the entry answered {}", answer.status));
+/// Converts an error response of an entry.
+fn response_error(answer: &Answer) -> Error {
+    let Ok(error_response) = serde_json::from_slice::<ErrorResponse>(&answer.body) else {
+        return Error::new(
+            Code::Internal,
+            format!("the entry responded with status {}", answer.status),
+        );
     };
-    let code = Code::from_number(refusal.error.code).unwrap_or(Code::Internal);
-    Error::new(code, refusal.error.message)
+    let code = Code::from_number(error_response.error.code).unwrap_or(Code::Internal);
+    Error::new(code, error_response.error.message)
 }
 
-/// A confirmation whose answer did not arrive may have been accepted.
-fn unsettled(error: Error) -> Error {
+/// Converts the error of a confirmation whose response did not arrive: the plan may have been accepted.
+fn unknown_outcome(error: Error) -> Error {
     match error.code {
         Code::ConnectionLost | Code::TimedOut | Code::CutShort => {
             Error::new(Code::OutcomeUnknown, error.detail)
--- a/components/client/src/publish.rs
+++ b/components/client/src/publish.rs
@@ -1,11 +1,11 @@
-//! Hands a file of weights to the platform.
+//! Publishes weights to the platform.
 
 use errors::Result;
 use externals::{ObjectStore, WeightStore};
 use fleet::Manifest;
 
-/// Stores the bytes at the origin and then the manifest in the object store, so that a manifest
-/// never names bytes that are not there.
+/// Stores the weights at the origin, and then the manifest in the object store, so that a published manifest never
+/// refers to weights that do not exist.
 pub async fn publish(
     weights: &dyn WeightStore,
     objects: &dyn ObjectStore,
