--- a/components/uptime/src/instant.rs
+++ b/components/uptime/src/instant.rs
@@ -1,4 +1,4 @@
-//! A moment of the boot clock.
+//! A point in time of the boot clock.
 
 use std::ops::{Add, Sub};
 use std::sync::LazyLock;
@@ -6,48 +6,50 @@
 
 use nix::time::{clock_gettime, ClockId};
 
-/// Where a process counts from.
-struct Basis {
-    steady: std::time::Instant,
-    /// What the boot clock showed then. `None` where the system has none.
+/// The clock readings to which all points in time are relative.
+struct ClockBase {
+    monotonic: std::time::Instant,
+    /// The reading of the boot clock at the same time. `None` if the system has no boot clock.
     boot: Option<Duration>,
 }
 
-static BASIS: LazyLock<Basis> = LazyLock::new(|| {
+static CLOCK_BASE: LazyLock<ClockBase> = LazyLock::new(|| {
     let boot = read_boot_clock();
     if boot.is_none() {
-        log::warn!("the system has no boot clock: time stands while the machine is suspended");
+        log::warn!("the system has no boot clock: time during which the machine is suspended is not measured");
     }
-    Basis { steady: std::time::Instant::now(), boot }
+    ClockBase { monotonic: std::time::Instant::now(), boot }
 });
 
 fn read_boot_clock() -> Option<Duration> {
     clock_gettime(ClockId::CLOCK_BOOTTIME).ok().map(Duration::from)
 }
 
-/// A moment, from the first look at the clock on. Where the system has no boot clock, of the steady one: then
-/// suspensions are not seen, and the log has said so.
+/// A point in time, relative to the first reading of the clock.
+///
+/// On a system without a boot clock it is measured with the monotonic clock. Suspensions are not detected then, which
+/// is logged as a warning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// Now.
+    /// Returns the current time.
     pub fn now() -> Self {
-        let boot = BASIS.boot.and_then(|start| read_boot_clock()?.checked_sub(start));
-        Self(boot.unwrap_or_else(steady) + pretended())
+        let boot = CLOCK_BASE.boot.and_then(|start| read_boot_clock()?.checked_sub(start));
+        Self(boot.unwrap_or_else(monotonic_elapsed) + simulated_suspension())
     }
 
-    /// The first look at the clock.
+    /// Returns the time of the first reading of the clock.
     pub(crate) fn start() -> Self {
         Self(Duration::ZERO)
     }
 
-    /// How long ago the moment was, zero if it is still to come.
+    /// Returns the time since this point, or zero if it is in the future.
     pub fn elapsed(&self) -> Duration {
         Self::now().saturating_duration_since(*self)
     }
 
-    /// How long the moment is after an earlier one, zero if it is not.
+    /// Returns the time from an earlier point to this one, or zero if the other one is later.
     pub fn saturating_duration_since(&self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -56,41 +58,41 @@
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(span))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(duration))
     }
 }
 
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    fn sub(self, span: Duration) -> Self {
-        Self(self.0.saturating_sub(span))
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(duration))
     }
 }
 
-/// What the steady clock shows, from the same moment on.
-pub(crate) fn steady() -> Duration {
-    BASIS.steady.elapsed()
+/// Returns the time since the first reading of the clock, measured with the monotonic clock.
+pub(crate) fn monotonic_elapsed() -> Duration {
+    CLOCK_BASE.monotonic.elapsed()
 }
 
 #[cfg(feature = "simulated")]
 thread_local! {
-    static PRETENDED: std::cell::Cell<Duration> = const { std::cell::Cell::new(Duration::ZERO) };
+    static SIMULATED_SUSPENSION: std::cell::Cell<Duration> = const { std::cell::Cell::new(Duration::ZERO) };
 }
 
-/// Lets this thread's time go on as if the machine had been suspended for so long. For tests.
+/// Advances the time of the current thread as if the machine had been suspended for `duration`. For tests.
 #[cfg(feature = "simulated")]
-pub fn pretend_suspended(span: Duration) {
-    PRETENDED.set(PRETENDED.get() + span);
+pub fn pretend_suspended(duration: Duration) {
+    SIMULATED_SUSPENSION.set(SIMULATED_SUSPENSION.get() + duration);
 }
 
 #[cfg(feature = "simulated")]
-fn pretended() -> Duration {
-    PRETENDED.get()
+fn simulated_suspension() -> Duration {
+    SIMULATED_SUSPENSION.get()
 }
 
 #[cfg(not(feature = "simulated"))]
-fn pretended() -> Duration {
+fn simulated_suspension() -> Duration {
     Duration::ZERO
 }
--- a/components/uptime/src/lib.rs
+++ b/components/uptime/src/lib.rs
@@ -1,8 +1,8 @@
-//! Time that goes on while the machine is suspended.
+//! Time that advances while the machine is suspended.
 //!
-//! The steady clock of the system stands while a machine is suspended, so whatever is measured by it looks younger than
-//! it is when the machine goes on: lists, leases, places, and the time that a request has left. The boot clock does not
-//! stand. Nothing here follows the time of day, which may step.
+//! The monotonic clock of the system stops while a machine is suspended. After the machine resumes, durations measured
+//! with it are too short: lists, leases and reservations appear younger than they are, and requests appear to have more
+//! time left. The boot clock does not stop. The wall clock is not used because it may jump.
 
 mod instant;
 mod sleep;
--- a/components/uptime/src/sleep.rs
+++ b/components/uptime/src/sleep.rs
@@ -1,4 +1,4 @@
-//! Waits that end in time although the machine was suspended meanwhile.
+//! Timers that fire on time even if the machine is suspended while they run.
 
 use std::time::Duration;
 
@@ -8,19 +8,20 @@
 
 use crate::instant::Instant;
 
-/// Told when the machine goes on: timers of the system count by the steady clock, which stood.
+/// Notified when the machine has resumed. System timers use the monotonic clock, which stopped during the suspension,
+/// so pending ones would fire too late.
 static RESUMED: Event = Event::new();
 
-/// Has all that sleep look at the time again.
+/// Makes all pending sleeps check the time again.
 pub(crate) fn wake_all() {
     RESUMED.notify(usize::MAX);
 }
 
-/// Waits until a moment.
-pub async fn sleep_until(moment: Instant) {
+/// Waits until a point in time.
+pub async fn sleep_until(deadline: Instant) {
     loop {
         let resumed = RESUMED.listen();
-        let left = moment.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return;
         }
@@ -31,7 +32,7 @@
     }
 }
 
-/// Waits for so long.
-pub async fn sleep(span: Duration) {
-    sleep_until(Instant::now() + span).await;
+/// Waits for a duration.
+pub async fn sleep(duration: Duration) {
+    sleep_until(Instant::now() + duration).await;
 }
--- a/components/uptime/src/suspension.rs
+++ b/components/uptime/src/suspension.rs
@@ -1,39 +1,44 @@
-//! Suspensions of the machine, found by two clocks that part.
+//! Detects suspensions of the machine by comparing the boot clock with the monotonic clock.
 
 use std::time::Duration;
 
-use crate::instant::{steady, Instant};
+use crate::instant::{monotonic_elapsed, Instant};
 use crate::sleep;
 
-/// The least time that counts as a suspension: two clocks are read one after the other, and a process may lose the
-/// processor between.
-const SHORTEST: Duration = Duration::from_millis(200);
+/// Minimum difference that counts as a suspension. The two clocks are read one after the other, and the process may be
+/// preempted in between.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Finds suspensions. Whoever looks several times a second finds them as the machine goes on.
+/// Detects suspensions. A caller that polls several times per second detects a suspension as soon as the machine
+/// resumes.
 #[derive(Debug)]
 pub struct Suspensions {
-    /// How far the boot clock was ahead of the steady one.
-    ahead: Duration,
+    /// How far the boot clock was ahead of the monotonic clock at the last poll.
+    boot_clock_lead: Duration,
 }
 
 impl Default for Suspensions {
     fn default() -> Self {
-        Self { ahead: ahead() }
+        Self { boot_clock_lead: boot_clock_lead() }
     }
 }
 
 impl Suspensions {
-    /// How long the machine was suspended since the last look, if it was. All that sleep look at the time again.
+    /// Returns how long the machine was suspended since the last call, if it was. In this case, all pending sleeps
+    /// check the time again.
     pub fn look(&mut self) -> Option<Duration> {
-        let span = ahead().checked_sub(self.ahead).filter(|it| *it >= SHORTEST)?;
-        self.ahead += span;
+        let suspended = boot_clock_lead()
+            .checked_sub(self.boot_clock_lead)
+            .filter(|it| *it >= MIN_SUSPENSION)?;
+        self.boot_clock_lead += suspended;
         sleep::wake_all();
-        Some(span)
+        Some(suspended)
     }
 }
 
-fn ahead() -> Duration {
-    // The steady clock first: what passes between the two readings does not look like less than nothing.
-    let steady = steady();
-    Instant::now().saturating_duration_since(Instant::start() + steady)
+fn boot_clock_lead() -> Duration {
+    // The monotonic clock is read first, so that time passing between the two readings cannot make the difference
+    // negative.
+    let monotonic = monotonic_elapsed();
+    Instant::now().saturating_duration_since(Instant::start() + monotonic)
 }
--- a/components/uptime/tests/suspension.rs
+++ b/components/uptime/tests/suspension.rs
@@ -1,61 +1,61 @@
-//! Time, waits and suspensions, with a machine that only seems to be suspended.
+//! Tests of time, sleeps and the detection of suspensions, with simulated suspensions.
 
 use std::time::Duration;
 
 use futures_lite::future::block_on;
 use uptime::{pretend_suspended, sleep, Instant, Suspensions};
 
-const LONG: Duration = Duration::from_secs(5);
+const LONG_SUSPENSION: Duration = Duration::from_secs(5);
 
 #[test]
-fn what_was_seen_before_a_suspension_is_as_old_as_it_is() {
+fn elapsed_time_includes_a_suspension() {
     let before = Instant::now();
-    pretend_suspended(LONG);
-    assert!(before.elapsed() >= LONG);
-    assert!(before.elapsed() < LONG + Duration::from_secs(1));
+    pretend_suspended(LONG_SUSPENSION);
+    assert!(before.elapsed() >= LONG_SUSPENSION);
+    assert!(before.elapsed() < LONG_SUSPENSION + Duration::from_secs(1));
 }
 
 #[test]
-fn a_suspension_is_found_once_and_a_short_pause_is_none() {
+fn a_suspension_is_detected_once_and_a_short_pause_is_not_detected() {
     let mut suspensions = Suspensions::default();
     assert_eq!(suspensions.look(), None);
     pretend_suspended(Duration::from_millis(50));
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(suspensions.look(), None);
-    pretend_suspended(LONG);
-    assert!(suspensions.look().is_some_and(|it| it >= LONG && it < LONG * 2));
+    pretend_suspended(LONG_SUSPENSION);
+    assert!(suspensions.look().is_some_and(|it| it >= LONG_SUSPENSION && it < LONG_SUSPENSION * 2));
     assert_eq!(suspensions.look(), None);
 }
 
 #[test]
-fn whoever_sleeps_wakes_as_the_machine_goes_on() {
+fn a_sleep_ends_when_the_machine_resumes_after_its_deadline() {
     let mut suspensions = Suspensions::default();
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     block_on(async {
-        let sleeping = sleep(LONG);
-        let going_on = async {
+        let sleeping = sleep(LONG_SUSPENSION);
+        let resuming = async {
             async_io::Timer::after(Duration::from_millis(20)).await;
-            pretend_suspended(LONG);
+            pretend_suspended(LONG_SUSPENSION);
             assert!(suspensions.look().is_some());
         };
-        futures_lite::future::zip(sleeping, going_on).await;
+        futures_lite::future::zip(sleeping, resuming).await;
     });
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
 }
 
 #[test]
-fn a_suspension_that_ends_before_its_time_wakes_nobody_for_good() {
+fn a_sleep_continues_when_the_machine_resumes_before_its_deadline() {
     let mut suspensions = Suspensions::default();
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     block_on(async {
-        let sleeping = sleep(LONG + Duration::from_millis(300));
-        let going_on = async {
+        let sleeping = sleep(LONG_SUSPENSION + Duration::from_millis(300));
+        let resuming = async {
             async_io::Timer::after(Duration::from_millis(20)).await;
-            pretend_suspended(LONG);
+            pretend_suspended(LONG_SUSPENSION);
             suspensions.look();
         };
-        futures_lite::future::zip(sleeping, going_on).await;
+        futures_lite::future::zip(sleeping, resuming).await;
     });
-    let took = begun.elapsed();
+    let took = start.elapsed();
     assert!(took >= Duration::from_millis(290) && took < Duration::from_secs(2), "{took:?}");
 }
