--- a/components/lab/src/caller.rs
+++ b/components/lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that check every byte of the answers they get.
+//! Callers that verify the complete content of the answers that they receive.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,56 +9,56 @@
 use serde_json::{json, Value};
 use standins::answer_text;
 
-/// The largest answer, in bytes.
-const ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// How a request ended, as its caller can tell.
+/// The outcome of a request as its caller observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Answered whole.
+    /// The answer is complete and correct.
     Whole,
-    /// Told with a code that it was not run.
+    /// The request was not executed, according to the result code.
     NotRun(Code),
-    /// Told with a code that it may have run, or no answer came.
+    /// The request may have been executed, according to the result code, or no response arrived.
     Unknown(Code),
-    /// An answer that was passed on as whole and was not.
+    /// The answer was delivered as complete but is truncated.
     Partial,
-    /// An answer that does not belong to the prompt.
+    /// The answer does not belong to the prompt.
     Crossed,
 }
 
-/// What a caller saw.
+/// The outcome and timing of a chat completion.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatAnswer {
-    /// How it ended.
+    /// The outcome.
     pub ending: Ending,
-    /// The digest of the weights that the engine says it used.
+    /// The digest of the weights that the engine reports to have used.
     pub fingerprint: String,
-    /// Time to the first token, for streams.
+    /// Time until the first token, for streams.
     pub first_token: Option<Duration>,
-    /// The longest time between two tokens, for streams.
+    /// Longest time between two tokens, for streams.
     pub longest_gap: Duration,
-    /// Time to the end.
+    /// Time until the end of the answer.
     pub total: Duration,
 }
 
 /// A caller of chat completions.
 #[derive(Clone, Debug)]
 pub struct ChatCaller {
-    /// The entry or the engine it calls.
+    /// The address of the entry or engine to call.
     pub address: SocketAddr,
-    /// The model.
+    /// The model name.
     pub model: String,
-    /// Tokens it asks for.
+    /// Number of tokens to request.
     pub tokens: u32,
-    /// Whether it asks for a stream.
+    /// Whether to request a stream.
     pub stream: bool,
-    /// How long it waits.
+    /// Timeout of a request.
     pub patience: Duration,
 }
 
 impl ChatCaller {
-    /// Sends one prompt and checks the answer.
+    /// Sends a prompt and verifies the answer.
     pub async fn chat(&self, prompt: &str) -> ChatAnswer {
         let started = Instant::now();
         let result = self.exchange(prompt, started).await;
@@ -67,7 +67,7 @@
                 Code::Unreachable => Ending::NotRun(error.code),
                 _ => Ending::Unknown(error.code),
             };
-            ended(ending, String::new())
+            answer_without_timing(ending, String::new())
         });
         answer.total = started.elapsed();
         answer
@@ -83,23 +83,23 @@
         let deadline = Deadline::after(self.patience);
         let path = "/v1/chat/completions";
         let response =
-            ask(self.address, path, &[], body.to_string().into_bytes(), deadline).await?;
+            post_request(self.address, path, &[], body.to_string().into_bytes(), deadline).await?;
         if response.status().is_success() && self.stream {
-            let reading = async { Ok(self.read_stream(prompt, response, started).await) };
-            return deadline.limit(Code::TimedOut, reading).await?;
+            let stream_answer = async { Ok(self.read_stream(prompt, response, started).await) };
+            return deadline.limit(Code::TimedOut, stream_answer).await?;
         }
-        let answer = read_body(response, ANSWER_BYTES, deadline).await?;
-        Ok(self.judge_whole(prompt, &answer))
+        let answer = read_body(response, MAX_RESPONSE_BYTES, deadline).await?;
+        Ok(self.check_response(prompt, &answer))
     }
 
-    fn judge_whole(&self, prompt: &str, answer: &Answer) -> ChatAnswer {
+    fn check_response(&self, prompt: &str, answer: &Answer) -> ChatAnswer {
         let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
         if answer.status != 200 {
-            return ended(refusal(&body), String::new());
+            return answer_without_timing(error_ending(&body), String::new());
         }
-        let fingerprint = text(&body["system_fingerprint"]);
-        let content = text(&body["choices"][0]["message"]["content"]);
-        ended(self.compare(prompt, &fingerprint, &content), fingerprint)
+        let fingerprint = string_or_empty(&body["system_fingerprint"]);
+        let content = string_or_empty(&body["choices"][0]["message"]["content"]);
+        answer_without_timing(self.compare(prompt, &fingerprint, &content), fingerprint)
     }
 
     async fn read_stream(
@@ -108,20 +108,20 @@
         response: Response,
         started: Instant,
     ) -> Result<ChatAnswer> {
-        let mut stream = Stream::default();
+        let mut stream = EventStream::default();
         let mut body = HttpBody::new(response);
-        let mut last = started;
+        let mut last_part_at = started;
         let mut first_token = None;
         let mut longest_gap = Duration::ZERO;
         loop {
             match body.next().await {
                 Ok(Some(part)) => {
-                    stream.take(&part);
+                    stream.push(&part);
                     match first_token {
                         None => first_token = Some(started.elapsed()),
-                        Some(_) => longest_gap = longest_gap.max(last.elapsed()),
+                        Some(_) => longest_gap = longest_gap.max(last_part_at.elapsed()),
                     }
-                    last = Instant::now();
+                    last_part_at = Instant::now();
                 }
                 Ok(None) => break,
                 Err(error) => {
@@ -140,7 +140,7 @@
         Ok(ChatAnswer { ending, fingerprint, first_token, longest_gap, total })
     }
 
-    /// Compares an answer that claims to be whole with the one the prompt must get.
+    /// Compares an answer that was delivered as complete with the one expected for the prompt.
     fn compare(&self, prompt: &str, fingerprint: &str, content: &str) -> Ending {
         let expected = answer_text(fingerprint, prompt, self.tokens);
         if content == expected {
@@ -153,27 +153,27 @@
     }
 }
 
-/// A stream of events being read.
+/// A parser for a server-sent event stream.
 #[derive(Default)]
-struct Stream {
-    rest: String,
+struct EventStream {
+    unparsed: String,
     content: String,
     fingerprint: String,
     done: bool,
     failure: Option<Code>,
 }
 
-impl Stream {
-    fn take(&mut self, part: &[u8]) {
-        self.rest.push_str(&String::from_utf8_lossy(part));
-        while let Some(end) = self.rest.find("\n\n") {
-            let event: String = self.rest.drain(..end + 2).collect();
+impl EventStream {
+    fn push(&mut self, part: &[u8]) {
+        self.unparsed.push_str(&String::from_utf8_lossy(part));
+        while let Some(end) = self.unparsed.find("\n\n") {
+            let event: String = self.unparsed.drain(..end + 2).collect();
             let data = event.lines().find_map(|line| line.strip_prefix("data: "));
-            self.take_event(data.unwrap_or_default());
+            self.handle_event(data.unwrap_or_default());
         }
     }
 
-    fn take_event(&mut self, data: &str) {
+    fn handle_event(&mut self, data: &str) {
         if data == "[DONE]" {
             self.done = true;
             return;
@@ -184,12 +184,12 @@
             return;
         }
         self.content.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or(""));
-        self.fingerprint = text(&event["system_fingerprint"]);
+        self.fingerprint = string_or_empty(&event["system_fingerprint"]);
     }
 }
 
-/// Posts a body with headers.
-pub async fn ask(
+/// Sends a POST request with headers and a body.
+pub async fn post_request(
     address: SocketAddr,
     path: &str,
     headers: &[(&str, &str)],
@@ -206,7 +206,7 @@
     send(address, request, deadline).await
 }
 
-/// Posts a body to a plain service and tells how that ended.
+/// Sends a POST request to a plain service and returns its outcome.
 pub async fn post(
     address: SocketAddr,
     path: &str,
@@ -216,18 +216,18 @@
 ) -> Ending {
     let deadline = Deadline::after(patience);
     let exchange = async {
-        let response = ask(address, path, headers, body, deadline).await?;
-        read_body(response, ANSWER_BYTES, deadline).await
+        let response = post_request(address, path, headers, body, deadline).await?;
+        read_body(response, MAX_RESPONSE_BYTES, deadline).await
     };
     match exchange.await {
         Ok(answer) if answer.status == 200 => Ending::Whole,
-        Ok(answer) => refusal(&serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
+        Ok(answer) => error_ending(&serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
         Err(error) if error.code == Code::Unreachable => Ending::NotRun(error.code),
         Err(error) => Ending::Unknown(error.code),
     }
 }
 
-fn refusal(body: &Value) -> Ending {
+fn error_ending(body: &Value) -> Ending {
     let number = body["error"]["code"].as_u64().unwrap_or(0) as u16;
     let code = Code::from_number(number).unwrap_or(Code::Internal);
     match code.ran() {
@@ -236,7 +236,7 @@
     }
 }
 
-fn ended(ending: Ending, fingerprint: String) -> ChatAnswer {
+fn answer_without_timing(ending: Ending, fingerprint: String) -> ChatAnswer {
     ChatAnswer {
         ending,
         fingerprint,
@@ -246,6 +246,6 @@
     }
 }
 
-fn text(value: &Value) -> String {
+fn string_or_empty(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_owned()
 }
--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet in one process.
+//! A fleet that runs in one process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,41 +24,41 @@
 
 /// The cluster key of every lab.
 const CLUSTER_KEY: &str = "cluster-key-of-the-lab";
-/// The operators' token of every lab.
-const TOKEN: &str = "operator-token-of-the-lab";
-/// How often a lab looks whether what it waits for has happened.
-const POLL: Duration = Duration::from_millis(5);
-/// The memory that the list states for every instance, in bytes.
+/// The operator token of every lab.
+const OPERATOR_TOKEN: &str = "operator-token-of-the-lab";
+/// Interval at which a lab checks a condition that it waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Memory of each instance according to the instance list, in bytes.
 const MEMORY_BYTES: u64 = 1 << 40;
-/// The largest body a lab's servers take, in bytes.
-const BODY_BYTES: u64 = 64 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// An agent and the upstream beside it.
+/// An agent and its upstream.
 pub struct Agent {
-    /// Its name.
+    /// The name of the instance.
     pub id: InstanceId,
-    /// The daemon.
+    /// The agent daemon.
     pub node: AgentNode,
-    /// The engine, if it stands beside one.
+    /// The engine, if the upstream is one.
     pub engine: Option<Arc<Engine>>,
-    /// The plain service, if it stands beside one.
+    /// The plain service, if the upstream is one.
     pub service: Option<Arc<Service>>,
-    /// The faults of its link.
+    /// Fault injection for the instance's link.
     pub link: Arc<LinkFaults>,
     /// The daemon's metrics.
     pub metrics: Arc<Metrics>,
     upstream: Server,
 }
 
-/// The fleet.
+/// A fleet with its platform.
 pub struct Lab {
-    /// The platform.
+    /// The platform stand-in.
     pub platform: PlatformStandIn,
-    /// Every agent.
+    /// All agents.
     pub agents: Vec<Agent>,
-    /// Every entry.
+    /// All entries.
     pub entries: Vec<EntryNode>,
-    /// The metrics of each entry.
+    /// The metrics of the entries, in the order of `entries`.
     pub entry_metrics: Vec<Arc<Metrics>>,
     options: LabOptions,
     tasks: Tasks,
@@ -66,7 +66,7 @@
 }
 
 impl Lab {
-    /// Starts a fleet on an executor that others run.
+    /// Starts a fleet on an executor. The caller must run the executor.
     pub async fn start(executor: &Arc<Executor<'static>>, options: LabOptions) -> Result<Self> {
         let tasks = Tasks::new(executor);
         let rates = PlatformOptions { origin_bytes_per_s: options.origin_bytes_per_s };
@@ -95,7 +95,7 @@
         Ok(lab)
     }
 
-    /// Runs an executor on as many threads as there are cores, until the process ends.
+    /// Runs an executor on one thread per CPU core until the process ends.
     pub fn run_threads(executor: &Arc<Executor<'static>>) {
         let threads = std::thread::available_parallelism().map_or(2, usize::from);
         for _ in 0..threads {
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Adds an instance with a model engine, or replaces the one of the same name.
+    /// Adds an instance with a model engine, or replaces the instance with the same name.
     pub async fn add_engine(&mut self, name: &str) -> Result<()> {
         let engine = Arc::new(Engine::new(&self.tasks, self.options.engine));
         let upstream = self.serve(engine.clone()).await?;
-        let behind = Upstream::Engine(Arc::new(HttpUpstream(upstream.address())));
-        let mut agent = self.start_agent(name, Process::Engine, behind, upstream).await?;
+        let upstream_client = Upstream::Engine(Arc::new(HttpUpstream(upstream.address())));
+        let mut agent = self.start_agent(name, Process::Engine, upstream_client, upstream).await?;
         agent.engine = Some(engine);
         self.agents.retain(|it| it.id != agent.id);
         self.agents.push(agent);
@@ -121,11 +121,13 @@
     async fn add_service(&mut self, name: &str, number: usize) -> Result<()> {
         let service = Arc::new(Service::new(self.options.service_work));
         let upstream = self.serve(service.clone()).await?;
-        let kind = ServiceName(name.to_owned());
-        let address = Arc::new(HttpUpstream(upstream.address()));
-        let behind = Upstream::Service(kind.clone(), address);
+        let service_name = ServiceName(name.to_owned());
+        let http_client = Arc::new(HttpUpstream(upstream.address()));
+        let upstream_client = Upstream::Service(service_name.clone(), http_client);
         let id = format!("{name}-{number}");
-        let mut agent = self.start_agent(&id, Process::Service(kind), behind, upstream).await?;
+        let mut agent = self
+            .start_agent(&id, Process::Service(service_name), upstream_client, upstream)
+            .await?;
         agent.service = Some(service);
         self.agents.push(agent);
         Ok(())
@@ -135,7 +137,7 @@
         &self,
         name: &str,
         process: Process,
-        behind: Upstream,
+        upstream_client: Upstream,
         upstream: Server,
     ) -> Result<Agent> {
         let id = InstanceId(name.to_owned());
@@ -145,7 +147,7 @@
         let setup = AgentSetup {
             host,
             identity: self.identity(&id, self.agents.len()),
-            upstream: behind,
+            upstream: upstream_client,
             weights_listen: loopback(),
             upstream_checks_fence: self.options.engine.checks_fence,
             options: self.options.agent(),
@@ -153,7 +155,7 @@
         };
         let place = setup.identity.place.clone();
         let node = AgentNode::start(setup).await?;
-        self.list(&id, place, process, node.address());
+        self.add_to_instance_list(&id, place, process, node.address());
         Ok(Agent { id, node, engine: None, service: None, link, metrics, upstream })
     }
 
@@ -167,27 +169,27 @@
             callers: loopback(),
             kinds: self.options.kinds.clone(),
             deadline: Duration::from_secs(60),
-            body_bytes: BODY_BYTES,
+            body_bytes: MAX_BODY_BYTES,
             options: self.options.entry(),
         };
         let place = setup.identity.place.clone();
         let node = EntryNode::start(setup).await?;
-        self.list(&id, place, Process::Entry, node.address());
+        self.add_to_instance_list(&id, place, Process::Entry, node.address());
         self.entries.push(node);
         Ok(())
     }
 
-    /// The door of operators at an entry.
+    /// Returns a client for the operator API of an entry.
     pub fn operator(&self, entry: usize) -> Operator {
-        Operator::new(self.entries[entry].operators(), TOKEN)
+        Operator::new(self.entries[entry].operators(), OPERATOR_TOKEN)
     }
 
-    /// Adapters to the platform, as the daemons use them.
+    /// Returns the clients of the platform's services that the daemons use.
     pub fn connect(&self) -> Platform {
         self.platform.connect()
     }
 
-    /// Hands weights to the platform.
+    /// Publishes weights to the platform.
     pub async fn publish(&self, label: &str, content: &[u8]) -> Result<Manifest> {
         let manifest = Manifest::describe(label, content)?;
         let platform = self.connect();
@@ -196,7 +198,7 @@
         Ok(manifest)
     }
 
-    /// Declares that a model runs on a number of instances, and confirms the plan.
+    /// Plans a deployment of a model on a number of instances, and confirms the plan.
     pub async fn deploy(
         &self,
         model: &str,
@@ -208,28 +210,33 @@
         operator.confirm(&plan.id).await
     }
 
-    /// Waits until every daemon is ready and every entry and agent has heard of every agent.
-    pub async fn wait_ready(&self, time: Duration) -> Result<()> {
+    /// Waits until every daemon is ready and every entry and agent considers all other agents up.
+    pub async fn wait_ready(&self, timeout: Duration) -> Result<()> {
         let expected = self.agents.len();
-        let settled = |control: &Control, others: usize| {
+        let is_ready = |control: &Control, others: usize| {
             let up = control.members.others().filter(|it| it.is_up());
             control.is_current() && up.count() >= others
         };
-        self.wait(time, || {
+        self.wait(timeout, || {
             let mut entries = self.entries.iter();
             let mut agents = self.agents.iter();
-            entries.all(|it| it.inspect(|state| settled(&state.control, expected)))
-                && agents.all(|it| it.node.inspect(|state| settled(&state.control, expected - 1)))
+            entries.all(|it| it.inspect(|state| is_ready(&state.control, expected)))
+                && agents.all(|it| it.node.inspect(|state| is_ready(&state.control, expected - 1)))
         })
         .await
     }
 
-    /// Waits until this many agents serve a version.
-    pub async fn wait_live(&self, version: VersionId, count: usize, time: Duration) -> Result<()> {
-        self.wait(time, || self.live(version).len() >= count).await
+    /// Waits until at least `count` agents serve a version.
+    pub async fn wait_live(
+        &self,
+        version: VersionId,
+        count: usize,
+        timeout: Duration,
+    ) -> Result<()> {
+        self.wait(timeout, || self.live(version).len() >= count).await
     }
 
-    /// Waits until every entry has heard that this many agents serve a version.
+    /// Waits until every entry knows of at least `count` agents that serve a version.
     pub async fn wait_routed(&self, version: VersionId, count: usize) -> Result<()> {
         self.wait(Duration::from_secs(20), || {
             self.entries.iter().all(|entry| {
@@ -244,7 +251,7 @@
         .await
     }
 
-    /// The agents that serve a version.
+    /// Returns the agents that serve a version.
     pub fn live(&self, version: VersionId) -> Vec<&Agent> {
         let serves = |it: &&Agent| {
             it.node.inspect(|agent| agent.serving().iter().any(|it| it.version == version))
@@ -252,19 +259,22 @@
         self.agents.iter().filter(serves).collect()
     }
 
-    /// Waits until something has happened.
-    pub async fn wait(&self, time: Duration, happened: impl Fn() -> bool) -> Result<()> {
+    /// Waits until a condition holds. Fails with `TimedOut` after `timeout`.
+    pub async fn wait(&self, timeout: Duration, condition: impl Fn() -> bool) -> Result<()> {
         let start = Instant::now();
-        while !happened() {
-            if start.elapsed() > time {
-                return Err(Error::new(Code::TimedOut, "what the lab waited for did not happen"));
+        while !condition() {
+            if start.elapsed() > timeout {
+                return Err(Error::new(
+                    Code::TimedOut,
+                    "the condition that the lab waited for did not become true",
+                ));
             }
-            Timer::after(POLL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Ends every daemon, so that another lab can run in the same process.
+    /// Kills all daemons, so that another lab can run in the same process.
     pub fn stop(&self) {
         self.agents.iter().for_each(|agent| agent.node.kill());
         self.entries.iter().for_each(EntryNode::kill);
@@ -275,7 +285,7 @@
             tasks: self.tasks.group(),
             platform: self.platform.connect(),
             keys: self.keys.clone(),
-            tokens: TokenRing::parse(TOKEN)?,
+            tokens: TokenRing::parse(OPERATOR_TOKEN)?,
             metrics: Arc::new(Metrics::start()?),
         })
     }
@@ -286,7 +296,13 @@
         Identity { id: id.clone(), place, listen: loopback(), operators: loopback() }
     }
 
-    fn list(&self, id: &InstanceId, place: Place, process: Process, address: SocketAddr) {
+    fn add_to_instance_list(
+        &self,
+        id: &InstanceId,
+        place: Place,
+        process: Process,
+        address: SocketAddr,
+    ) {
         self.platform.instances.add(Instance {
             id: id.clone(),
             place,
@@ -298,19 +314,19 @@
     }
 
     async fn serve(&self, handler: Arc<dyn Handler>) -> Result<Server> {
-        let bounds = Bounds { body_bytes: BODY_BYTES, ..Bounds::default() };
+        let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
         Server::start(&self.tasks.group(), loopback(), bounds, handler).await
     }
 }
 
 impl Agent {
-    /// Where its upstream listens, for callers that go around silverdock.
+    /// Returns the address of the upstream, for callers that bypass silverdock.
     pub fn upstream_address(&self) -> SocketAddr {
         self.upstream.address()
     }
 }
 
-/// The intent that a model runs on a number of instances anywhere.
+/// Returns the intent to deploy a model on a number of instances in any data hall.
 pub fn deploy_intent(model: &str, version: VersionId, replicas: usize) -> Intent {
     Intent::Deploy {
         model: ModelName::from(model),
--- a/components/lab/src/lib.rs
+++ b/components/lab/src/lib.rs
@@ -1,12 +1,12 @@
-//! Small fleets of real daemon code on loopback, for examples and tests. The platform is played by
-//! the stand-ins; the daemons and the messages between them are the real ones.
+//! Small in-process fleets on the loopback interface, for examples and tests. The daemons and the messages between them
+//! are the real ones; the platform's services and the upstreams are stand-ins.
 
 mod caller;
 mod fleet;
-mod interference;
+mod link_faults;
 mod options;
 
 pub use crate::fleet::{deploy_intent, Agent, Lab};
-pub use caller::{ask, post, ChatAnswer, ChatCaller, Ending};
-pub use interference::LinkFaults;
+pub use caller::{post, post_request, ChatAnswer, ChatCaller, Ending};
+pub use link_faults::LinkFaults;
 pub use options::LabOptions;
--- a/components/lab/src/options.rs
+++ b/components/lab/src/options.rs
@@ -1,4 +1,4 @@
-//! What a lab is made of.
+//! Options of a lab.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 use settings::Kind;
 use standins::EngineOptions;
 
-/// The size and the rates of a lab.
+/// Size, bandwidths and policies of a lab.
 #[derive(Clone, Debug)]
 pub struct LabOptions {
-    /// Instances with a model engine.
+    /// Number of instances with a model engine.
     pub engines: usize,
-    /// Instances with a plain service, by its name.
+    /// Names of plain services, and the number of instances of each.
     pub services: Vec<(String, usize)>,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Data halls; instances take turns.
+    /// Number of data halls. Instances are assigned to them round-robin.
     pub halls: usize,
-    /// The origin's link, in bytes a second.
+    /// Bandwidth of the origin's link, in bytes per second.
     pub origin_bytes_per_s: u64,
-    /// An instance's link each way, in bytes a second.
+    /// Bandwidth of an instance's link in each direction, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// Copies that may be drawn from the origin.
+    /// Maximum number of copies that are read from the origin.
     pub copies: u32,
-    /// How engines behave.
+    /// Options of the engines.
     pub engine: EngineOptions,
-    /// Time a plain service works on a request.
+    /// Time that a plain service takes to execute a request.
     pub service_work: Duration,
-    /// Requests an upstream takes at once.
+    /// Maximum number of requests that an upstream handles concurrently.
     pub concurrency: u32,
-    /// Requests that may wait at an entry.
+    /// Maximum number of requests that wait at an entry.
     pub queue_limit: u32,
-    /// Kinds of requests besides chat completions.
+    /// Kinds of requests in addition to chat completions.
     pub kinds: Vec<Kind>,
-    /// Bytes a second that messages between daemons may cost.
+    /// Bandwidth limit for messages between daemons, in bytes per second.
     pub control_bytes_per_s: u64,
     /// How agents choose chunks and sources.
     pub choice: Choice,
@@ -64,7 +64,7 @@
 }
 
 impl LabOptions {
-    /// The numbers for an agent's reducer.
+    /// Returns the options for an agent's reducer.
     pub fn agent(&self) -> AgentOptions {
         AgentOptions {
             concurrency: self.concurrency,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The numbers for an entry's reducer.
+    /// Returns the options for an entry's reducer.
     pub fn entry(&self) -> EntryOptions {
         EntryOptions {
             queue_limit: self.queue_limit,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Link rates for estimates.
+    /// Returns the bandwidths for the estimates in plans.
     pub fn estimate(&self) -> Estimate {
         Estimate {
             origin_bytes_per_s: self.origin_bytes_per_s as f64,
--- a/components/standins/src/engine.rs
+++ b/components/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: continuous batching, a prefix cache, streams, cancels and fenced orders.
+//! A stand-in for a model engine with continuous batching, a prefix cache, streaming, cancellation and fenced orders.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,40 +15,40 @@
     json, read_body, refuse, send, stream_body, Caller, Deadline, Handler, HttpBody, Reply, Tasks,
 };
 use serde::Deserialize;
-use serde_json::json as value;
+use serde_json::json as json_value;
 
-use crate::engine_batch::{Batch, Seat};
+use crate::engine_batch::{Batch, BatchSlot};
 use crate::engine_cache::PrefixCache;
 use crate::engine_text::token_text;
-use crate::faults::{empty, Faults};
+use crate::faults::{empty_response, Faults};
 
-/// How long reading weights from the agent may take.
-const WEIGHTS_TIME: Duration = Duration::from_secs(600);
-/// How much of a refusal is read, in bytes.
-const REFUSAL_BYTES: usize = 4096;
-/// Tokens of a stream that wait for a slow reader.
-const TOKENS_AHEAD: usize = 16;
-/// Tokens generated when the request names no number.
-const USUAL_TOKENS: u32 = 16;
+/// Timeout for reading weights from the agent.
+const WEIGHTS_TIMEOUT: Duration = Duration::from_secs(600);
+/// Maximum size of an error response that is read, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 4096;
+/// Maximum number of tokens of a stream that are buffered for a slow reader.
+const MAX_BUFFERED_TOKENS: usize = 16;
+/// Number of tokens that are generated if the request does not specify `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// How an engine behaves.
+/// Capacity and timing of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineOptions {
-    /// Requests it batches at once.
+    /// Maximum number of requests in the batch.
     pub batch: u32,
-    /// Time for one block of a prompt that is not cached.
+    /// Time to process one block of a prompt that is not cached.
     pub block_time: Duration,
-    /// Time between two tokens.
+    /// Time to generate one token.
     pub token_time: Duration,
-    /// Blocks that the prefix cache holds.
+    /// Maximum number of blocks in the prefix cache.
     pub cache_blocks: usize,
-    /// Time to start serving once the weights are read.
+    /// Time from having read the weights to serving them.
     pub load_time: Duration,
-    /// How long the reported load lags.
-    pub load_lag: Duration,
-    /// How late cache events are published.
-    pub event_lag: Duration,
-    /// Whether orders of an old epoch are refused.
+    /// Minimum interval between two updates of the reported load.
+    pub load_update_interval: Duration,
+    /// Delay before a cache event becomes visible.
+    pub event_delay: Duration,
+    /// Whether orders with an old epoch are rejected.
     pub checks_fence: bool,
 }
 
@@ -60,49 +60,49 @@
             token_time: Duration::from_millis(10),
             cache_blocks: 256,
             load_time: Duration::from_millis(20),
-            load_lag: Duration::from_millis(500),
-            event_lag: Duration::from_millis(500),
+            load_update_interval: Duration::from_millis(500),
+            event_delay: Duration::from_millis(500),
             checks_fence: true,
         }
     }
 }
 
-/// What an engine has loaded under a name.
+/// The weights that an engine has loaded under a model name.
 #[derive(Clone, Debug)]
-struct Loaded {
-    /// The digest of every byte that was read, computed here and not taken from the order.
+struct LoadedModel {
+    /// The digest of all bytes that were read. It is computed from the bytes, not copied from the order.
     digest: String,
 }
 
 struct State {
-    loaded: HashMap<ModelName, Loaded>,
+    loaded: HashMap<ModelName, LoadedModel>,
     highest_epoch: Revision,
     cache: PrefixCache,
     cancelled: HashSet<String>,
     reported: (Option<Instant>, EngineLoad),
 }
 
-/// The engine.
+/// The engine stand-in.
 pub struct Engine {
-    /// Its switches.
+    /// Fault injection for this engine.
     pub faults: Arc<Faults>,
     tasks: Tasks,
     options: EngineOptions,
     batch: Arc<Batch>,
     state: Arc<Mutex<State>>,
-    answered: AtomicU64,
+    completions_started: AtomicU64,
 }
 
-/// The part of a chat completion request that matters here.
+/// The fields of a chat completion request that the engine uses.
 #[derive(Deserialize)]
-struct Completion {
+struct CompletionRequest {
     model: ModelName,
     #[serde(default)]
     messages: Vec<ChatMessage>,
     #[serde(default)]
     stream: bool,
     max_tokens: Option<u32>,
-    /// The first token to generate, when a stream is taken up again.
+    /// The index of the first token to generate when an interrupted stream is resumed.
     #[serde(default)]
     resume_from: u32,
 }
@@ -113,7 +113,7 @@
     content: String,
 }
 
-/// A request in the batch.
+/// A request in the batch, while its tokens are generated.
 struct Generation {
     id: String,
     model: ModelName,
@@ -122,11 +122,11 @@
     first: u32,
     tokens: u32,
     token_time: Duration,
-    _seat: Seat,
+    _slot: BatchSlot,
 }
 
 impl Engine {
-    /// An engine that has nothing loaded.
+    /// Creates an engine without a loaded model.
     pub fn new(tasks: &Tasks, options: EngineOptions) -> Self {
         Self {
             faults: Arc::default(),
@@ -140,16 +140,16 @@
                 cancelled: HashSet::new(),
                 reported: (None, EngineLoad::default()),
             })),
-            answered: AtomicU64::new(0),
+            completions_started: AtomicU64::new(0),
         }
     }
 
-    /// How many completions it began to answer.
+    /// Returns the number of completions that the engine has started.
     pub fn answered(&self) -> u64 {
-        self.answered.load(Ordering::Relaxed)
+        self.completions_started.load(Ordering::Relaxed)
     }
 
-    async fn obey(&self, order: EngineOrder) -> Result<()> {
+    async fn apply_order(&self, order: EngineOrder) -> Result<()> {
         self.check_fence(order.epoch)?;
         let Some(version) = order.version else {
             self.lock().loaded.remove(&order.model);
@@ -157,32 +157,33 @@
         };
         let url = Url::parse(&format!("http://{}/weights/{version}", order.weights));
         let url = url.map_err(|error| Error::new(Code::BadRequest, error.to_string()))?;
-        let digest = read_digest(&order, Request::new(Method::Get, url)).await?;
+        let digest = read_weights_digest(&order, Request::new(Method::Get, url)).await?;
         Timer::after(self.options.load_time).await;
-        // A higher order may have come while this one was read.
+        // An order with a higher epoch may have arrived while the weights were read.
         self.check_fence(order.epoch)?;
-        self.lock().loaded.insert(order.model, Loaded { digest });
+        self.lock().loaded.insert(order.model, LoadedModel { digest });
         Ok(())
     }
 
     fn check_fence(&self, epoch: Revision) -> Result<()> {
         let mut state = self.lock();
         if self.options.checks_fence && epoch < state.highest_epoch {
-            return Err(Error::new(Code::OldEpoch, "a higher epoch was seen"));
+            return Err(Error::new(Code::OldEpoch, "the engine has seen a higher epoch"));
         }
         state.highest_epoch = state.highest_epoch.max(epoch);
         Ok(())
     }
 
     async fn complete(&self, request: &Request, body: &[u8]) -> Result<Response> {
-        let completion: Completion = serde_json::from_slice(body)
+        let completion: CompletionRequest = serde_json::from_slice(body)
             .map_err(|error| Error::new(Code::BadRequest, error.to_string()))?;
         let priority = header(request, "x-priority").parse().unwrap_or(0);
-        let seat = self.batch.join(priority).await;
-        let seat = seat.ok_or_else(|| Error::new(Code::Stopping, "the engine is stopping"))?;
+        let slot = self.batch.acquire(priority).await;
+        let slot = slot.ok_or_else(|| Error::new(Code::Stopping, "the engine is stopping"))?;
         let loaded = self.lock().loaded.get(&completion.model).cloned();
-        let loaded = loaded.ok_or_else(|| Error::new(Code::NotServing, "nothing is loaded"))?;
-        self.answered.fetch_add(1, Ordering::Relaxed);
+        let loaded = loaded
+            .ok_or_else(|| Error::new(Code::NotServing, "the engine has not loaded the model"))?;
+        self.completions_started.fetch_add(1, Ordering::Relaxed);
         let prompt: String = completion.messages.into_iter().map(|it| it.content).collect();
         Timer::after(self.options.block_time * self.cache_prompt(&prompt)).await;
         let generation = Generation {
@@ -191,34 +192,34 @@
             digest: loaded.digest,
             prompt,
             first: completion.resume_from,
-            tokens: completion.max_tokens.unwrap_or(USUAL_TOKENS),
+            tokens: completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             token_time: self.options.token_time,
-            _seat: seat,
+            _slot: slot,
         };
         if completion.stream {
             return Ok(self.stream(generation));
         }
-        Ok(whole(generation).await)
+        Ok(full_response(generation).await)
     }
 
-    /// Adds the prompt to the cache; returns how many of its blocks had to be computed.
+    /// Adds the prompt to the cache and returns the number of its blocks that were not cached.
     fn cache_prompt(&self, prompt: &str) -> u32 {
         self.lock().cache.add_prompt(prompt)
     }
 
-    /// Loses this share of the cache events.
-    pub fn set_event_gaps(&self, percent: u64) {
-        self.lock().cache.gaps.set_percent(percent);
+    /// Drops this percentage of the cache events.
+    pub fn set_event_loss_percent(&self, percent: u64) {
+        self.lock().cache.event_loss.set_percent(percent);
     }
 
     fn stream(&self, generation: Generation) -> Response {
-        let (sender, body) = stream_body(TOKENS_AHEAD);
+        let (sender, body) = stream_body(MAX_BUFFERED_TOKENS);
         let state = self.state.clone();
-        let writing = async move {
+        let send_tokens = async move {
             for index in generation.first..generation.tokens {
                 Timer::after(generation.token_time).await;
                 let cancelled = is_cancelled(&state, &generation.id);
-                let part = format!("data: {}\n\n", generation.chunk(index));
+                let part = format!("data: {}\n\n", generation.stream_chunk(index));
                 if cancelled || !sender.send(part.into_bytes()).await {
                     return;
                 }
@@ -227,19 +228,20 @@
                 sender.finish();
             }
         };
-        self.tasks.spawn(writing);
-        let mut response = empty(StatusCode::Ok);
+        self.tasks.spawn(send_tokens);
+        let mut response = empty_response(StatusCode::Ok);
         response.set_body(body);
         response.insert_header("content-type", "text/event-stream");
         response
     }
 
-    /// The load as it was some time ago.
-    fn report(&self) -> EngineLoad {
+    /// Returns the load as of the last update.
+    fn reported_load(&self) -> EngineLoad {
         let (running, waiting) = self.batch.load();
         let mut state = self.lock();
-        let due = state.reported.0.is_none_or(|at| at.elapsed() >= self.options.load_lag);
-        if due {
+        let is_due =
+            state.reported.0.is_none_or(|at| at.elapsed() >= self.options.load_update_interval);
+        if is_due {
             state.reported = (Some(Instant::now()), EngineLoad { running, waiting });
         }
         state.reported.1
@@ -255,8 +257,8 @@
 }
 
 impl Generation {
-    fn chunk(&self, index: u32) -> serde_json::Value {
-        value!({
+    fn stream_chunk(&self, index: u32) -> serde_json::Value {
+        json_value!({
             "id": self.id,
             "object": "chat.completion.chunk",
             "model": self.model,
@@ -269,13 +271,13 @@
     }
 }
 
-async fn whole(generation: Generation) -> Response {
+async fn full_response(generation: Generation) -> Response {
     let mut content = String::new();
     for index in generation.first..generation.tokens {
         Timer::after(generation.token_time).await;
         content.push_str(&token_text(&generation.digest, &generation.prompt, index));
     }
-    let body = value!({
+    let body = json_value!({
         "id": generation.id,
         "object": "chat.completion",
         "model": generation.model,
@@ -290,13 +292,16 @@
     json(200, &body)
 }
 
-/// Reads the weights from the agent and names what was read.
-async fn read_digest(order: &EngineOrder, request: Request) -> Result<String> {
-    let deadline = Deadline::after(WEIGHTS_TIME);
+/// Reads the weights from the agent and returns the digest of the bytes that were read.
+async fn read_weights_digest(order: &EngineOrder, request: Request) -> Result<String> {
+    let deadline = Deadline::after(WEIGHTS_TIMEOUT);
     let response = send(order.weights, request, deadline).await?;
     if !response.status().is_success() {
-        let answer = read_body(response, REFUSAL_BYTES, deadline).await?;
-        return Err(Error::new(Code::UpstreamFailed, format!("weights: {}", answer.status)));
+        let answer = read_body(response, MAX_ERROR_BODY_BYTES, deadline).await?;
+        return Err(Error::new(
+            Code::UpstreamFailed,
+            format!("the agent responded to the read of weights with status {}", answer.status),
+        ));
     }
     let mut body = HttpBody::new(response);
     let mut hasher = blake3::Hasher::new();
@@ -306,7 +311,10 @@
         bytes += part.len() as u64;
     }
     if bytes != order.bytes {
-        return Err(Error::new(Code::CutShort, format!("read {bytes} of {}", order.bytes)));
+        return Err(Error::new(
+            Code::CutShort,
+            format!("read {bytes} of {} bytes of weights", order.bytes),
+        ));
     }
     Ok(hasher.finalize().to_hex().to_string())
 }
@@ -318,7 +326,7 @@
 #[async_trait]
 impl Handler for Engine {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
-        self.faults.wait().await;
+        self.faults.apply_delay().await;
         if self.faults.is_down() {
             return Reply::HangUp;
         }
@@ -328,16 +336,16 @@
         let path = request.url().path().to_owned();
         let result = match (request.method(), path.as_str()) {
             (Method::Post, "/orders") => match serde_json::from_slice(&body) {
-                Ok(order) => self.obey(order).await.map(|()| empty(StatusCode::Ok)),
+                Ok(order) => self.apply_order(order).await.map(|()| empty_response(StatusCode::Ok)),
                 Err(error) => Err(Error::new(Code::BadRequest, error.to_string())),
             },
             (Method::Post, "/v1/chat/completions") => self.complete(&request, &body).await,
-            (Method::Get, "/load") => Ok(json(200, &self.report())),
+            (Method::Get, "/load") => Ok(json(200, &self.reported_load())),
             (Method::Get, "/cache/events") => {
                 let query = request.url().query().unwrap_or_default();
                 let after = query.trim_start_matches("after=").parse().unwrap_or(0);
-                let lag = self.options.event_lag;
-                Ok(json(200, &self.lock().cache.events_after(after, lag)))
+                let delay = self.options.event_delay;
+                Ok(json(200, &self.lock().cache.events_after(after, delay)))
             }
             (Method::Post, "/kv/export") => {
                 let prompt = String::from_utf8_lossy(&body).into_owned();
@@ -350,9 +358,9 @@
             (Method::Delete, path) => {
                 let id = path.trim_start_matches("/requests/").to_owned();
                 self.lock().cancelled.insert(id);
-                Ok(empty(StatusCode::Ok))
+                Ok(empty_response(StatusCode::Ok))
             }
-            _ => Ok(empty(StatusCode::NotFound)),
+            _ => Ok(empty_response(StatusCode::NotFound)),
         };
         Reply::Answer(result.unwrap_or_else(|error| refuse(&error)))
     }
--- a/components/standins/src/engine_batch.rs
+++ b/components/standins/src/engine_batch.rs
@@ -1,4 +1,4 @@
-//! The batch of an engine stand-in: requests join while there is room, by priority.
+//! The batch of an engine stand-in: a limited number of slots, assigned to requests by priority.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,24 +6,24 @@
 
 use async_channel::Sender;
 
-/// Who waits, best first: high priority, then first come.
-type Waiting = BTreeMap<(Reverse<u8>, u64), Sender<Seat>>;
+/// Waiting requests, ordered by priority from high to low and then by arrival.
+type WaitQueue = BTreeMap<(Reverse<u8>, u64), Sender<BatchSlot>>;
 
 #[derive(Default)]
 struct State {
     running: u32,
-    serial: u64,
-    waiting: Waiting,
+    last_arrival: u64,
+    waiting: WaitQueue,
 }
 
-/// The batch.
+/// The batch of an engine.
 pub(crate) struct Batch {
     limit: u32,
     state: Mutex<State>,
 }
 
-/// A place in the batch, given back when dropped.
-pub(crate) struct Seat {
+/// A slot in the batch. Dropping it releases the slot.
+pub(crate) struct BatchSlot {
     batch: Arc<Batch>,
 }
 
@@ -32,31 +32,31 @@
         Arc::new(Self { limit, state: Mutex::default() })
     }
 
-    /// Requests running and waiting.
+    /// Returns the number of running and of waiting requests.
     pub(crate) fn load(&self) -> (u32, u32) {
         let state = self.state.lock().expect("the lock is never poisoned");
         (state.running, state.waiting.len() as u32)
     }
 
-    /// Waits for a place.
-    pub(crate) async fn join(self: &Arc<Self>, priority: u8) -> Option<Seat> {
+    /// Waits for a free slot.
+    pub(crate) async fn acquire(self: &Arc<Self>, priority: u8) -> Option<BatchSlot> {
         let receiver = {
             let mut state = self.state.lock().expect("the lock is never poisoned");
             if state.running < self.limit {
                 state.running += 1;
-                return Some(Seat { batch: self.clone() });
+                return Some(BatchSlot { batch: self.clone() });
             }
             let (sender, receiver) = async_channel::bounded(1);
-            state.serial += 1;
-            let place = (Reverse(priority), state.serial);
-            state.waiting.insert(place, sender);
+            state.last_arrival += 1;
+            let position = (Reverse(priority), state.last_arrival);
+            state.waiting.insert(position, sender);
             receiver
         };
         receiver.recv().await.ok()
     }
 
-    /// Hands a freed place to the best request that still waits.
-    fn leave(self: &Arc<Self>) {
+    /// Passes a released slot to the first request that still waits.
+    fn release(self: &Arc<Self>) {
         loop {
             let next = {
                 let mut state = self.state.lock().expect("the lock is never poisoned");
@@ -69,16 +69,16 @@
                     }
                 }
             };
-            // A refused seat is dropped inside and comes back here through `leave`.
-            let _ = next.try_send(Seat { batch: self.clone() });
+            // If the request has stopped waiting, the slot is dropped here, which calls `release` again.
+            let _ = next.try_send(BatchSlot { batch: self.clone() });
             return;
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
-        self.batch.leave();
+        self.batch.release();
     }
 }
 
--- a/components/standins/src/engine_batch/tests.rs
+++ b/components/standins/src/engine_batch/tests.rs
@@ -4,31 +4,31 @@
 use futures_lite::future::{block_on, poll_once};
 
 #[test]
-fn can_let_the_higher_priority_in_first() {
+fn assigns_a_free_slot_to_the_highest_priority_first() {
     block_on(async {
         let batch = Batch::new(1);
-        let seat = batch.join(1).await;
-        let mut low = Box::pin(batch.join(1));
-        let mut high = Box::pin(batch.join(5));
+        let slot = batch.acquire(1).await;
+        let mut low = Box::pin(batch.acquire(1));
+        let mut high = Box::pin(batch.acquire(5));
         assert!(poll_once(&mut low).await.is_none());
         assert!(poll_once(&mut high).await.is_none());
-        drop(seat);
+        drop(slot);
         assert!(poll_once(&mut low).await.is_none());
-        let seat = poll_once(&mut high).await.unwrap();
-        drop(seat);
+        let slot = poll_once(&mut high).await.unwrap();
+        drop(slot);
         assert!(poll_once(&mut low).await.is_some());
     });
 }
 
 #[test]
-fn can_skip_requests_that_gave_up() {
+fn skips_requests_that_stopped_waiting() {
     block_on(async {
         let batch = Batch::new(1);
-        let seat = batch.join(1).await;
-        let mut gone = Box::pin(batch.join(1));
-        assert!(poll_once(&mut gone).await.is_none());
-        drop(gone);
-        drop(seat);
+        let slot = batch.acquire(1).await;
+        let mut cancelled = Box::pin(batch.acquire(1));
+        assert!(poll_once(&mut cancelled).await.is_none());
+        drop(cancelled);
+        drop(slot);
         assert_eq!(batch.load(), (0, 0));
     });
 }
--- a/components/standins/src/faults.rs
+++ b/components/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a service that can be switched while it runs, and its rate limits.
+//! Fault injection and rate limits for the stand-ins.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -8,116 +8,118 @@
 use http_types::{Response, StatusCode};
 use net::Reply;
 
-/// The switches of one service.
+/// The injected faults of one service. They can be changed while it runs.
 #[derive(Default)]
 pub struct Faults {
     down: AtomicBool,
-    slow_ms: AtomicU64,
-    losses: Share,
+    delay_ms: AtomicU64,
+    response_loss: PercentSampler,
 }
 
 impl Faults {
-    /// Takes the service down or up again.
+    /// Makes the service unavailable or available again.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::Relaxed);
     }
 
     /// Delays every call.
-    pub fn set_slow(&self, delay: Duration) {
-        self.slow_ms.store(delay.as_millis() as u64, Ordering::Relaxed);
+    pub fn set_delay(&self, delay: Duration) {
+        self.delay_ms.store(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Loses the answers of this share of calls after they took effect.
+    /// Drops the responses to this percentage of calls, after the calls took effect.
     pub fn set_lost_percent(&self, percent: u64) {
-        self.losses.set_percent(percent);
+        self.response_loss.set_percent(percent);
     }
 
-    /// How many answers were lost.
+    /// Returns the number of dropped responses.
     pub fn lost(&self) -> u64 {
-        self.losses.hits()
+        self.response_loss.picked()
     }
 
-    /// Whether the service is down.
+    /// Returns whether the service is unavailable.
     pub fn is_down(&self) -> bool {
         self.down.load(Ordering::Relaxed)
     }
 
-    /// Waits as long as a slow spell says.
-    pub async fn wait(&self) {
-        let delay = self.slow_ms.load(Ordering::Relaxed);
-        if delay > 0 {
-            Timer::after(Duration::from_millis(delay)).await;
+    /// Waits for the injected delay.
+    pub async fn apply_delay(&self) {
+        let delay_ms = self.delay_ms.load(Ordering::Relaxed);
+        if delay_ms > 0 {
+            Timer::after(Duration::from_millis(delay_ms)).await;
         }
     }
 
-    /// Passes an answer on, or loses it.
-    pub fn deliver(&self, response: Response) -> Reply {
-        if self.losses.hit() {
+    /// Returns a response, or closes the connection if the response is to be dropped.
+    pub fn respond(&self, response: Response) -> Reply {
+        if self.response_loss.pick() {
             return Reply::HangUp;
         }
         Reply::Answer(response)
     }
 }
 
-/// Picks a share of events evenly: at 50 every second one, whatever the seed.
+/// Picks a percentage of events at even intervals, such as every second event at 50 percent. It is deterministic and
+/// does not depend on a seed.
 #[derive(Default)]
-pub struct Share {
+pub struct PercentSampler {
     percent: AtomicU64,
-    /// Hundredths of a hit gathered so far.
-    gathered: AtomicU64,
-    hits: AtomicU64,
+    /// The sum of the percentages of all events so far. An event is picked when the sum passes a multiple of 100.
+    accumulated: AtomicU64,
+    picked: AtomicU64,
 }
 
-impl Share {
-    /// Sets the share.
+impl PercentSampler {
+    /// Sets the percentage.
     pub fn set_percent(&self, percent: u64) {
         self.percent.store(percent, Ordering::Relaxed);
     }
 
-    /// Whether the next event is picked.
-    pub fn hit(&self) -> bool {
+    /// Counts an event and returns whether it is picked.
+    pub fn pick(&self) -> bool {
         let percent = self.percent.load(Ordering::Relaxed);
-        let before = self.gathered.fetch_add(percent, Ordering::Relaxed);
-        let hit = before / 100 != (before + percent) / 100;
-        self.hits.fetch_add(u64::from(hit), Ordering::Relaxed);
-        hit
+        let before = self.accumulated.fetch_add(percent, Ordering::Relaxed);
+        let is_picked = before / 100 != (before + percent) / 100;
+        self.picked.fetch_add(u64::from(is_picked), Ordering::Relaxed);
+        is_picked
     }
 
-    /// How many events were picked.
-    pub fn hits(&self) -> u64 {
-        self.hits.load(Ordering::Relaxed)
+    /// Returns the number of picked events.
+    pub fn picked(&self) -> u64 {
+        self.picked.load(Ordering::Relaxed)
     }
 }
 
-/// A limit on calls a second.
-pub struct Allowance {
+/// A token bucket that limits the number of calls per second.
+pub struct RateLimiter {
     per_second: f64,
+    /// The available tokens and the time of the last refill.
     state: Mutex<(f64, Instant)>,
 }
 
-impl Allowance {
-    /// Allows this many calls a second, and as many at once.
+impl RateLimiter {
+    /// Creates a full bucket that allows this many calls per second and the same number in a burst.
     pub fn new(per_second: u32) -> Self {
         let per_second = f64::from(per_second);
         Self { per_second, state: Mutex::new((per_second, Instant::now())) }
     }
 
-    /// Takes one call, if it is allowed.
-    pub fn take(&self) -> bool {
-        self.take_at(Instant::now())
+    /// Takes a token for one call. Returns `false` if the call exceeds the limit.
+    pub fn try_take(&self) -> bool {
+        self.try_take_at(Instant::now())
     }
 
-    fn take_at(&self, now: Instant) -> bool {
+    fn try_take_at(&self, now: Instant) -> bool {
         let mut state = self.state.lock().expect("the lock is never poisoned");
         let refill = now.duration_since(state.1).as_secs_f64() * self.per_second;
-        let level = (state.0 + refill).min(self.per_second);
-        *state = (if level >= 1.0 { level - 1.0 } else { level }, now);
-        level >= 1.0
+        let tokens = (state.0 + refill).min(self.per_second);
+        *state = (if tokens >= 1.0 { tokens - 1.0 } else { tokens }, now);
+        tokens >= 1.0
     }
 }
 
-/// An answer without a body.
-pub(crate) fn empty(status: StatusCode) -> Response {
+/// Returns a response without a body.
+pub(crate) fn empty_response(status: StatusCode) -> Response {
     Response::new(status)
 }
 
--- a/components/standins/src/instances.rs
+++ b/components/standins/src/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances. It lags.
+//! A stand-in for the platform's instance list, which may be out of date.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -9,32 +9,33 @@
 use http_types::{Request, StatusCode};
 use net::{json, Caller, Handler, Reply};
 
-use crate::faults::{empty, Faults};
+use crate::faults::{empty_response, Faults};
 
-/// The true list and the states of it that are still on their way to readers.
+/// The current list, the list that readers see, and later lists that are not visible yet, with the time at which they
+/// become visible.
 #[derive(Default)]
 struct Lists {
-    truth: Vec<Instance>,
+    current: Vec<Instance>,
     visible: Vec<Instance>,
-    coming: VecDeque<(Instant, Vec<Instance>)>,
+    pending: VecDeque<(Instant, Vec<Instance>)>,
 }
 
-/// The list.
+/// The instance list.
 #[derive(Default)]
 pub struct Instances {
-    /// Its switches.
+    /// Fault injection for this service.
     pub faults: Arc<Faults>,
-    lag: Mutex<Duration>,
+    visibility_delay: Mutex<Duration>,
     lists: Mutex<Lists>,
 }
 
 impl Instances {
-    /// Lets changes be seen only after `lag`.
-    pub fn set_lag(&self, lag: Duration) {
-        *self.lag.lock().expect("the lock is never poisoned") = lag;
+    /// Sets the delay after which a change becomes visible to readers.
+    pub fn set_visibility_delay(&self, visibility_delay: Duration) {
+        *self.visibility_delay.lock().expect("the lock is never poisoned") = visibility_delay;
     }
 
-    /// Adds an instance or replaces the one of the same name.
+    /// Adds an instance, or replaces the one with the same name.
     pub fn add(&self, instance: Instance) {
         self.change(|list| {
             list.retain(|it| it.id != instance.id);
@@ -42,7 +43,7 @@
         });
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove(&self, id: &InstanceId) {
         self.change(|list| list.retain(|it| &it.id != id));
     }
@@ -56,17 +57,17 @@
     }
 
     fn change(&self, change: impl FnOnce(&mut Vec<Instance>)) {
-        let lag = *self.lag.lock().expect("the lock is never poisoned");
+        let visibility_delay = *self.visibility_delay.lock().expect("the lock is never poisoned");
         let mut lists = self.lists.lock().expect("the lock is never poisoned");
-        change(&mut lists.truth);
-        let truth = lists.truth.clone();
-        lists.coming.push_back((Instant::now() + lag, truth));
+        change(&mut lists.current);
+        let current = lists.current.clone();
+        lists.pending.push_back((Instant::now() + visibility_delay, current));
     }
 
-    fn visible(&self) -> Vec<Instance> {
+    fn visible_list(&self) -> Vec<Instance> {
         let mut lists = self.lists.lock().expect("the lock is never poisoned");
-        while lists.coming.front().is_some_and(|(due, _)| *due <= Instant::now()) {
-            if let Some((_, list)) = lists.coming.pop_front() {
+        while lists.pending.front().is_some_and(|(due, _)| *due <= Instant::now()) {
+            if let Some((_, list)) = lists.pending.pop_front() {
                 lists.visible = list;
             }
         }
@@ -77,13 +78,13 @@
 #[async_trait]
 impl Handler for Instances {
     async fn handle(&self, request: Request, _caller: Caller) -> Reply {
-        self.faults.wait().await;
+        self.faults.apply_delay().await;
         if self.faults.is_down() {
             return Reply::HangUp;
         }
         match request.url().path() {
-            "/instances" => self.faults.deliver(json(200, &self.visible())),
-            _ => Reply::Answer(empty(StatusCode::NotFound)),
+            "/instances" => self.faults.respond(json(200, &self.visible_list())),
+            _ => Reply::Answer(empty_response(StatusCode::NotFound)),
         }
     }
 }
--- a/components/standins/src/lib.rs
+++ b/components/standins/src/lib.rs
@@ -1,7 +1,6 @@
-//! Small stand-ins for the platform, served over HTTP, with faults that can be switched.
+//! Stand-ins for the platform's services and for upstreams, served over HTTP, with injectable faults.
 //!
-//! They are no simulator of a fleet: each one behaves as one service of the platform does, as far
-//! as silverdock can tell.
+//! They do not simulate a fleet. Each one behaves like a single service, as far as silverdock can observe.
 
 mod engine;
 mod engine_batch;
@@ -18,7 +17,7 @@
 pub use engine::{Engine, EngineOptions};
 pub use engine_cache::CacheEvent;
 pub use engine_text::{answer_text, token_text};
-pub use faults::{Allowance, Faults, Share};
+pub use faults::{Faults, PercentSampler, RateLimiter};
 pub use instances::Instances;
 pub use objects::Objects;
 pub use origin::Origin;
--- a/components/standins/src/objects.rs
+++ b/components/standins/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! A stand-in for the object store.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -7,12 +7,12 @@
 use http_types::{Method, Request, Response, StatusCode};
 use net::{Caller, Handler, Reply};
 
-use crate::faults::{empty, Faults};
+use crate::faults::{empty_response, Faults};
 
-/// Objects by name, each written whole.
+/// An object store that keeps its objects in memory.
 #[derive(Default)]
 pub struct Objects {
-    /// Its switches.
+    /// Fault injection for this service.
     pub faults: Arc<Faults>,
     objects: Mutex<HashMap<String, Vec<u8>>>,
 }
@@ -21,9 +21,9 @@
     fn get(&self, key: &str) -> Response {
         let objects = self.objects.lock().expect("the lock is never poisoned");
         let Some(value) = objects.get(key) else {
-            return empty(StatusCode::NotFound);
+            return empty_response(StatusCode::NotFound);
         };
-        let mut response = empty(StatusCode::Ok);
+        let mut response = empty_response(StatusCode::Ok);
         response.set_body(value.as_slice());
         response
     }
@@ -31,20 +31,20 @@
     fn put(&self, key: &str, value: Vec<u8>) -> Response {
         let mut objects = self.objects.lock().expect("the lock is never poisoned");
         objects.insert(key.to_owned(), value);
-        empty(StatusCode::Ok)
+        empty_response(StatusCode::Ok)
     }
 }
 
 #[async_trait]
 impl Handler for Objects {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
-        self.faults.wait().await;
+        self.faults.apply_delay().await;
         if self.faults.is_down() {
             return Reply::HangUp;
         }
         let path = request.url().path().to_owned();
         let Some(key) = path.strip_prefix("/objects/") else {
-            return Reply::Answer(empty(StatusCode::NotFound));
+            return Reply::Answer(empty_response(StatusCode::NotFound));
         };
         let response = match request.method() {
             Method::Get => self.get(key),
@@ -52,8 +52,8 @@
                 Ok(value) => self.put(key, value),
                 Err(_) => return Reply::HangUp,
             },
-            _ => empty(StatusCode::MethodNotAllowed),
+            _ => empty_response(StatusCode::MethodNotAllowed),
         };
-        self.faults.deliver(response)
+        self.faults.respond(response)
     }
 }
--- a/components/standins/src/origin.rs
+++ b/components/standins/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights, behind a link of a stated rate.
+//! A stand-in for the origin of weights, with a bandwidth limit.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,71 +8,71 @@
 use http_types::{Method, Request, Response, StatusCode};
 use net::{stream_body, BodySender, Caller, Handler, Pacer, Reply, Tasks};
 
-use crate::faults::{empty, Allowance, Faults, Share};
+use crate::faults::{empty_response, Faults, PercentSampler, RateLimiter};
 
-/// How much passes the link at once, in bytes; calls at the same time take turns.
+/// Size of the pieces in which weights are sent, in bytes. Concurrent reads share the link piece by piece.
 const PIECE_BYTES: usize = 4 * 1024;
-/// Parts of a body that wait for a slow reader.
-const PARTS_AHEAD: usize = 4;
-/// Reads a second that the store in front of the origin allows.
-const READS_PER_S: u32 = 2000;
+/// Maximum number of pieces of a body that are buffered for a slow reader.
+const MAX_BUFFERED_PIECES: usize = 4;
+/// Rate limit of the store in front of the origin, in reads per second.
+const MAX_READS_PER_S: u32 = 2000;
 
-/// Versions by name, read in ranges.
+/// An origin that keeps the weights of each version in memory and serves ranges of them.
 pub struct Origin {
-    /// Its switches.
+    /// Fault injection for this service.
     pub faults: Arc<Faults>,
     tasks: Tasks,
     link: Arc<Pacer>,
-    reads_allowed: Allowance,
+    read_limiter: RateLimiter,
     contents: Mutex<HashMap<String, Arc<Vec<u8>>>>,
-    sent: Arc<AtomicU64>,
-    corruption: Share,
+    sent_bytes: Arc<AtomicU64>,
+    corruption: PercentSampler,
 }
 
 impl Origin {
-    /// An origin with a link of `bytes_per_s`.
+    /// Creates an origin with a bandwidth of `bytes_per_s`.
     pub fn new(tasks: &Tasks, bytes_per_s: u64) -> Self {
         Self {
             faults: Arc::default(),
             tasks: tasks.clone(),
             link: Arc::new(Pacer::new(bytes_per_s)),
-            reads_allowed: Allowance::new(READS_PER_S),
+            read_limiter: RateLimiter::new(MAX_READS_PER_S),
             contents: Mutex::default(),
-            sent: Arc::default(),
-            corruption: Share::default(),
+            sent_bytes: Arc::default(),
+            corruption: PercentSampler::default(),
         }
     }
 
-    /// How many bytes of weights left it.
+    /// Returns the number of bytes of weights that were sent.
     pub fn sent_bytes(&self) -> u64 {
-        self.sent.load(Ordering::Relaxed)
+        self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Flips a bit in this share of the answers.
+    /// Flips one bit in this percentage of the responses.
     pub fn set_corrupt_percent(&self, percent: u64) {
         self.corruption.set_percent(percent);
     }
 
     fn read(&self, name: &str, request: &Request) -> Response {
-        if !self.reads_allowed.take() {
-            return empty(StatusCode::TooManyRequests);
+        if !self.read_limiter.try_take() {
+            return empty_response(StatusCode::TooManyRequests);
         }
         let contents = self.contents.lock().expect("the lock is never poisoned");
         let Some(content) = contents.get(name).cloned() else {
-            return empty(StatusCode::NotFound);
+            return empty_response(StatusCode::NotFound);
         };
-        let Some((start, end)) = range(request, content.len()) else {
-            return empty(StatusCode::RequestedRangeNotSatisfiable);
+        let Some((start, end)) = parse_range(request, content.len()) else {
+            return empty_response(StatusCode::RequestedRangeNotSatisfiable);
         };
-        let (sender, body) = stream_body(PARTS_AHEAD);
-        let mut piece = content[start..end].to_vec();
-        if self.corruption.hit() {
-            let at = piece.len() / 2;
-            piece[at] ^= 1;
+        let (sender, body) = stream_body(MAX_BUFFERED_PIECES);
+        let mut range = content[start..end].to_vec();
+        if self.corruption.pick() {
+            let middle = range.len() / 2;
+            range[middle] ^= 1;
         }
-        let sending = send(sender, piece, self.link.clone(), self.sent.clone());
+        let sending = send_paced(sender, range, self.link.clone(), self.sent_bytes.clone());
         self.tasks.spawn(sending);
-        let mut response = empty(StatusCode::PartialContent);
+        let mut response = empty_response(StatusCode::PartialContent);
         response
             .insert_header("content-range", format!("bytes {start}-{}/{}", end - 1, content.len()));
         response.set_body(body);
@@ -80,10 +80,15 @@
     }
 }
 
-async fn send(sender: BodySender, content: Vec<u8>, link: Arc<Pacer>, sent: Arc<AtomicU64>) {
+async fn send_paced(
+    sender: BodySender,
+    content: Vec<u8>,
+    link: Arc<Pacer>,
+    sent_bytes: Arc<AtomicU64>,
+) {
     for piece in content.chunks(PIECE_BYTES) {
         link.pass(piece.len()).await;
-        sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
+        sent_bytes.fetch_add(piece.len() as u64, Ordering::Relaxed);
         if !sender.send(piece.to_vec()).await {
             return;
         }
@@ -91,8 +96,8 @@
     sender.finish();
 }
 
-/// The range asked for, as a start and an end past the last byte.
-fn range(request: &Request, len: usize) -> Option<(usize, usize)> {
+/// Returns the start and the exclusive end of the requested range, or `None` if the range is invalid.
+fn parse_range(request: &Request, len: usize) -> Option<(usize, usize)> {
     let Some(header) = request.header("range") else {
         return Some((0, len));
     };
@@ -105,13 +110,13 @@
 #[async_trait]
 impl Handler for Origin {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
-        self.faults.wait().await;
+        self.faults.apply_delay().await;
         if self.faults.is_down() {
             return Reply::HangUp;
         }
         let path = request.url().path().to_owned();
         let Some(name) = path.strip_prefix("/weights/") else {
-            return Reply::Answer(empty(StatusCode::NotFound));
+            return Reply::Answer(empty_response(StatusCode::NotFound));
         };
         let response = match request.method() {
             Method::Get => self.read(name, &request),
@@ -121,10 +126,10 @@
                 };
                 let mut contents = self.contents.lock().expect("the lock is never poisoned");
                 contents.insert(name.to_owned(), Arc::new(content));
-                empty(StatusCode::Created)
+                empty_response(StatusCode::Created)
             }
-            _ => empty(StatusCode::MethodNotAllowed),
+            _ => empty_response(StatusCode::MethodNotAllowed),
         };
-        self.faults.deliver(response)
+        self.faults.respond(response)
     }
 }
--- a/components/standins/src/platform.rs
+++ b/components/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! All services of the platform together.
+//! Stand-ins for all services of the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 
 use crate::{Instances, Objects, Origin, Table};
 
-/// The largest body a stand-in takes; weights are published in one piece.
-const BODY_BYTES: u64 = 1 << 31;
+/// Maximum size of a request body, in bytes. Weights are published in a single request.
+const MAX_BODY_BYTES: u64 = 1 << 31;
 
-/// How the platform behaves.
+/// Options of the platform stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformOptions {
-    /// The origin's link, in bytes a second.
+    /// Bandwidth of the origin's link, in bytes per second.
     pub origin_bytes_per_s: u64,
 }
 
-/// The platform's services, each on a loopback address of its own.
+/// The platform's services, each on its own loopback address.
 pub struct PlatformStandIn {
-    /// The table.
+    /// The transactional table.
     pub table: Arc<Table>,
     /// The object store.
     pub objects: Arc<Objects>,
-    /// The origin.
+    /// The origin of weights.
     pub origin: Arc<Origin>,
     /// The instance list.
     pub instances: Arc<Instances>,
@@ -48,12 +48,12 @@
         Ok(Self { table, objects, origin, instances, servers })
     }
 
-    /// Where the table, the object store, the origin and the list listen.
+    /// Returns the addresses of the table, the object store, the origin and the instance list, in this order.
     pub fn addresses(&self) -> [SocketAddr; 4] {
         [0, 1, 2, 3].map(|index| self.servers[index].address())
     }
 
-    /// Adapters that speak to the services over HTTP.
+    /// Returns HTTP clients for the services.
     pub fn connect(&self) -> Platform {
         let [table, objects, weights, instances] = self.addresses();
         Platform {
@@ -66,6 +66,6 @@
 }
 
 async fn serve(tasks: &Tasks, handler: Arc<dyn Handler>) -> Result<Server> {
-    let bounds = Bounds { body_bytes: BODY_BYTES, ..Bounds::default() };
+    let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
     Server::start(tasks, SocketAddr::from(([127, 0, 0, 1], 0)), bounds, handler).await
 }
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each request ran.
+//! A stand-in for a plain service that counts how often it executed each request.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -10,55 +10,55 @@
 use net::{json, Caller, Handler, Reply};
 use serde::Serialize;
 
-/// What the service answers.
+/// The response to a request.
 #[derive(Serialize)]
 struct Receipt {
-    /// The digest of the body that was posted.
+    /// The digest of the request body.
     body: String,
-    /// How often this body has run, this time included.
+    /// How often a request with this body was executed, including this time.
     runs: u64,
 }
 
-/// The service. Bodies stand for requests: the tests post each body once.
+/// The service stand-in. It identifies requests by their body, since the tests use a different body for each request.
 pub struct Service {
     work: Duration,
     runs: Mutex<HashMap<String, u64>>,
-    /// For how long it wants nothing more, while it turns everything away.
-    sheds: Mutex<Option<Duration>>,
-    turned_away: Mutex<Vec<Instant>>,
+    /// While the service rejects all requests: the pause that it asks callers for.
+    shedding_pause: Mutex<Option<Duration>>,
+    rejected_at: Mutex<Vec<Instant>>,
 }
 
 impl Service {
-    /// A service whose requests take `work`.
+    /// Creates a service that takes `work` to execute a request.
     pub fn new(work: Duration) -> Self {
         Self {
             work,
             runs: Mutex::default(),
-            sheds: Mutex::default(),
-            turned_away: Mutex::default(),
+            shedding_pause: Mutex::default(),
+            rejected_at: Mutex::default(),
         }
     }
 
-    /// Makes it turn requests away and ask for so long a rest with each, or stop that.
-    pub fn set_shedding(&self, rest: Option<Duration>) {
-        *self.sheds.lock().expect("the lock is never poisoned") = rest;
+    /// Starts or stops rejecting all requests. A rejection asks the caller to pause for the given time.
+    pub fn set_shedding(&self, pause: Option<Duration>) {
+        *self.shedding_pause.lock().expect("the lock is never poisoned") = pause;
     }
 
-    /// When it turned requests away, oldest first.
+    /// Returns the times at which requests were rejected, oldest first.
     pub fn turned_away(&self) -> Vec<Instant> {
-        self.turned_away.lock().expect("the lock is never poisoned").clone()
+        self.rejected_at.lock().expect("the lock is never poisoned").clone()
     }
 
-    /// The answer to a request that is turned away, if it is.
-    fn shed(&self) -> Option<Reply> {
-        let rest = (*self.sheds.lock().expect("the lock is never poisoned"))?;
-        self.turned_away.lock().expect("the lock is never poisoned").push(Instant::now());
+    /// Returns the response that rejects a request, if the service currently rejects requests.
+    fn rejection(&self) -> Option<Reply> {
+        let pause = (*self.shedding_pause.lock().expect("the lock is never poisoned"))?;
+        self.rejected_at.lock().expect("the lock is never poisoned").push(Instant::now());
         let mut answer = Response::new(StatusCode::ServiceUnavailable);
-        answer.insert_header("retry-after", format!("{:.3}", rest.as_secs_f64()));
+        answer.insert_header("retry-after", format!("{:.3}", pause.as_secs_f64()));
         Some(Reply::Answer(answer))
     }
 
-    /// How often each body ran, by its digest.
+    /// Returns how often each request was executed, by the digest of its body.
     pub fn runs(&self) -> HashMap<String, u64> {
         self.runs.lock().expect("the lock is never poisoned").clone()
     }
@@ -70,7 +70,7 @@
         let Ok(body) = request.body_bytes().await else {
             return Reply::HangUp;
         };
-        if let Some(answer) = self.shed() {
+        if let Some(answer) = self.rejection() {
             return answer;
         }
         let body = blake3::hash(&body).to_hex().to_string();
--- a/components/standins/src/table.rs
+++ b/components/standins/src/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table.
+//! A stand-in for the transactional table.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,26 +8,27 @@
 use http_types::{Method, Request, Response, StatusCode};
 use net::{Caller, Handler, Reply};
 
-use crate::faults::{empty, Allowance, Faults};
+use crate::faults::{empty_response, Faults, RateLimiter};
 
-/// Calls a second that the table handles.
-const WRITES_PER_S: u32 = 100;
-const READS_PER_S: u32 = 2000;
+/// Rate limit of the table, in writes per second.
+const MAX_WRITES_PER_S: u32 = 100;
+/// Rate limit of the table, in reads per second.
+const MAX_READS_PER_S: u32 = 2000;
 
-/// One row with the number of its last write.
+/// A row with the number of its last write, which is its entity tag.
 #[derive(Clone)]
 struct StoredRow {
     value: Vec<u8>,
     tag: u64,
 }
 
-/// The table. Rows are written with `If-Match` or `If-None-Match: *`.
+/// A table that keeps its rows in memory. Writes are conditional, with `If-Match` or `If-None-Match: *`.
 pub struct Table {
-    /// Its switches.
+    /// Fault injection for this service.
     pub faults: Arc<Faults>,
     rows: Mutex<BTreeMap<String, StoredRow>>,
-    writes_allowed: Allowance,
-    reads_allowed: Allowance,
+    write_limiter: RateLimiter,
+    read_limiter: RateLimiter,
     writes: AtomicU64,
     reads: AtomicU64,
 }
@@ -37,8 +38,8 @@
         Self {
             faults: Arc::default(),
             rows: Mutex::default(),
-            writes_allowed: Allowance::new(WRITES_PER_S),
-            reads_allowed: Allowance::new(READS_PER_S),
+            write_limiter: RateLimiter::new(MAX_WRITES_PER_S),
+            read_limiter: RateLimiter::new(MAX_READS_PER_S),
             writes: AtomicU64::new(0),
             reads: AtomicU64::new(0),
         }
@@ -46,59 +47,59 @@
 }
 
 impl Table {
-    /// How many writes were asked for.
+    /// Returns the number of write requests, including rejected ones.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// How many reads were asked for.
+    /// Returns the number of read requests, including rejected ones.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
     fn read(&self, key: &str) -> Response {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        if !self.reads_allowed.take() {
-            return empty(StatusCode::TooManyRequests);
+        if !self.read_limiter.try_take() {
+            return empty_response(StatusCode::TooManyRequests);
         }
         let rows = self.rows.lock().expect("the lock is never poisoned");
         match rows.get(key) {
-            Some(row) => tagged(StatusCode::Ok, row.tag, &row.value),
-            None => empty(StatusCode::NotFound),
+            Some(row) => tagged_response(StatusCode::Ok, row.tag, &row.value),
+            None => empty_response(StatusCode::NotFound),
         }
     }
 
     fn write(&self, key: &str, request: &Request, value: Vec<u8>) -> Response {
         self.writes.fetch_add(1, Ordering::Relaxed);
-        if !self.writes_allowed.take() {
-            return empty(StatusCode::TooManyRequests);
+        if !self.write_limiter.try_take() {
+            return empty_response(StatusCode::TooManyRequests);
         }
         let mut rows = self.rows.lock().expect("the lock is never poisoned");
         let current = rows.get(key).map(|row| row.tag);
-        if !holds(request, current) {
-            return empty(StatusCode::PreconditionFailed);
+        if !precondition_holds(request, current) {
+            return empty_response(StatusCode::PreconditionFailed);
         }
         let tag = current.unwrap_or(0) + 1;
         rows.insert(key.to_owned(), StoredRow { value, tag });
-        tagged(StatusCode::Ok, tag, &[])
+        tagged_response(StatusCode::Ok, tag, &[])
     }
 }
 
-/// Whether the condition in the request's head holds.
-fn holds(request: &Request, current: Option<u64>) -> bool {
-    if let Some(wanted) = request.header("if-match") {
-        return current.is_some_and(|tag| wanted.last().as_str() == quote(tag));
+/// Returns whether the precondition in the request's headers holds.
+fn precondition_holds(request: &Request, current: Option<u64>) -> bool {
+    if let Some(expected) = request.header("if-match") {
+        return current.is_some_and(|tag| expected.last().as_str() == format_etag(tag));
     }
     request.header("if-none-match").is_none() || current.is_none()
 }
 
-fn quote(tag: u64) -> String {
+fn format_etag(tag: u64) -> String {
     format!("\"{tag}\"")
 }
 
-fn tagged(status: StatusCode, tag: u64, value: &[u8]) -> Response {
+fn tagged_response(status: StatusCode, tag: u64, value: &[u8]) -> Response {
     let mut response = Response::new(status);
-    response.insert_header("etag", quote(tag));
+    response.insert_header("etag", format_etag(tag));
     response.set_body(value);
     response
 }
@@ -106,13 +107,13 @@
 #[async_trait]
 impl Handler for Table {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
-        self.faults.wait().await;
+        self.faults.apply_delay().await;
         if self.faults.is_down() {
             return Reply::HangUp;
         }
         let path = request.url().path().to_owned();
         let Some(key) = path.strip_prefix("/rows/") else {
-            return Reply::Answer(empty(StatusCode::NotFound));
+            return Reply::Answer(empty_response(StatusCode::NotFound));
         };
         let response = match request.method() {
             Method::Get => self.read(key),
@@ -122,8 +123,8 @@
                 };
                 self.write(key, &request, value)
             }
-            _ => empty(StatusCode::MethodNotAllowed),
+            _ => empty_response(StatusCode::MethodNotAllowed),
         };
-        self.faults.deliver(response)
+        self.faults.respond(response)
     }
 }
--- a/components/standins/tests/platform.rs
+++ b/components/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins, through the adapters that daemons use.
+//! Tests of the stand-ins through the HTTP clients that the daemons use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use net::{Bounds, Server, Tasks};
 use standins::{Engine, EngineOptions, PlatformOptions, PlatformStandIn};
 
-/// Runs a test against the platform.
+/// Runs a test with a platform stand-in.
 fn with_platform<F: std::future::Future<Output = ()>>(
     test: impl FnOnce(Tasks, Arc<PlatformStandIn>, Platform) -> F,
 ) {
@@ -21,17 +21,17 @@
     block_on(executor.run(async {
         let options = PlatformOptions { origin_bytes_per_s: 1 << 30 };
         let platform = Arc::new(PlatformStandIn::start(&tasks, options).await.unwrap());
-        let adapters = platform.connect();
-        // The services live as long as the test, whether it names them or not.
-        test(tasks, platform.clone(), adapters).await;
+        let clients = platform.connect();
+        // Keeps the services running until the test ends, even if the test does not use the stand-in.
+        test(tasks, platform.clone(), clients).await;
         drop(platform);
     }));
 }
 
 #[test]
-fn writes_a_row_only_if_it_is_as_expected() {
-    with_platform(|_, _, adapters| async move {
-        let table = adapters.table;
+fn writes_a_row_only_if_the_precondition_holds() {
+    with_platform(|_, _, clients| async move {
+        let table = clients.table;
         let tag = table.write("row", b"1", &Expected::Absent).await.unwrap();
         let again = table.write("row", b"2", &Expected::Absent).await.unwrap_err();
         assert_eq!(again.code, Code::RowChanged);
@@ -43,30 +43,30 @@
 }
 
 #[test]
-fn loses_answers_after_the_write_took_effect() {
-    with_platform(|_, platform, adapters| async move {
+fn drops_responses_after_the_write_took_effect() {
+    with_platform(|_, platform, clients| async move {
         platform.table.faults.set_lost_percent(100);
-        let lost = adapters.table.write("row", b"1", &Expected::Absent).await.unwrap_err();
+        let lost = clients.table.write("row", b"1", &Expected::Absent).await.unwrap_err();
         assert_eq!(lost.code, Code::PlatformUnavailable);
         platform.table.faults.set_lost_percent(0);
-        assert_eq!(adapters.table.read("row").await.unwrap().unwrap().value, b"1");
+        assert_eq!(clients.table.read("row").await.unwrap().unwrap().value, b"1");
     });
 }
 
 #[test]
-fn can_read_ranges_and_damages_what_it_is_told_to() {
-    with_platform(|_, platform, adapters| async move {
+fn serves_ranges_and_corrupts_responses_on_request() {
+    with_platform(|_, platform, clients| async move {
         let version = VersionId([1; 32]);
         let content: Vec<u8> = (0..100).collect();
-        adapters.weights.publish(version, content.clone()).await.unwrap();
-        assert_eq!(adapters.weights.read(version, 10, 20).await.unwrap(), &content[10..30]);
-        assert!(adapters.weights.read(version, 90, 20).await.is_err());
+        clients.weights.publish(version, content.clone()).await.unwrap();
+        assert_eq!(clients.weights.read(version, 10, 20).await.unwrap(), &content[10..30]);
+        assert!(clients.weights.read(version, 90, 20).await.is_err());
         platform.origin.set_corrupt_percent(100);
-        assert_ne!(adapters.weights.read(version, 10, 20).await.unwrap(), &content[10..30]);
+        assert_ne!(clients.weights.read(version, 10, 20).await.unwrap(), &content[10..30]);
     });
 }
 
-/// An order for weights that the origin stand-in serves in the agent's place.
+/// Returns an order to load weights. The origin stand-in serves them in place of an agent.
 fn order(weights: SocketAddr, epoch: u64, version: VersionId, bytes: u64) -> EngineOrder {
     EngineOrder {
         epoch: Revision(epoch),
@@ -80,15 +80,15 @@
 }
 
 #[test]
-fn takes_fenced_orders_and_whole_weights_only() {
-    with_platform(|tasks, platform, adapters| async move {
+fn rejects_orders_with_an_old_epoch_or_incomplete_weights() {
+    with_platform(|tasks, platform, clients| async move {
         let content = vec![3; 10_000];
         let version = Manifest::describe("m", &content).unwrap().version();
-        adapters.weights.publish(version, content).await.unwrap();
+        clients.weights.publish(version, content).await.unwrap();
         let options = EngineOptions { load_time: Duration::ZERO, ..EngineOptions::default() };
         let engine = Arc::new(Engine::new(&tasks, options));
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = Server::start(&tasks, any, Bounds::default(), engine).await.unwrap();
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let server = Server::start(&tasks, any_port, Bounds::default(), engine).await.unwrap();
         let engine = HttpUpstream(server.address());
         let weights = platform.addresses()[2];
         engine.order(&order(weights, 5, version, 10_000)).await.unwrap();
