--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The arguments of the client.
+//! Command-line arguments of the client.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,25 +7,25 @@
 use argh::FromArgs;
 use fleet::{InstanceId, ModelName, PlanId, Role, VersionId};
 
-/// Declare what should run where, look at the plan, and put it in force.
+/// Plan and confirm changes to a silverdock fleet, and inspect its state.
 #[derive(FromArgs)]
 pub struct Cli {
-    /// address of an entry's operators' door, such as 127.0.0.1:7402; without it, the
-    /// environment variable SILVERDOCK_ENTRY
+    /// address of an entry's operator API, such as 127.0.0.1:7402 (default: the environment variable
+    /// SILVERDOCK_ENTRY)
     #[argh(option)]
     pub entry: Option<SocketAddr>,
-    /// file with the operator token; without it, the environment variable SILVERDOCK_TOKEN_FILE
+    /// file with the operator token (default: the environment variable SILVERDOCK_TOKEN_FILE)
     #[argh(option)]
     pub token_file: Option<PathBuf>,
-    /// answer in JSON
+    /// print the output as JSON
     #[argh(switch)]
     pub json: bool,
-    /// what to do
+    /// the command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// The subcommands of the client.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -49,37 +49,37 @@
     Version(Version),
 }
 
-/// Put together what logs say of one request, oldest first, with its cause.
+/// Collect the log lines about one request, oldest first, and show the cause of its outcome.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
-    /// the id that the caller gave the request
+    /// the request id that the caller assigned
     #[argh(positional)]
     pub request: String,
-    /// logs of gateways and sidecars
+    /// log files of gateways and sidecars
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Show where the time of requests goes: each step by how the requests ended.
+/// Show how much time requests spend in each step, by outcome of the requests.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "profile")]
 pub struct Profile {
-    /// logs of gateways and sidecars
+    /// log files of gateways and sidecars
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Declare an intent and get a plan; nothing changes before it is confirmed.
+/// Declare an intent and print the plan for it. Nothing changes until the plan is confirmed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub struct Plan {
-    /// what is intended
+    /// the intent
     #[argh(subcommand)]
     pub intent: IntentArgs,
 }
 
-/// The intents.
+/// The subcommands of `plan`, one for each intent.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum IntentArgs {
@@ -95,52 +95,52 @@
     Return(Return),
 }
 
-/// A model or adapter runs in a version on a number of instances.
+/// Run a version of a model or adapter on a number of instances.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "deploy")]
 pub struct Deploy {
-    /// the name callers use
+    /// the model name that callers use
     #[argh(positional, from_str_fn(parse_model))]
     pub model: ModelName,
-    /// the version, as `publish` printed it
+    /// the version, as printed by `publish`
     #[argh(positional)]
     pub version: VersionId,
-    /// how many replicas to run
+    /// the number of replicas
     #[argh(option)]
     pub replicas: u32,
     /// serve, prefill or decode (default serve)
     #[argh(option, default = "RoleArg(Role::Serve)")]
     pub role: RoleArg,
-    /// a hall where replicas may stand; may be given more than once (default everywhere)
+    /// a data hall in which replicas may run; can be repeated (default: all halls)
     #[argh(option)]
     pub hall: Vec<String>,
     /// the model that this adapter belongs to
     #[argh(option, from_str_fn(parse_model))]
     pub adapter_of: Option<ModelName>,
-    /// spreads of a higher priority draw first (default 1)
+    /// versions with a higher priority are distributed first (default 1)
     #[argh(option, default = "1")]
     pub priority: u8,
 }
 
-/// A model goes back to the version it had before.
+/// Return a model to its previous version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 pub struct Rollback {
-    /// the name callers use
+    /// the model name that callers use
     #[argh(positional, from_str_fn(parse_model))]
     pub model: ModelName,
 }
 
-/// A model stops being served.
+/// Stop serving a model.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 pub struct Remove {
-    /// the name callers use
+    /// the model name that callers use
     #[argh(positional, from_str_fn(parse_model))]
     pub model: ModelName,
 }
 
-/// An upstream finishes what it has and takes no new work.
+/// Drain an upstream: it completes its current requests and accepts no new ones.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "leave")]
 pub struct Leave {
@@ -149,7 +149,7 @@
     pub instance: InstanceId,
 }
 
-/// An upstream that was told to leave takes work again.
+/// Let an upstream that is leaving accept requests again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "return")]
 pub struct Return {
@@ -158,7 +158,7 @@
     pub instance: InstanceId,
 }
 
-/// Put a plan in force. Confirming the same plan again is safe and settles an unknown outcome.
+/// Put a plan in force. It is safe to confirm the same plan again, for example after an unknown outcome.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "confirm")]
 pub struct Confirm {
@@ -172,11 +172,11 @@
 #[argh(subcommand, name = "status")]
 pub struct Status {}
 
-/// Follow a rollout until every replica is live: a bar on a terminal, JSON lines otherwise.
+/// Follow a rollout until every replica is live. Prints a progress bar on a terminal, and JSON lines otherwise.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "watch")]
 pub struct Watch {
-    /// the name callers use
+    /// the model name that callers use
     #[argh(positional, from_str_fn(parse_model))]
     pub model: ModelName,
     /// give up after this many seconds (default 3600)
@@ -184,14 +184,14 @@
     pub timeout: u64,
 }
 
-/// Hand a file of weights to the platform and print its version.
+/// Publish a weights file to the platform and print its version.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "publish")]
 pub struct Publish {
-    /// the file
+    /// the weights file
     #[argh(positional)]
     pub file: PathBuf,
-    /// what people call it (default the file's name)
+    /// a human-readable label (default: the file name)
     #[argh(option)]
     pub label: Option<String>,
     /// address of the platform's origin of weights
@@ -202,11 +202,11 @@
     pub objects: SocketAddr,
 }
 
-/// Check a daemon's settings file and report every fault in it.
+/// Check a daemon's settings file and report all faults in it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the file
+    /// the settings file
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -216,7 +216,7 @@
 #[argh(subcommand, name = "version")]
 pub struct Version {}
 
-/// A role as it is written on the command line.
+/// A role argument on the command line.
 pub struct RoleArg(pub Role);
 
 impl FromStr for RoleArg {
@@ -244,10 +244,10 @@
     parse_name(text).map(PlanId)
 }
 
-/// Names stand in paths, so they hold no character that means something there.
+/// Parses a name. Names are used in URL paths, so they must not contain characters that are special there.
 fn parse_name(text: &str) -> Result<String, String> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if text.is_empty() || !text.chars().all(fits) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if text.is_empty() || !text.chars().all(is_allowed) {
         return Err("expected letters, digits, '-', '_' and '.'".to_owned());
     }
     Ok(text.to_owned())
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -7,7 +7,7 @@
 use crate::cli::{Check, Cli};
 use crate::{cmd, messages};
 
-/// What is printed as JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Checked {
     role: &'static str,
@@ -17,18 +17,19 @@
 /// Runs the command.
 pub fn run(cli: &Cli, args: &Check) -> Result<()> {
     let text = std::fs::read_to_string(&args.file);
-    let text = text.map_err(|error| cmd::usage(&format!("{}: {error}", args.file.display())))?;
+    let text =
+        text.map_err(|error| cmd::usage_error(&format!("{}: {error}", args.file.display())))?;
     let checked = if DeploymentSettings::is_meant(&text) {
         check_deployment(&text)?
     } else {
-        check_fleet(&text)?
+        check_daemon(&text)?
     };
-    messages::show(cli.json, &checked, |it| format!("no faults: {} {}", it.role, it.name));
+    messages::print_value(cli.json, &checked, |it| format!("no faults: {} {}", it.role, it.name));
     Ok(())
 }
 
-/// Settings of a fleet of our own.
-fn check_fleet(text: &str) -> Result<Checked> {
+/// Checks the settings of a fleet daemon: an entry or an agent.
+fn check_daemon(text: &str) -> Result<Checked> {
     let settings = Settings::parse(text)?;
     let role = match settings.role {
         RoleSettings::Entry(_) => "entry",
@@ -37,7 +38,7 @@
     Ok(Checked { role, name: settings.node.name.0 })
 }
 
-/// Settings of a process on the users' platform.
+/// Checks the settings of a gateway or sidecar on the users' platform.
 fn check_deployment(text: &str) -> Result<Checked> {
     let settings = DeploymentSettings::parse(text)?;
     let role = match settings.role {
--- a/src/cmd/confirm.rs
+++ b/src/cmd/confirm.rs
@@ -7,7 +7,7 @@
 use crate::cli::{Cli, Confirm};
 use crate::{cmd, messages};
 
-/// What is printed as JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Accepted {
     revision: u64,
@@ -15,9 +15,9 @@
 
 /// Runs the command.
 pub fn run(cli: &Cli, args: &Confirm) -> Result<()> {
-    let revision = block_on(cmd::operator(cli)?.confirm(&args.plan))?;
+    let revision = block_on(cmd::operator_client(cli)?.confirm(&args.plan))?;
     let accepted = Accepted { revision: revision.0 };
-    messages::show(cli.json, &accepted, |it| {
+    messages::print_value(cli.json, &accepted, |it| {
         format!("accepted: in force as of revision {}", it.revision)
     });
     Ok(())
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `silverdock explain`: puts together what logs say of one request.
+//! `silverdock explain`: collects the log lines about one request.
 
 use account::Account;
 use errors::Result;
@@ -10,6 +10,6 @@
 pub fn run(cli: &Cli, args: &Explain) -> Result<()> {
     let logs = cmd::read_logs(&args.files)?;
     let account = Account::of(&args.request, logs.iter().map(String::as_str));
-    messages::show(cli.json, &account, ToString::to_string);
+    messages::print_value(cli.json, &account, ToString::to_string);
     Ok(())
 }
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -9,13 +9,13 @@
 
 /// Runs the command.
 pub fn run(cli: &Cli, args: &Plan) -> Result<()> {
-    let intent = read(&args.intent);
-    let plan = block_on(cmd::operator(cli)?.plan(&intent))?;
-    messages::show(cli.json, &plan, messages::plan);
+    let intent = to_intent(&args.intent);
+    let plan = block_on(cmd::operator_client(cli)?.plan(&intent))?;
+    messages::print_value(cli.json, &plan, messages::format_plan);
     Ok(())
 }
 
-fn read(args: &IntentArgs) -> Intent {
+fn to_intent(args: &IntentArgs) -> Intent {
     match args {
         IntentArgs::Deploy(args) => Intent::Deploy {
             model: args.model.clone(),
--- a/src/cmd/profile.rs
+++ b/src/cmd/profile.rs
@@ -1,4 +1,4 @@
-//! `silverdock profile`: where the time of the requests in some logs goes.
+//! `silverdock profile`: shows how much time the requests in log files spend in each step.
 
 use account::Profile as RequestProfile;
 use errors::Result;
@@ -10,6 +10,6 @@
 pub fn run(cli: &Cli, args: &Profile) -> Result<()> {
     let logs = cmd::read_logs(&args.files)?;
     let profile = RequestProfile::of(logs.iter().map(String::as_str));
-    messages::show(cli.json, &profile, ToString::to_string);
+    messages::print_value(cli.json, &profile, ToString::to_string);
     Ok(())
 }
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! `silverdock publish`: hands a file of weights to the platform.
+//! `silverdock publish`: publishes a weights file to the platform.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::cli::{Cli, Publish};
 use crate::{cmd, messages};
 
-/// What is printed as JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Published {
     version: String,
@@ -24,7 +24,7 @@
 pub fn run(cli: &Cli, args: &Publish) -> Result<()> {
     let content = std::fs::read(&args.file);
     let content =
-        content.map_err(|error| cmd::usage(&format!("{}: {error}", args.file.display())))?;
+        content.map_err(|error| cmd::usage_error(&format!("{}: {error}", args.file.display())))?;
     let name = args.file.file_name().map(|name| name.to_string_lossy().into_owned());
     let label = args.label.clone().or(name).unwrap_or_default();
     let manifest = Manifest::describe(&label, &content)?;
@@ -37,6 +37,6 @@
         bytes: manifest.bytes,
         chunks: manifest.chunks(),
     };
-    messages::show(cli.json, &published, |it| it.version.clone());
+    messages::print_value(cli.json, &published, |it| it.version.clone());
     Ok(())
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -8,7 +8,7 @@
 
 /// Runs the command.
 pub fn run(cli: &Cli) -> Result<()> {
-    let status = block_on(cmd::operator(cli)?.status())?;
-    messages::show(cli.json, &status, messages::status);
+    let status = block_on(cmd::operator_client(cli)?.status())?;
+    messages::print_value(cli.json, &status, messages::format_status);
     Ok(())
 }
--- a/src/cmd/version.rs
+++ b/src/cmd/version.rs
@@ -6,7 +6,7 @@
 use crate::cli::Cli;
 use crate::messages;
 
-/// What is printed as JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct ProgramVersion {
     version: &'static str,
@@ -15,6 +15,6 @@
 /// Runs the command.
 pub fn run(cli: &Cli) -> Result<()> {
     let version = ProgramVersion { version: env!("CARGO_PKG_VERSION") };
-    messages::show(cli.json, &version, |it| format!("silverdock {}", it.version));
+    messages::print_value(cli.json, &version, |it| format!("silverdock {}", it.version));
     Ok(())
 }
--- a/src/cmd/watch.rs
+++ b/src/cmd/watch.rs
@@ -10,24 +10,24 @@
 use crate::cli::{Cli, Watch};
 use crate::{cmd, messages};
 
-/// Time between two looks.
-const POLL: Duration = Duration::from_millis(500);
+/// Interval between two status requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the command.
 pub fn run(cli: &Cli, args: &Watch) -> Result<()> {
-    let operator = cmd::operator(cli)?;
+    let operator = cmd::operator_client(cli)?;
     let start = Instant::now();
-    let as_bar = stdout().is_terminal() && !cli.json;
+    let shows_bar = stdout().is_terminal() && !cli.json;
     loop {
         let status = block_on(operator.rollout(&args.model))?;
-        if as_bar {
-            print!("\r{}", messages::bar(&status));
+        if shows_bar {
+            print!("\r{}", messages::format_progress_bar(&status));
             let _ = stdout().flush();
         } else {
-            messages::line(&status);
+            messages::print_json_line(&status);
         }
         if status.live >= status.wanted {
-            if as_bar {
+            if shows_bar {
                 println!();
             }
             return Ok(());
@@ -36,6 +36,6 @@
             let detail = format!("{} of {} replicas are live", status.live, status.wanted);
             return Err(Error::new(Code::TimedOut, detail));
         }
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The client for operators: parses the command line and dispatches.
+//! The command-line client for operators.
 
 mod cli;
 mod cmd;
@@ -23,6 +23,6 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => messages::report(&error, cli.json),
+        Err(error) => messages::report_error(&error, cli.json),
     }
 }
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,4 +1,4 @@
-//! What a person reads, and the same as JSON for scripts.
+//! Output of the client, as text for people and as JSON for scripts.
 
 use std::fmt::Write;
 use std::process::ExitCode;
@@ -7,29 +7,29 @@
 use fleet::{Plan, RolloutStatus, Status, Step};
 use serde::Serialize;
 
-/// The exit code when the arguments or a settings file cannot be used.
+/// The exit code for invalid arguments or an invalid settings file.
 const USAGE_EXIT: u8 = 2;
 /// The width of a progress bar, in characters.
 const BAR_WIDTH: usize = 40;
 
-/// Prints a value as JSON or in words.
-pub fn show<T: Serialize>(json: bool, value: &T, words: impl Fn(&T) -> String) {
+/// Prints a value as JSON or as formatted text.
+pub fn print_value<T: Serialize>(json: bool, value: &T, format_text: impl Fn(&T) -> String) {
     if json {
-        line(value);
+        print_json_line(value);
     } else {
-        println!("{}", words(value).trim_end());
+        println!("{}", format_text(value).trim_end());
     }
 }
 
 /// Prints a value as one line of JSON.
-pub fn line<T: Serialize>(value: &T) {
+pub fn print_json_line<T: Serialize>(value: &T) {
     match serde_json::to_string(value) {
         Ok(text) => println!("{text}"),
         Err(error) => eprintln!("{error}"),
     }
 }
 
-/// An error as JSON.
+/// The JSON output for an error.
 #[derive(Serialize)]
 struct Failure<'a> {
     code: u16,
@@ -37,18 +37,18 @@
     message: &'a str,
 }
 
-/// Reports an error and gives the exit code that goes with it.
-pub fn report(error: &Error, json: bool) -> ExitCode {
+/// Prints an error and returns the exit code for it.
+pub fn report_error(error: &Error, json: bool) -> ExitCode {
     let code = error.code;
     if json {
         let failure =
             Failure { code: code.number(), name: code.name(), message: error.detail.trim_end() };
-        line(&failure);
+        print_json_line(&failure);
     } else {
         eprintln!("{}", error.to_string().trim_end());
     }
     if code == Code::OutcomeUnknown && !json {
-        eprintln!("confirm the same plan again: it is accepted once, however often it is sent");
+        eprintln!("confirm the same plan again: repeated confirmations take effect only once");
     }
     match code {
         Code::BadSettings => ExitCode::from(USAGE_EXIT),
@@ -56,15 +56,15 @@
     }
 }
 
-/// A plan in words.
-pub fn plan(plan: &Plan) -> String {
+/// Formats a plan as text.
+pub fn format_plan(plan: &Plan) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "plan {} on revision {}", plan.id, plan.base);
     for overridden in &plan.overrides {
         let _ = writeln!(text, "  overrides {overridden}");
     }
     for step in &plan.steps {
-        let _ = writeln!(text, "  {}", describe(step));
+        let _ = writeln!(text, "  {}", format_step(step));
     }
     let _ = writeln!(
         text,
@@ -75,7 +75,7 @@
     text
 }
 
-fn describe(step: &Step) -> String {
+fn format_step(step: &Step) -> String {
     match step {
         Step::Place { instance, hall, version, role, source, reason } => format!(
             "place    {instance} ({hall}): {} as {}, from {}; {reason}",
@@ -91,10 +91,10 @@
     }
 }
 
-/// The fleet in words.
-pub fn status(status: &Status) -> String {
+/// Formats the state of the fleet as text.
+pub fn format_status(status: &Status) -> String {
     let mut text = String::new();
-    let current = if status.current { "current" } else { "perhaps behind" };
+    let current = if status.current { "current" } else { "may be out of date" };
     let _ = writeln!(text, "{} at revision {} ({current})", status.instance, status.revision);
     for it in &status.deployments {
         let version = &it.version[..8];
@@ -114,12 +114,12 @@
     text
 }
 
-/// A rollout as a bar.
-pub fn bar(status: &RolloutStatus) -> String {
+/// Formats the progress of a rollout as a bar.
+pub fn format_progress_bar(status: &RolloutStatus) -> String {
     let wanted = status.wanted.max(1);
-    let waiting = (wanted - status.live.min(wanted)) as f64;
-    let share = (status.live as f64 + waiting * status.staged) / wanted as f64;
-    let filled = ((share * BAR_WIDTH as f64) as usize).min(BAR_WIDTH);
+    let not_live = (wanted - status.live.min(wanted)) as f64;
+    let progress = (status.live as f64 + not_live * status.staged) / wanted as f64;
+    let filled = ((progress * BAR_WIDTH as f64) as usize).min(BAR_WIDTH);
     format!(
         "{} {} [{}{}] {} of {} live",
         status.model,
