--- a/daemon/src/cli.rs
+++ b/daemon/src/cli.rs
@@ -1,10 +1,10 @@
-//! The arguments of the daemon.
+//! Command line arguments of the daemon.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// Run an entry or an agent of silverdock, as the settings file says.
+/// Run the silverdock process that the settings file describes: an entry, agent, gateway or sidecar.
 #[derive(FromArgs)]
 pub struct Cli {
     /// the settings file
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The life of a silverdock daemon: settings, start, signals, planned stop.
+//! Lifecycle of a silverdock entry or agent: settings, startup, signal handling and planned stop.
 
 mod run;
 mod secrets;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The silverdock daemon: an entry, an agent, a gateway or a sidecar, by its settings.
+//! The silverdock daemon. Its settings file selects the role: entry, agent, gateway or sidecar.
 
 mod cli;
 
@@ -7,40 +7,40 @@
 use cli::Cli;
 use settings::{DeploymentSettings, Settings};
 
-/// The exit code for faults in the settings.
-const SETTINGS_EXIT: u8 = 2;
+/// Exit code for invalid settings.
+const SETTINGS_EXIT_CODE: u8 = 2;
 
-/// The settings of a daemon of either kind.
+/// Parsed settings of either deployment type.
 enum AnySettings {
-    /// An entry or an agent of a fleet of our own.
+    /// An entry or agent of a fleet that silverdock manages itself.
     Fleet(Box<Settings>),
-    /// A gateway or a sidecar on the users' platform.
+    /// A gateway or sidecar on the users' platform.
     Deployment(Box<DeploymentSettings>),
 }
 
 fn main() -> ExitCode {
     let cli: Cli = argh::from_env();
-    let settings = match read(&cli) {
+    let settings = match read_settings(&cli) {
         Ok(settings) => settings,
-        Err(report) => {
-            eprintln!("{report}");
-            return ExitCode::from(SETTINGS_EXIT);
+        Err(message) => {
+            eprintln!("{message}");
+            return ExitCode::from(SETTINGS_EXIT_CODE);
         }
     };
-    let ended = match settings {
+    let result = match settings {
         AnySettings::Fleet(settings) => silverdockd::run(&settings),
         AnySettings::Deployment(settings) => edge::run(&settings, cli.settings),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(report) => {
-            eprintln!("{report:#}");
+        Err(message) => {
+            eprintln!("{message:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn read(cli: &Cli) -> Result<AnySettings, String> {
+fn read_settings(cli: &Cli) -> Result<AnySettings, String> {
     let text = std::fs::read_to_string(&cli.settings)
         .map_err(|error| format!("{}: {error}", cli.settings.display()))?;
     let settings = if DeploymentSettings::is_meant(&text) {
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a daemon: start, signals, planned stop.
+//! Lifecycle of a daemon: startup, signal handling and planned stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,20 @@
 use crate::secrets::Secrets;
 use crate::setup::Daemon;
 
-/// How long a daemon lives on after its last answer, so that its news of leaving is sent.
-const FAREWELL: Duration = Duration::from_millis(100);
+/// Delay between the end of the last request and process exit, so that the notice that this daemon leaves is
+/// still sent.
+const LEAVE_NOTICE_DELAY: Duration = Duration::from_millis(100);
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until it receives SIGTERM or SIGINT. SIGHUP reloads keys and tokens.
 pub fn run(settings: &Settings) -> eyre::Result<()> {
     telemetry::start_logs(&settings.node.name.0, &settings.node.log_level)?;
     let secrets = Secrets::load(&settings.node)?;
     let executor = Arc::new(Executor::new());
-    let life = live(&executor, settings, &secrets);
-    async_io::block_on(executor.run(life))
+    let daemon_task = run_until_signal(&executor, settings, &secrets);
+    async_io::block_on(executor.run(daemon_task))
 }
 
-async fn live(
+async fn run_until_signal(
     executor: &Arc<Executor<'static>>,
     settings: &Settings,
     secrets: &Secrets,
@@ -36,25 +37,25 @@
     let daemon = Daemon::start(&tasks, settings, secrets).await?;
     log::info!("started");
     while let Some(signal) = signals.next().await {
-        match signal.wrap_err("a signal was lost")? {
-            Signal::Hup => reload(settings, secrets),
+        match signal.wrap_err("failed to receive a signal")? {
+            Signal::Hup => reload_secrets(settings, secrets),
             _ => break,
         }
     }
     log::info!("stopping: no new work, requests in progress finish");
     daemon.stop().await;
-    let whole = daemon.stopped(Duration::from_secs(settings.node.stop_grace_s)).await;
-    async_io::Timer::after(FAREWELL).await;
-    if whole {
+    let clean = daemon.stopped(Duration::from_secs(settings.node.stop_grace_s)).await;
+    async_io::Timer::after(LEAVE_NOTICE_DELAY).await;
+    if clean {
         log::info!("stopped");
         return Ok(());
     }
-    Err(eyre!("requests were still in progress when the grace was over"))
+    Err(eyre!("requests were still in progress at the end of the stop grace period"))
 }
 
-fn reload(settings: &Settings, secrets: &Secrets) {
+fn reload_secrets(settings: &Settings, secrets: &Secrets) {
     match secrets.reload(&settings.node) {
-        Ok(()) => log::info!("keys and tokens read again"),
-        Err(error) => log::error!("keys and tokens stay as they are: {error}"),
+        Ok(()) => log::info!("keys and tokens reloaded"),
+        Err(error) => log::error!("failed to reload keys and tokens: {error}"),
     }
 }
--- a/daemon/src/secrets.rs
+++ b/daemon/src/secrets.rs
@@ -1,4 +1,4 @@
-//! The cluster keys and operator tokens, read from files and read again without a restart.
+//! Cluster keys and operator tokens. They are read from files and can be reloaded without a restart.
 
 use errors::{Code, Error, Result};
 use node::TokenRing;
@@ -9,7 +9,7 @@
 pub struct Secrets {
     /// The cluster keys.
     pub keys: KeyRing,
-    /// The operators' tokens.
+    /// The operator tokens.
     pub tokens: TokenRing,
 }
 
@@ -17,19 +17,19 @@
     /// Reads both files.
     pub fn load(settings: &NodeSettings) -> Result<Self> {
         Ok(Self {
-            keys: KeyRing::parse(&read(&settings.cluster_key_file)?)?,
-            tokens: TokenRing::parse(&read(&settings.token_file)?)?,
+            keys: KeyRing::parse(&read_file(&settings.cluster_key_file)?)?,
+            tokens: TokenRing::parse(&read_file(&settings.token_file)?)?,
         })
     }
 
-    /// Reads both files again. A file with a fault leaves what is in use as it is.
+    /// Reads both files again. If a file is invalid, the keys or tokens in use are kept.
     pub fn reload(&self, settings: &NodeSettings) -> Result<()> {
-        self.keys.replace(&read(&settings.cluster_key_file)?)?;
-        self.tokens.replace(&read(&settings.token_file)?)
+        self.keys.replace(&read_file(&settings.cluster_key_file)?)?;
+        self.tokens.replace(&read_file(&settings.token_file)?)
     }
 }
 
-fn read(path: &std::path::Path) -> Result<String> {
+fn read_file(path: &std::path::Path) -> Result<String> {
     std::fs::read_to_string(path)
         .map_err(|error| Error::new(Code::BadSettings, format!("{}: {error}", path.display())))
 }
--- a/daemon/src/setup.rs
+++ b/daemon/src/setup.rs
@@ -1,4 +1,4 @@
-//! From settings to a running daemon.
+//! Builds a running daemon from its settings.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     pub async fn start(tasks: &Tasks, settings: &Settings, secrets: &Secrets) -> Result<Self> {
         let host = Host {
             tasks: tasks.group(),
-            platform: connect(settings),
+            platform: connect_platform(settings),
             keys: secrets.keys.clone(),
             tokens: secrets.tokens.clone(),
             metrics: Arc::new(Metrics::start()?),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Asks for a planned stop.
+    /// Starts a planned stop.
     pub async fn stop(&self) {
         match self {
             Self::Entry(node) => node.stop().await,
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Waits until the stop is done, or the grace is over. `true` if nothing was cut off.
+    /// Waits until the planned stop has finished or `grace` has passed. Returns `true` if no request was cut
+    /// off.
     pub async fn stopped(&self, grace: Duration) -> bool {
         match self {
             Self::Entry(node) => node.stopped(grace).await,
@@ -66,7 +67,7 @@
     }
 }
 
-fn connect(settings: &Settings) -> Platform {
+fn connect_platform(settings: &Settings) -> Platform {
     let platform = &settings.platform;
     Platform {
         table: Arc::new(HttpTable(platform.table)),
@@ -82,7 +83,7 @@
     settings: &Settings,
     entry: &EntrySettings,
 ) -> EntrySetup {
-    let origin = settings.profile.origin_bytes_per_s as f64;
+    let origin_rate = settings.profile.origin_bytes_per_s as f64;
     EntrySetup {
         host,
         identity,
@@ -95,7 +96,7 @@
             retry_share: entry.retry_share,
             control_bytes_per_s: settings.node.control_bytes_per_s,
             estimate: Estimate {
-                origin_bytes_per_s: origin,
+                origin_bytes_per_s: origin_rate,
                 link_bytes_per_s: settings.profile.link_bytes_per_s as f64,
                 copies: settings.profile.origin_copies(),
             },
