--- a/examples/burst/faults.rs
+++ b/examples/burst/faults.rs
@@ -1,4 +1,4 @@
-//! Brings the faults about, at stated parts of the least possible time.
+//! Injects faults at fixed fractions of the lower bound of the distribution time.
 
 use std::time::{Duration, Instant};
 
@@ -6,36 +6,37 @@
 
 use crate::args::{Fault, Faults};
 
-/// The share of chunks that a bad link holds back, and for how long.
+/// Percentage of chunks that a faulty link delays, and the length of the delay.
 const STALL_PERCENT: u64 = 1;
 const STALL: Duration = Duration::from_secs(5);
-/// The share of chunks that a bad link damages.
+/// Percentage of chunks that a faulty link corrupts.
 const CORRUPT_PERCENT: u64 = 2;
-/// When instances die, as a part of the bound.
+/// When instances are killed, as a fraction of the lower bound.
 const KILL_AT: f64 = 0.3;
-/// One instance in this many dies.
+/// One in this many instances is killed.
 const KILL_ONE_IN: usize = 12;
-/// When instances restart with empty memory.
+/// When an instance restarts with empty memory, as a fraction of the lower bound.
 const RESTART_AT: f64 = 0.2;
-/// When the origin goes down and comes back. By then the peers hold one copy together.
+/// When the origin goes down and recovers, as fractions of the lower bound. By then the peers together hold one
+/// copy.
 const ORIGIN_DOWN: (f64, f64) = (0.6, 0.85);
-/// When the table goes down and comes back.
+/// When the table goes down and recovers, as fractions of the lower bound.
 const TABLE_DOWN: (f64, f64) = (0.1, 0.9);
 
-/// The faults of one run and how far they have come.
+/// The faults of one run and which of them were injected.
 pub struct Schedule {
     faults: Faults,
     start: Instant,
-    bound: f64,
-    /// Instances that died and stay dead.
+    bound_seconds: f64,
+    /// Number of instances that were killed and not restarted.
     pub dead: usize,
     killed: bool,
     restarted: bool,
 }
 
 impl Schedule {
-    /// Starts the faults of the links; the others come with time.
-    pub fn start(lab: &Lab, faults: &Faults, bound: f64) -> Self {
+    /// Injects the link faults; `advance` injects the others when they are due.
+    pub fn start(lab: &Lab, faults: &Faults, bound_seconds: f64) -> Self {
         for agent in &lab.agents {
             if faults.has(Fault::Corrupt) {
                 agent.link.set_corrupt_percent(CORRUPT_PERCENT);
@@ -45,28 +46,35 @@
             }
         }
         let start = Instant::now();
-        Self { faults: faults.clone(), start, bound, dead: 0, killed: false, restarted: false }
+        Self {
+            faults: faults.clone(),
+            start,
+            bound_seconds,
+            dead: 0,
+            killed: false,
+            restarted: false,
+        }
     }
 
-    /// Brings about what is due.
+    /// Injects the faults that are due.
     pub async fn advance(&mut self, lab: &mut Lab) -> errors::Result<()> {
-        let part = self.start.elapsed().as_secs_f64() / self.bound;
-        let within = |(from, to): (f64, f64)| part >= from && part < to;
+        let fraction = self.start.elapsed().as_secs_f64() / self.bound_seconds;
+        let within = |(from, to): (f64, f64)| fraction >= from && fraction < to;
         let platform = &lab.platform;
         platform.table.faults.set_down(self.faults.has(Fault::Table) && within(TABLE_DOWN));
         platform.origin.faults.set_down(self.faults.has(Fault::Origin) && within(ORIGIN_DOWN));
-        if self.faults.has(Fault::Restart) && part >= RESTART_AT && !self.restarted {
+        if self.faults.has(Fault::Restart) && fraction >= RESTART_AT && !self.restarted {
             self.restarted = true;
             self.restart(lab).await?;
         }
-        if self.faults.has(Fault::Kill) && part >= KILL_AT && !self.killed {
+        if self.faults.has(Fault::Kill) && fraction >= KILL_AT && !self.killed {
             self.killed = true;
             self.kill(lab);
         }
         Ok(())
     }
 
-    /// Kills the first few agents for good; the platform notices and takes them off its list.
+    /// Kills the first agents without a restart; the platform removes them from its list of instances.
     fn kill(&mut self, lab: &mut Lab) {
         let count = (lab.agents.len() / KILL_ONE_IN).max(1);
         for agent in lab.agents.drain(..count) {
@@ -76,7 +84,7 @@
         self.dead = count;
     }
 
-    /// Kills the last agent and starts it again with nothing.
+    /// Kills the last agent and restarts it with empty memory.
     async fn restart(&mut self, lab: &mut Lab) -> errors::Result<()> {
         let Some(agent) = lab.agents.pop() else {
             return Ok(());
--- a/examples/burst/main.rs
+++ b/examples/burst/main.rs
@@ -1,4 +1,4 @@
-//! Spreads a file of weights over a fleet of real daemons on loopback while callers ask for it.
+//! Distributes a weights file to a fleet of real daemons on loopback while callers send requests.
 //!
 //! `cargo run --release --example burst -- --help` lists the options.
 
@@ -20,13 +20,13 @@
     let args: args::Args = argh::from_env();
     let executor = Arc::new(Executor::new());
     Lab::run_threads(&executor);
-    let naive = match args.baseline {
+    let baseline = match args.baseline {
         None => None,
         Some(Baseline::Origin) => Some(Choice::OriginOnly),
         Some(Baseline::Random) => Some(Choice::Random),
     };
     let mut reports = Vec::new();
-    for choice in naive.into_iter().chain([Choice::Rarest]) {
+    for choice in baseline.into_iter().chain([Choice::Rarest]) {
         let run = async_io::block_on(run::run(&executor, &args, choice))?;
         if let (Some(path), Choice::Rarest) = (&args.plot, choice) {
             plot::draw(path, &run.timeline, &run.report)?;
@@ -40,8 +40,8 @@
             println!("{report}\n");
         }
     }
-    if let ([naive, ours], false) = (reports.as_slice(), args.json) {
-        println!("{}", report::side_by_side(naive, ours));
+    if let ([baseline, rarest], false) = (reports.as_slice(), args.json) {
+        println!("{}", report::side_by_side(baseline, rarest));
     }
     Ok(())
 }
--- a/examples/burst/report.rs
+++ b/examples/burst/report.rs
@@ -1,4 +1,4 @@
-//! What the example found.
+//! The results of the example.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,16 +6,16 @@
 use lab::{ChatAnswer, Ending};
 use serde::Serialize;
 
-/// The figures of one run.
+/// The results of one run.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
-    /// Replicas wanted, without those that died.
+    /// Requested replicas, without those that were killed.
     pub replicas: usize,
-    /// Replicas that serve the wanted version.
+    /// Replicas that serve the requested version.
     pub live: usize,
     /// The profile.
     pub profile: String,
-    /// How chunks and sources were chosen.
+    /// The strategy that selected chunks and sources.
     pub choice: String,
     /// The faults.
     pub faults: String,
@@ -23,40 +23,40 @@
     pub bytes: u64,
     /// Chunks of the file.
     pub chunks: u32,
-    /// From the confirmation until the last replica was live.
+    /// Seconds from the confirmation of the plan until the last replica was live.
     pub seconds: f64,
-    /// The least possible time at these link rates.
+    /// Lower bound of the time at these link rates, in seconds.
     pub bound_seconds: f64,
-    /// `seconds` over `bound_seconds`.
+    /// `seconds` divided by `bound_seconds`.
     pub ratio: f64,
-    /// Bytes that left the origin over the bytes of the file.
+    /// Bytes sent by the origin divided by the bytes of the file.
     pub origin_copies: f64,
-    /// Damaged chunks that were found and thrown away.
+    /// Corrupted chunks that were detected and discarded.
     pub chunks_corrupt_caught: u64,
-    /// Chunks drawn again, by reason.
+    /// Number of chunks fetched again, by reason.
     pub rerequests: BTreeMap<String, u64>,
     /// Requests sent.
     pub requests: u64,
-    /// Answered whole.
+    /// Requests answered completely.
     pub whole: u64,
-    /// Told that they were not run.
+    /// Requests refused with the statement that they did not run.
     pub not_run: u64,
-    /// The same by the name of the code that they were told.
+    /// The same, by the name of the result code.
     pub not_run_reasons: BTreeMap<&'static str, u64>,
-    /// Told that they may have run.
+    /// Requests that failed with the statement that they may have run.
     pub unknown: u64,
-    /// Answers from weights that are no whole version, or cut answers passed on as whole.
+    /// Answers from weights that are no complete version, and truncated answers passed on as complete.
     pub partial_served: u64,
-    /// Answers whose tokens come from two versions.
+    /// Answers that contain tokens of two versions.
     pub mixed_served: u64,
 }
 
 impl Report {
-    /// Counts one answer; `known` are the digests of the whole versions.
-    pub fn count(&mut self, answer: &ChatAnswer, known: &[String]) {
+    /// Counts one answer. `known` holds the digests of the complete versions.
+    pub fn count(&mut self, answer: &ChatAnswer, known_digests: &[String]) {
         self.requests += 1;
         match answer.ending {
-            Ending::Whole if known.contains(&answer.fingerprint) => self.whole += 1,
+            Ending::Whole if known_digests.contains(&answer.fingerprint) => self.whole += 1,
             Ending::Whole | Ending::Partial => self.partial_served += 1,
             Ending::Crossed => self.mixed_served += 1,
             Ending::NotRun(code) => {
@@ -95,17 +95,17 @@
     }
 }
 
-/// A naive version and ours in one table.
-pub fn side_by_side(naive: &Report, ours: &Report) -> String {
+/// Formats the baseline and the compared run as one table.
+pub fn side_by_side(baseline: &Report, compared: &Report) -> String {
     let row = |it: &Report| {
         format!(
             "{:<12} {:>9.2} {:>7.2} {:>14.2} {:>10}",
             it.choice, it.seconds, it.ratio, it.origin_copies, it.live
         )
     };
-    let head = format!(
+    let header = format!(
         "{:<12} {:>9} {:>7} {:>14} {:>10}",
         "choice", "seconds", "ratio", "origin copies", "live"
     );
-    [head, row(naive), row(ours)].join("\n")
+    [header, row(baseline), row(compared)].join("\n")
 }
--- a/examples/burst/run.rs
+++ b/examples/burst/run.rs
@@ -1,4 +1,4 @@
-//! The run itself.
+//! Runs one distribution and collects its results.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,59 +16,59 @@
 use crate::args::{Args, Fault, Weights};
 use crate::callers::Callers;
 use crate::faults::Schedule;
-use crate::plot::Moment;
+use crate::plot::Sample;
 use crate::report::Report;
 
-/// The model's name.
+/// Name of the deployed model.
 const MODEL: &str = "tips";
-/// How long a spread may take, as a multiple of the bound.
-const GIVE_UP_FACTOR: f64 = 10.0;
-/// When a newer version replaces the one in flight, as a part of the bound.
+/// How long a distribution may take before the run fails, as a multiple of the lower bound.
+const TIMEOUT_FACTOR: f64 = 10.0;
+/// When a newer version replaces the one that is being distributed, as a fraction of the lower bound.
 const REPLACE_AT: f64 = 0.4;
-/// How often the progress is looked at.
-const POLL: Duration = Duration::from_millis(10);
-/// How often the progress is shown.
-const SHOW_EVERY: Duration = Duration::from_secs(1);
-/// How long callers go on after the last replica is live: entries hear of replicas by gossip before they
-/// send requests there.
-const AFTERWARDS: Duration = Duration::from_millis(4000);
-/// How long a fleet may take to be ready.
-const READY: Duration = Duration::from_secs(60);
-/// The counter of retries in the metrics.
-const RETRIES: &str = "silverdock_retries_total";
+/// Interval at which the progress is sampled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the progress is printed.
+const PRINT_INTERVAL: Duration = Duration::from_secs(1);
+/// How long callers go on after the last replica is live. Entries learn of replicas by gossip before they route
+/// requests to them.
+const CALLS_AFTER_LIVE: Duration = Duration::from_millis(4000);
+/// How long the fleet may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Name of the metric that counts retries.
+const RETRIES_METRIC: &str = "silverdock_retries_total";
 
-/// What a run gives.
+/// The output of a run.
 pub struct Run {
-    /// Its figures.
+    /// The results.
     pub report: Report,
-    /// What was seen over time.
-    pub timeline: Vec<Moment>,
+    /// The state of the fleet over time.
+    pub timeline: Vec<Sample>,
 }
 
-/// Runs a burst and gives its figures.
+/// Runs one distribution and returns its results.
 pub async fn run(
     executor: &Arc<Executor<'static>>,
     args: &Args,
     choice: Choice,
 ) -> eyre::Result<Run> {
-    let contents = [load(args, args.seed)?, load(args, args.seed + 1)?];
+    let contents = [load_weights(args, args.seed)?, load_weights(args, args.seed + 1)?];
     let options = LabOptions { choice, ..options(args, contents[0].len()) };
     let bound = options.estimate().bound_seconds(contents[0].len() as u64, args.replicas as u32);
     let mut lab = Lab::start(executor, options).await?;
     let mut manifest = lab.publish("weights-1", &contents[0]).await?;
-    lab.wait_ready(READY).await?;
+    lab.wait_ready(READY_TIMEOUT).await?;
     let callers = Callers::start(executor, &lab, MODEL);
-    deploy(&lab, args, &manifest).await?;
+    plan_and_confirm(&lab, args, &manifest).await?;
     if args.faults.has(Fault::Replace) {
         Timer::after(Duration::from_secs_f64(bound * REPLACE_AT)).await;
         manifest = lab.publish("weights-2", &contents[1]).await?;
-        deploy(&lab, args, &manifest).await?;
+        plan_and_confirm(&lab, args, &manifest).await?;
     }
     let sent_before = lab.platform.origin.sent_bytes();
-    let (seconds, dead, timeline) = follow(&mut lab, &manifest, args, bound).await?;
-    Timer::after(AFTERWARDS).await;
+    let (seconds, dead, timeline) = follow_distribution(&mut lab, &manifest, args, bound).await?;
+    Timer::after(CALLS_AFTER_LIVE).await;
     let rerequests = rerequests(&lab);
-    let sent = lab.platform.origin.sent_bytes() - sent_before;
+    let origin_sent = lab.platform.origin.sent_bytes() - sent_before;
     let mut report = Report {
         replicas: args.replicas - dead,
         live: lab.live(manifest.version()).len(),
@@ -80,7 +80,7 @@
         seconds,
         bound_seconds: bound,
         ratio: seconds / bound,
-        origin_copies: sent as f64 / manifest.bytes as f64,
+        origin_copies: origin_sent as f64 / manifest.bytes as f64,
         chunks_corrupt_caught: rerequests.get("ChunkCorrupt").copied().unwrap_or(0),
         rerequests,
         ..Report::default()
@@ -93,8 +93,8 @@
     Ok(Run { report, timeline })
 }
 
-/// The file, or as many bytes as were asked for.
-fn load(args: &Args, seed: u64) -> eyre::Result<Vec<u8>> {
+/// Reads the weights file, or generates the requested number of bytes.
+fn load_weights(args: &Args, seed: u64) -> eyre::Result<Vec<u8>> {
     match &args.weights {
         Weights::File(path) => {
             let mut content =
@@ -113,8 +113,7 @@
     }
 }
 
-/// Links in a fixed proportion: in the time in which the origin sends four copies, an instance
-/// takes two.
+/// Sets the link rates in a fixed proportion: while the origin sends four copies, an instance receives two.
 fn options(args: &Args, bytes: usize) -> LabOptions {
     let link = (bytes as f64 / args.seconds).ceil() as u64;
     LabOptions {
@@ -127,8 +126,8 @@
     }
 }
 
-/// Plans and confirms, as an operator would.
-async fn deploy(lab: &Lab, args: &Args, manifest: &Manifest) -> eyre::Result<()> {
+/// Plans and confirms a deployment as an operator does.
+async fn plan_and_confirm(lab: &Lab, args: &Args, manifest: &Manifest) -> eyre::Result<()> {
     let operator = lab.operator(0);
     let intent = lab::deploy_intent(MODEL, manifest.version(), args.replicas);
     let plan = operator.plan(&intent).await?;
@@ -145,30 +144,30 @@
     Ok(())
 }
 
-/// Follows the spread to its end. Gives the seconds it took, how many instances died, and what was
-/// seen on the way.
-async fn follow(
+/// Samples the distribution until it has finished. Returns its duration in seconds, the number of killed
+/// instances and the samples.
+async fn follow_distribution(
     lab: &mut Lab,
     manifest: &Manifest,
     args: &Args,
     bound: f64,
-) -> eyre::Result<(f64, usize, Vec<Moment>)> {
+) -> eyre::Result<(f64, usize, Vec<Sample>)> {
     let version = manifest.version();
     let start = Instant::now();
     let sent_before = lab.platform.origin.sent_bytes();
     let mut schedule = Schedule::start(lab, &args.faults, bound);
     let mut timeline = Vec::new();
-    let mut next_line = start;
+    let mut next_print = start;
     loop {
         schedule.advance(lab).await?;
         let wanted = args.replicas - schedule.dead;
         let live = lab.live(version).len();
         let seconds = start.elapsed().as_secs_f64();
-        let sent = lab.platform.origin.sent_bytes() - sent_before;
-        let origin_copies = sent as f64 / manifest.bytes as f64;
-        timeline.push(Moment { seconds, live, origin_copies });
-        if !args.json && Instant::now() >= next_line {
-            next_line += SHOW_EVERY;
+        let origin_sent = lab.platform.origin.sent_bytes() - sent_before;
+        let origin_copies = origin_sent as f64 / manifest.bytes as f64;
+        timeline.push(Sample { seconds, live, origin_copies });
+        if !args.json && Instant::now() >= next_print {
+            next_print += PRINT_INTERVAL;
             let staged = staged_percent(lab, version);
             println!(
                 "{seconds:6.2} s  {staged:3.0} % staged, {live} of {wanted} live, \
@@ -178,30 +177,30 @@
         if live >= wanted {
             return Ok((seconds, schedule.dead, timeline));
         }
-        if seconds > bound * GIVE_UP_FACTOR {
+        if seconds > bound * TIMEOUT_FACTOR {
             return Err(eyre!("only {live} of {wanted} replicas are live"));
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// The share of chunks held, over all agents, in percent.
+/// Percentage of chunks held, over all agents.
 fn staged_percent(lab: &Lab, version: VersionId) -> f64 {
-    let held = |agent: &lab::Agent| {
+    let held_fraction = |agent: &lab::Agent| {
         agent.node.inspect(|state| {
             let spread = state.spreads().find(|it| it.version == version);
             spread.map_or(0.0, |it| f64::from(it.have().count()) / f64::from(it.have().capacity()))
         })
     };
-    lab.agents.iter().map(held).sum::<f64>() * 100.0 / lab.agents.len() as f64
+    lab.agents.iter().map(held_fraction).sum::<f64>() * 100.0 / lab.agents.len() as f64
 }
 
-/// Chunks drawn again over all agents, by reason.
+/// Number of chunks fetched again over all agents, by reason.
 fn rerequests(lab: &Lab) -> BTreeMap<String, u64> {
     let mut reasons = BTreeMap::new();
     for agent in &lab.agents {
         let text = agent.metrics.render();
-        for line in text.lines().filter(|line| line.starts_with(RETRIES)) {
+        for line in text.lines().filter(|line| line.starts_with(RETRIES_METRIC)) {
             let reason = line.split("reason=\"").nth(1).and_then(|rest| rest.split('"').next());
             let count = line.rsplit(' ').next().and_then(|number| number.parse::<u64>().ok());
             if let (Some(reason), Some(count)) = (reason, count) {
