--- a/examples/control/daemons.rs
+++ b/examples/control/daemons.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes.
+//! Starts daemons as processes.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
@@ -10,46 +10,47 @@
 use rustix::process::{kill_process, Pid, Signal};
 use standins::PlatformStandIn;
 
-/// The operators' token.
-const TOKEN: &str = "token-of-the-control-example";
-const KEY: &str = "key-of-the-control-example";
-/// Ports are taken from below the range that the system hands out by itself.
+/// Operator token that all daemons accept.
+const OPERATOR_TOKEN: &str = "token-of-the-control-example";
+/// Cluster key that all daemons share.
+const CLUSTER_KEY: &str = "key-of-the-control-example";
+/// First port to try. It lies below the range that the system assigns automatically.
 const FIRST_PORT: u16 = 20_000;
-/// Data halls; daemons take turns.
-const HALLS: usize = 4;
+/// Number of data halls; the daemons are assigned to them in turn.
+const HALL_COUNT: usize = 4;
 
-/// A daemon.
+/// A daemon process.
 pub struct Daemon {
-    /// Its process.
+    /// The process.
     pub child: Child,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Whether it is an entry.
+    /// Whether the daemon is an entry.
     pub is_entry: bool,
     settings: PathBuf,
-    /// Its log, one file for each run.
+    /// Log files, one for each start of the process.
     pub logs: Vec<PathBuf>,
 }
 
-/// The daemons and the folder of their files.
+/// The daemons and the directory that holds their files.
 pub struct Daemons {
     /// Every daemon.
     pub all: Vec<Daemon>,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Daemons {
     /// Starts `count` daemons, two in five of them entries.
     pub fn start(platform: &PlatformStandIn, count: usize) -> eyre::Result<Self> {
-        let folder =
+        let directory =
             std::env::temp_dir().join(format!("silverdock-control-{}", std::process::id()));
-        std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("key"), KEY)?;
-        std::fs::write(folder.join("token"), TOKEN)?;
-        let mut daemons = Self { all: Vec::new(), folder };
+        std::fs::create_dir_all(&directory)?;
+        std::fs::write(directory.join("key"), CLUSTER_KEY)?;
+        std::fs::write(directory.join("token"), OPERATOR_TOKEN)?;
+        let mut daemons = Self { all: Vec::new(), directory };
         let mut port = FIRST_PORT;
         for number in 0..count {
-            let settings = daemons.describe(platform, number, &mut port)?;
+            let settings = daemons.prepare(platform, number, &mut port)?;
             daemons.all.push(settings);
         }
         for daemon in &mut daemons.all {
@@ -58,8 +59,8 @@
         Ok(daemons)
     }
 
-    /// Writes the settings of a daemon and puts it on the platform's list.
-    fn describe(
+    /// Writes the settings of a daemon and adds it to the platform's list of instances.
+    fn prepare(
         &self,
         platform: &PlatformStandIn,
         number: usize,
@@ -67,7 +68,7 @@
     ) -> eyre::Result<Daemon> {
         let is_entry = number % 5 < 2;
         let name = if is_entry { format!("entry-{number}") } else { format!("agent-{number}") };
-        let hall = format!("hall-{}", number % HALLS);
+        let hall = format!("hall-{}", number % HALL_COUNT);
         let [listen, operators, third, fourth] = [(); 4].map(|()| free_port(port));
         let [table, objects, weights, instances] = platform.addresses();
         let role = if is_entry { "entry" } else { "agent" };
@@ -76,14 +77,14 @@
         } else {
             format!("[agent]\nupstream = {third}\nweights_listen = {fourth}\n")
         };
-        let folder = self.folder.display();
+        let directory = self.directory.display();
         let text = format!(
             "[node]\nname = {name}\nrole = {role}\nregion = region\nhall = {hall}\n\
-             listen = {listen}\noperators = {operators}\ncluster_key_file = {folder}/key\n\
-             token_file = {folder}/token\n[platform]\ntable = {table}\nobjects = {objects}\n\
+             listen = {listen}\noperators = {operators}\ncluster_key_file = {directory}/key\n\
+             token_file = {directory}/token\n[platform]\ntable = {table}\nobjects = {objects}\n\
              weights = {weights}\ninstances = {instances}\n{section}"
         );
-        let settings = self.folder.join(format!("{name}.ini"));
+        let settings = self.directory.join(format!("{name}.ini"));
         std::fs::write(&settings, text)?;
         platform.instances.add(Instance {
             id: InstanceId(name),
@@ -93,7 +94,7 @@
             memory_bytes: 1 << 30,
             state: ListedState::Live,
         });
-        // A process that does nothing holds the place until the daemon is started.
+        // Placeholder process until the daemon is spawned.
         let child = Command::new("true").spawn()?;
         Ok(Daemon { child, operators, is_entry, settings, logs: Vec::new() })
     }
@@ -105,23 +106,23 @@
             let _ = daemon.child.kill();
             let _ = daemon.child.wait();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 impl Daemon {
-    /// The operators' door.
+    /// A client for the operator address.
     pub fn operator(&self) -> Operator {
-        Operator::new(self.operators, TOKEN)
+        Operator::new(self.operators, OPERATOR_TOKEN)
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> eyre::Result<()> {
         kill_process(Pid::from_child(&self.child), signal)?;
         Ok(())
     }
 
-    /// Kills the daemon and starts it again with nothing.
+    /// Kills the daemon and starts a new process with empty memory.
     pub fn restart(&mut self) -> eyre::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
--- a/examples/control/main.rs
+++ b/examples/control/main.rs
@@ -1,4 +1,4 @@
-//! Configuration, membership and their cost, with real daemons as processes on loopback.
+//! Measures configuration changes, membership and their cost with real daemon processes on loopback.
 //!
 //! `cargo run --release --example control -- --daemons 50 --json`
 
@@ -13,7 +13,7 @@
 
 fn main() -> eyre::Result<()> {
     let args: Args = argh::from_env();
-    // The example starts itself as each daemon, so that the code measured is the daemon's own.
+    // The example runs itself as each daemon, so that it measures the code of the daemon itself.
     if let Some(file) = &args.daemon {
         let settings = Settings::parse(&std::fs::read_to_string(file)?)?;
         return silverdockd::run(&settings);
