--- a/examples/http_cases/async_h1_side.rs
+++ b/examples/http_cases/async_h1_side.rs
@@ -1,4 +1,4 @@
-//! `async-h1`.
+//! The cases with `async-h1`.
 
 use std::net::SocketAddr;
 
@@ -22,14 +22,14 @@
 }
 
 pub async fn call(address: SocketAddr, requests: usize) -> Vec<String> {
-    let mut got = Vec::new();
+    let mut results = Vec::new();
     for _ in 0..requests {
-        got.push(one(address).await.unwrap_or_else(|_| "error".into()));
+        results.push(call_once(address).await.unwrap_or_else(|_| "error".into()));
     }
-    got
+    results
 }
 
-async fn one(address: SocketAddr) -> http_types::Result<String> {
+async fn call_once(address: SocketAddr) -> http_types::Result<String> {
     let stream = TcpStream::connect(address).await?;
     let url = Url::parse(&format!("http://{address}/"))?;
     let mut answer = async_h1::connect(stream, Request::get(url)).await?;
--- a/examples/http_cases/cases.rs
+++ b/examples/http_cases/cases.rs
@@ -1,4 +1,4 @@
-//! The cases, and the raw sockets around them.
+//! The cases, and the raw sockets that send or receive their bytes.
 
 use std::future::Future;
 use std::io::{Read, Write};
@@ -6,25 +6,26 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a raw socket waits for more bytes.
-const QUIET: Duration = Duration::from_millis(300);
+/// Read timeout of a raw socket; after it the peer is taken to have sent everything.
+const READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes that a server is sent.
+/// Bytes sent to a server.
 pub struct ServerCase {
     pub name: &'static str,
     pub right: &'static str,
     pub bytes: fn() -> String,
 }
 
-/// What a server does with a client's connections: for each connection, what it writes for each
-/// request, and whether it closes then.
+/// What a server sends to a client: for each request, the response bytes, and whether the connection is closed
+/// after them.
 pub struct ClientCase {
     pub name: &'static str,
     pub right: &'static str,
     pub script: Script,
 }
 
-/// What is written after the head of a request, and whether the connection is closed behind it.
+/// For each request: the bytes written after its head has been read, and whether the connection is closed after
+/// them.
 pub type Script = &'static [(&'static str, bool)];
 
 pub const SERVER_CASES: &[ServerCase] = &[
@@ -71,7 +72,7 @@
     },
 ];
 
-const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc";
 
 pub const CLIENT_CASES: &[ClientCase] = &[
     ClientCase {
@@ -97,14 +98,14 @@
     ClientCase {
         name: "two requests",
         right: "one connection",
-        script: &[(OK, false), (OK, false)],
+        script: &[(OK_RESPONSE, false), (OK_RESPONSE, false)],
     },
     ClientCase {
         name: "one answer too many, then a request",
         right: "not the extra one",
         script: &[
             ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra", false),
-            (OK, false),
+            (OK_RESPONSE, false),
         ],
     },
     ClientCase {
@@ -120,8 +121,8 @@
     format!("GET / HTTP/1.1\r\nHost: h\r\n{headers}\r\n")
 }
 
-/// Sends bytes to a server and gives what came back, in one line.
-pub fn at_server<F>(bytes: &str, serve: fn(std::net::TcpListener) -> F) -> String
+/// Sends bytes to a server and returns a one-line summary of the response.
+pub fn run_server_case<F>(bytes: &str, serve: fn(std::net::TcpListener) -> F) -> String
 where
     F: Future<Output = ()> + 'static,
 {
@@ -129,7 +130,7 @@
     let address = listener.local_addr().expect("a bound socket has an address");
     thread::spawn(move || async_io::block_on(serve(listener)));
     let mut stream = TcpStream::connect(address).expect("the server listens");
-    stream.set_read_timeout(Some(QUIET)).expect("a timeout can be set");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a timeout can be set");
     let _ = stream.write_all(bytes.as_bytes());
     let (mut answer, mut buffer) = (Vec::new(), [0; 4096]);
     let closed = loop {
@@ -147,31 +148,31 @@
     parts.join(", ")
 }
 
-/// Lets a client call a server that follows a script; gives what the client got, in one line.
-pub fn at_client<F>(script: Script, call: fn(SocketAddr, usize) -> F) -> String
+/// Lets a client call a server that follows a script. Returns a one-line summary of what the client received.
+pub fn run_client_case<F>(script: Script, call: fn(SocketAddr, usize) -> F) -> String
 where
     F: Future<Output = Vec<String>>,
 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener.local_addr().expect("a bound socket has an address");
-    let server = thread::spawn(move || play(&listener, script));
-    let mut got = async_io::block_on(call(address, script.len()));
+    let server = thread::spawn(move || run_script(&listener, script));
+    let mut results = async_io::block_on(call(address, script.len()));
     let connections = server.join().unwrap_or(0);
     if script.len() > 1 {
-        got.push(format!("{connections} connections"));
+        results.push(format!("{connections} connections"));
     }
-    got.join(", ")
+    results.join(", ")
 }
 
-/// Plays a script and gives how many connections it took.
-fn play(listener: &TcpListener, script: Script) -> usize {
+/// Runs a script as the server and returns the number of connections that it took.
+fn run_script(listener: &TcpListener, script: Script) -> usize {
     let (mut connections, mut next) = (0, 0);
     while next < script.len() {
         let Ok((mut stream, _)) = listener.accept() else {
             return connections;
         };
         connections += 1;
-        let _ = stream.set_read_timeout(Some(QUIET));
+        let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
         let mut buffer = [0; 4096];
         while next < script.len() {
             match stream.read(&mut buffer) {
--- a/examples/http_cases/hyper_side.rs
+++ b/examples/http_cases/hyper_side.rs
@@ -1,4 +1,4 @@
-//! `hyper` without its runtime, over `smol-hyper`.
+//! The cases with `hyper`, without its runtime, over `smol-hyper`.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -30,33 +30,33 @@
 }
 
 pub async fn call(address: SocketAddr, requests: usize) -> Vec<String> {
-    let mut got = Vec::new();
-    let mut kept = None;
+    let mut results = Vec::new();
+    let mut idle = None;
     for _ in 0..requests {
-        // Time for what a server sends unasked.
+        // Leaves time for bytes that a server sends without a request.
         async_io::Timer::after(std::time::Duration::from_millis(30)).await;
-        got.push(one(address, &mut kept).await.unwrap_or_else(|_| "error".into()));
+        results.push(call_once(address, &mut idle).await.unwrap_or_else(|_| "error".into()));
     }
-    got
+    results
 }
 
 type Sender = hyper::client::conn::http1::SendRequest<Full<Bytes>>;
 type Connection = hyper::client::conn::http1::Connection<FuturesIo<TcpStream>, Full<Bytes>>;
 
-async fn one(
+async fn call_once(
     address: SocketAddr,
-    kept: &mut Option<(Sender, Connection)>,
+    idle: &mut Option<(Sender, Connection)>,
 ) -> Result<String, Box<dyn std::error::Error>> {
-    let (mut sender, mut connection) = match kept.take() {
-        Some(kept) => kept,
+    let (mut sender, mut connection) = match idle.take() {
+        Some(idle) => idle,
         None => {
             let stream = FuturesIo::new(TcpStream::connect(address).await?);
             hyper::client::conn::http1::Builder::new().handshake(stream).await?
         }
     };
-    // A kept connection is polled before it is used, so that unasked bytes are seen.
+    // An idle connection is polled before it is used, so that bytes received without a request are noticed.
     if future::poll_once(&mut connection).await.is_some() {
-        return Box::pin(one(address, kept)).await;
+        return Box::pin(call_once(address, idle)).await;
     }
     let answer = async {
         let request = Request::get("/").header("host", "h").body(Full::default())?;
@@ -66,11 +66,11 @@
         let text = format!("{status} `{}`", String::from_utf8_lossy(&body));
         Ok::<_, Box<dyn std::error::Error>>(text)
     };
-    let drive = async {
+    let drive_connection = async {
         let _ = (&mut connection).await;
         future::pending().await
     };
-    let text = future::or(answer, drive).await?;
-    *kept = Some((sender, connection));
+    let text = future::or(answer, drive_connection).await?;
+    *idle = Some((sender, connection));
     Ok(text)
 }
--- a/examples/http_cases/main.rs
+++ b/examples/http_cases/main.rs
@@ -1,5 +1,5 @@
-//! Puts the same bytes before two HTTP libraries, on the server's side and on the client's, and
-//! prints what each makes of them. The reason for the choice on the users' platform.
+//! Sends the same bytes to two HTTP libraries, to their servers and to their clients, and prints how each
+//! handles them. The results are the reason for the choice of the library on the users' platform.
 //!
 //!     cargo run --release --example http_cases
 
@@ -14,13 +14,13 @@
     println!("| --- | --- | --- | --- | --- |");
     for ServerCase { name, right, bytes } in SERVER_CASES {
         let bytes = bytes();
-        let one = cases::at_server(&bytes, async_h1_side::serve);
-        let other = cases::at_server(&bytes, hyper_side::serve);
-        println!("| server | {name} | {right} | {one} | {other} |");
+        let async_h1_result = cases::run_server_case(&bytes, async_h1_side::serve);
+        let hyper_result = cases::run_server_case(&bytes, hyper_side::serve);
+        println!("| server | {name} | {right} | {async_h1_result} | {hyper_result} |");
     }
     for ClientCase { name, right, script } in CLIENT_CASES {
-        let one = cases::at_client(script, async_h1_side::call);
-        let other = cases::at_client(script, hyper_side::call);
-        println!("| client | {name} | {right} | {one} | {other} |");
+        let async_h1_result = cases::run_client_case(script, async_h1_side::call);
+        let hyper_result = cases::run_client_case(script, hyper_side::call);
+        println!("| client | {name} | {right} | {async_h1_result} | {hyper_result} |");
     }
 }
