--- a/examples/requests/faults.rs
+++ b/examples/requests/faults.rs
@@ -1,4 +1,4 @@
-//! Brings the faults about, at stated parts of the run.
+//! Injects faults at fixed fractions of the run.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,94 +10,94 @@
 
 use crate::args::Args;
 
-/// The share of answers that the table loses.
+/// Percentage of answers that the table loses during the fault `lost`.
 const LOST_PERCENT: u64 = 20;
-/// When each fault comes, as a part of the run; the last two of each pair end it.
+/// When each fault begins, as a fraction of the run. A pair holds the beginning and the end.
 const LEAVE_AT: f64 = 0.2;
 const STOP_AT: f64 = 0.35;
 const KILL_AT: f64 = 0.5;
 const ENTRY_AT: f64 = 0.6;
 const TABLE_DOWN: (f64, f64) = (0.65, 0.8);
 const LOST: (f64, f64) = (0.1, 0.5);
-/// How often it is looked whether something is due.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which due faults are injected.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the faults showed.
+/// Observations made while faults were injected.
 #[derive(Default)]
-pub struct Seen {
-    /// Seconds after the acceptance of a leave until the leaving engine began its last request.
+pub struct Observations {
+    /// Seconds from the acceptance of a leave until the leaving engine answered its last request.
     pub new_work_after_leave_s: Option<f64>,
-    /// Whether a planned stop ended without cutting anything off.
+    /// Whether a planned stop ended without cutting off a request.
     pub stop_was_clean: Option<bool>,
 }
 
-/// Brings about what the arguments ask for until the run is over.
-pub async fn bring_about(lab: &Lab, args: &Args) -> errors::Result<Seen> {
+/// Injects the requested faults until the run is over.
+pub async fn inject_faults(lab: &Lab, args: &Args) -> errors::Result<Observations> {
     let start = Instant::now();
-    let part = || start.elapsed().as_secs_f64() / args.seconds;
-    let mut seen = Seen::default();
-    let mut leaver: Option<Leaver> = None;
-    let (mut stopped, mut killed, mut entry) = (false, false, false);
-    while part() < 1.0 {
+    let fraction = || start.elapsed().as_secs_f64() / args.seconds;
+    let mut observations = Observations::default();
+    let mut leaving: Option<LeavingEngine> = None;
+    let (mut stopped, mut killed, mut entry_killed) = (false, false, false);
+    while fraction() < 1.0 {
         let table = &lab.platform.table.faults;
-        table.set_down(args.has("table") && within(part(), TABLE_DOWN));
-        let lost = args.has("lost") && within(part(), LOST);
+        table.set_down(args.has("table") && within(fraction(), TABLE_DOWN));
+        let lost = args.has("lost") && within(fraction(), LOST);
         table.set_lost_percent(if lost { LOST_PERCENT } else { 0 });
-        if args.has("leave") && part() >= LEAVE_AT && leaver.is_none() {
-            leaver = leave(lab).await?;
+        if args.has("leave") && fraction() >= LEAVE_AT && leaving.is_none() {
+            leaving = leave(lab).await?;
         }
-        if let Some(leaver) = &mut leaver {
-            leaver.look();
+        if let Some(leaving) = &mut leaving {
+            leaving.poll();
         }
-        if args.has("stop") && part() >= STOP_AT && !stopped {
+        if args.has("stop") && fraction() >= STOP_AT && !stopped {
             stopped = true;
             lab.agents[1].node.stop().await;
         }
-        if args.has("kill") && part() >= KILL_AT && !killed {
+        if args.has("kill") && fraction() >= KILL_AT && !killed {
             killed = true;
             lab.agents[2].node.kill();
         }
-        if args.has("entry") && part() >= ENTRY_AT && !entry {
-            entry = true;
+        if args.has("entry") && fraction() >= ENTRY_AT && !entry_killed {
+            entry_killed = true;
             lab.entries[1].kill();
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     lab.platform.table.faults.set_down(false);
     if stopped {
         let grace = Duration::from_secs(10);
-        seen.stop_was_clean = Some(lab.agents[1].node.stopped(grace).await);
+        observations.stop_was_clean = Some(lab.agents[1].node.stopped(grace).await);
     }
-    seen.new_work_after_leave_s = leaver.map(|it| it.last_new_work);
-    Ok(seen)
+    observations.new_work_after_leave_s = leaving.map(|it| it.last_answer_s);
+    Ok(observations)
 }
 
-fn within(part: f64, (from, to): (f64, f64)) -> bool {
-    part >= from && part < to
+fn within(fraction: f64, (from, to): (f64, f64)) -> bool {
+    fraction >= from && fraction < to
 }
 
-/// An engine whose instance was told to leave.
-struct Leaver {
+/// An engine whose instance is leaving.
+struct LeavingEngine {
     engine: Arc<Engine>,
     accepted: Instant,
     answered: u64,
-    last_new_work: f64,
+    last_answer_s: f64,
 }
 
-impl Leaver {
-    /// Sees whether the engine has begun another request.
-    fn look(&mut self) {
+impl LeavingEngine {
+    /// Records the time if the engine has answered another request since the last call.
+    fn poll(&mut self) {
         let answered = self.engine.answered();
         if answered != self.answered {
             self.answered = answered;
-            self.last_new_work = self.accepted.elapsed().as_secs_f64();
+            self.last_answer_s = self.accepted.elapsed().as_secs_f64();
         }
     }
 }
 
-/// Tells the first engine's instance to leave. Under other faults the table may refuse; then it is
-/// tried again at the next look.
-async fn leave(lab: &Lab) -> errors::Result<Option<Leaver>> {
+/// Makes the instance of the first engine leave. Other faults can make the table refuse the change; the caller
+/// then tries again at the next poll.
+async fn leave(lab: &Lab) -> errors::Result<Option<LeavingEngine>> {
     let agent = &lab.agents[0];
     let operator = lab.operator(0);
     let Ok(plan) = operator.plan(&Intent::Leave { instance: agent.id.clone() }).await else {
@@ -111,5 +111,5 @@
     };
     let answered = engine.answered();
     let accepted = Instant::now();
-    Ok(Some(Leaver { engine, accepted, answered, last_new_work: 0.0 }))
+    Ok(Some(LeavingEngine { engine, accepted, answered, last_answer_s: 0.0 }))
 }
--- a/examples/requests/load.rs
+++ b/examples/requests/load.rs
@@ -1,4 +1,4 @@
-//! What callers send.
+//! The requests that callers send.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// The model's name.
+/// Name of the deployed model.
 pub const MODEL: &str = "assistant";
-/// Tokens of an answer.
-pub const TOKENS: u32 = 16;
-/// Prompts that start alike: so many different beginnings, each of so many bytes.
+/// Number of tokens requested for an answer.
+pub const ANSWER_TOKENS: u32 = 16;
+/// Number of distinct prompt prefixes, and the length of a prefix in bytes.
 const PREFIXES: u64 = 40;
 const PREFIX_BYTES: usize = 512;
-/// In a hundred requests, so many are completions, then postings to the till; the rest ask for
-/// payslips.
+/// Percentage of requests that are completions, and that are `POST` calls to the till service. The rest are
+/// payslip queries.
 const CHAT_PERCENT: u32 = 70;
 const POST_PERCENT: u32 = 20;
-/// In a hundred postings, so many carry an idempotency key and are sent twice.
+/// Percentage of till requests that carry an idempotency key and are sent twice.
 const KEYED_PERCENT: u32 = 20;
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a caller waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a caller sees of an entry that is gone.
-const UNREACHABLE: Ending = Ending::NotRun(Code::Unreachable);
+/// The ending that a caller records if it cannot connect to an entry.
+const ENTRY_UNREACHABLE: Ending = Ending::NotRun(Code::Unreachable);
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A streamed completion.
     Chat,
-    /// A posting that may run once only.
+    /// A till request that may run only once.
     Post,
-    /// A question that may be repeated.
+    /// A payslip query, which may be repeated.
     Payslip,
 }
 
 impl Kind {
-    /// What an answer on time counts.
+    /// The weight of an answer on time.
     pub fn weight(self) -> f64 {
         match self {
             Self::Chat => 5.0,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The time to the first token, or to the whole answer where there are no tokens.
+    /// Limit of the time to the first token or, without tokens, to the complete answer.
     fn limit(self) -> Duration {
         match self {
             Self::Chat => Duration::from_millis(360),
@@ -62,23 +62,23 @@
 pub struct Planned {
     /// Its kind.
     pub kind: Kind,
-    /// The prompt or the body; no two are alike.
+    /// The prompt or the body, unique to the request.
     pub text: String,
-    /// The key under which it is sent twice, if it is.
+    /// The idempotency key, if the request is sent twice.
     pub key: Option<String>,
 }
 
 impl Planned {
-    /// Draws the next request.
-    pub fn draw(random: &mut StdRng, number: usize) -> Self {
-        let roll = random.random_range(0..100);
-        if roll < CHAT_PERCENT {
+    /// Generates the next request at random.
+    pub fn generate(random: &mut StdRng, number: usize) -> Self {
+        let percentile = random.random_range(0..100);
+        if percentile < CHAT_PERCENT {
             let prefix = format!("log {} ", random.random_range(0..PREFIXES));
             let text = prefix.repeat(PREFIX_BYTES / prefix.len()) + &format!("entry {number}");
             return Self { kind: Kind::Chat, text, key: None };
         }
         let text = format!("{{\"number\":{number}}}");
-        if roll >= CHAT_PERCENT + POST_PERCENT {
+        if percentile >= CHAT_PERCENT + POST_PERCENT {
             return Self { kind: Kind::Payslip, text, key: None };
         }
         let keyed = random.random_range(0..100) < KEYED_PERCENT;
@@ -87,14 +87,14 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The request.
     pub planned: Planned,
-    /// How it ended, for each time it was sent.
+    /// The ending of each attempt.
     pub endings: Vec<Ending>,
-    /// Whether it was answered whole and in time.
+    /// Whether the first attempt was answered completely and in time.
     pub on_time: bool,
     /// Time to the first token, for completions.
     pub first_token: Option<Duration>,
@@ -102,7 +102,7 @@
     pub longest_gap: Duration,
 }
 
-/// Sends a request. `late` is how long after its intended time it is sent; it counts as waiting.
+/// Sends a request. `late` is the delay between its intended and its real send time; it counts as waiting time.
 pub async fn send(
     planned: Planned,
     entries: &[SocketAddr],
@@ -112,8 +112,8 @@
     let entry = entries[number % entries.len()];
     if planned.kind == Kind::Chat {
         let outcome = chat(planned.clone(), entry, late).await;
-        if outcome.endings[0] == UNREACHABLE {
-            // The balancer goes on to the next entry.
+        if outcome.endings[0] == ENTRY_UNREACHABLE {
+            // A load balancer would retry at the next entry.
             return chat(planned, entries[(number + 1) % entries.len()], late).await;
         }
         return outcome;
@@ -123,17 +123,17 @@
     let body = planned.text.clone().into_bytes();
     let headers: Vec<(&str, &str)> =
         planned.key.iter().map(|key| ("idempotency-key", key.as_str())).collect();
-    let mut ending = lab::post(entry, path, &headers, body.clone(), PATIENCE).await;
-    if ending == UNREACHABLE {
+    let mut ending = lab::post(entry, path, &headers, body.clone(), ANSWER_TIMEOUT).await;
+    if ending == ENTRY_UNREACHABLE {
         let other = entries[(number + 1) % entries.len()];
-        ending = lab::post(other, path, &headers, body.clone(), PATIENCE).await;
+        ending = lab::post(other, path, &headers, body.clone(), ANSWER_TIMEOUT).await;
     }
     let on_time = ending == Ending::Whole && start.elapsed() + late <= planned.kind.limit();
     let mut endings = vec![ending];
     if planned.key.is_some() {
-        // The caller repeats it through another entry, as the balancer may choose.
+        // The caller repeats the request through another entry, as a load balancer may choose one.
         let other = entries[(number + 1) % entries.len()];
-        endings.push(lab::post(other, path, &headers, body, PATIENCE).await);
+        endings.push(lab::post(other, path, &headers, body, ANSWER_TIMEOUT).await);
     }
     Outcome { planned, endings, on_time, first_token: None, longest_gap: Duration::ZERO }
 }
@@ -142,9 +142,9 @@
     let caller = ChatCaller {
         address: entry,
         model: MODEL.to_owned(),
-        tokens: TOKENS,
+        tokens: ANSWER_TOKENS,
         stream: true,
-        patience: PATIENCE,
+        patience: ANSWER_TIMEOUT,
     };
     let ChatAnswer { ending, first_token, longest_gap, .. } = caller.chat(&planned.text).await;
     let first_token = first_token.map(|span| span + late);
@@ -154,7 +154,7 @@
 }
 
 impl Kind {
-    /// Its share of all requests.
+    /// Share of this kind among all requests.
     pub fn share(self) -> f64 {
         let percent = match self {
             Self::Chat => CHAT_PERCENT,
--- a/examples/requests/main.rs
+++ b/examples/requests/main.rs
@@ -1,4 +1,4 @@
-//! An open-loop load on a fleet of real daemons, with faults, checked answer by answer.
+//! Sends an open-loop load to a fleet of real daemons, optionally with faults, and checks every answer.
 //!
 //! `cargo run --release --example requests -- --load 3 --json`
 
--- a/examples/requests/overhead.rs
+++ b/examples/requests/overhead.rs
@@ -1,4 +1,4 @@
-//! What an entry and an agent add to a request, against the same client talking to the service.
+//! Measures the latency that an entry and an agent add, compared with direct requests to the service.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,49 +6,54 @@
 use hdrhistogram::Histogram;
 use lab::{Ending, Lab};
 
-/// Requests sent each way, in turns, so that a machine that slows down slows both.
+/// Number of requests sent on each path, alternating so that a slowdown of the machine affects both.
 const REQUESTS: usize = 400;
-/// How long a request may take.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Microseconds at 50 and 99 in 100, through silverdock and around it.
+/// Added latency at the median and the 99th percentile.
 pub struct Overhead {
-    /// Added at 50 in 100.
+    /// Difference of the medians, in microseconds.
     pub p50_us: f64,
-    /// Added at 99 in 100.
+    /// Difference of the 99th percentiles, in microseconds.
     pub p99_us: f64,
-    /// The time through silverdock over the time around it, at 50 in 100.
+    /// Median latency through silverdock divided by the median latency of direct requests.
     pub ratio_p50: f64,
 }
 
-/// Measures on a fleet that is otherwise idle.
+/// Measures the overhead on a fleet that is otherwise idle.
 pub async fn measure(lab: &Lab) -> eyre::Result<Option<Overhead>> {
     let Some(agent) = lab.agents.iter().find(|it| it.service.is_some()) else {
         return Ok(None);
     };
     let direct = agent.upstream_address();
     let entry = lab.entries[0].callers();
-    let mut through = Histogram::<u64>::new(3)?;
-    let mut around = Histogram::<u64>::new(3)?;
+    let mut routed_histogram = Histogram::<u64>::new(3)?;
+    let mut direct_histogram = Histogram::<u64>::new(3)?;
     for number in 0..REQUESTS {
-        for (address, spans) in [(entry, &mut through), (direct, &mut around)] {
-            if let Some(micros) = time(address, number).await {
-                spans.record(micros)?;
+        for (address, histogram) in
+            [(entry, &mut routed_histogram), (direct, &mut direct_histogram)]
+        {
+            if let Some(micros) = measure_request(address, number).await {
+                histogram.record(micros)?;
             }
         }
     }
-    let at = |quantile: f64| {
-        let (a, b) = (through.value_at_quantile(quantile), around.value_at_quantile(quantile));
-        a as f64 - b as f64
+    let difference = |quantile: f64| {
+        let (routed, direct_value) = (
+            routed_histogram.value_at_quantile(quantile),
+            direct_histogram.value_at_quantile(quantile),
+        );
+        routed as f64 - direct_value as f64
     };
-    let ratio_p50 =
-        through.value_at_quantile(0.5) as f64 / around.value_at_quantile(0.5).max(1) as f64;
-    Ok(Some(Overhead { p50_us: at(0.5), p99_us: at(0.99), ratio_p50 }))
+    let ratio_p50 = routed_histogram.value_at_quantile(0.5) as f64
+        / direct_histogram.value_at_quantile(0.5).max(1) as f64;
+    Ok(Some(Overhead { p50_us: difference(0.5), p99_us: difference(0.99), ratio_p50 }))
 }
 
-async fn time(address: SocketAddr, number: usize) -> Option<u64> {
+async fn measure_request(address: SocketAddr, number: usize) -> Option<u64> {
     let body = format!("{{\"overhead\":{number}}}").into_bytes();
     let start = Instant::now();
-    let ending = lab::post(address, "/till/payslip/1", &[], body, PATIENCE).await;
+    let ending = lab::post(address, "/till/payslip/1", &[], body, REQUEST_TIMEOUT).await;
     (ending == Ending::Whole).then(|| start.elapsed().as_micros() as u64)
 }
--- a/examples/requests/report.rs
+++ b/examples/requests/report.rs
@@ -1,4 +1,4 @@
-//! What the example found.
+//! The results of the example.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,57 +8,57 @@
 
 use crate::load::{Kind, Outcome};
 
-/// The figures of one run.
+/// The results of one run.
 #[derive(Debug, Default, Serialize)]
 pub struct Report {
-    /// How upstreams were chosen.
+    /// The strategy that selected upstreams.
     pub choice: String,
-    /// The load, as a multiple of what the engines can do.
+    /// The load, as a multiple of the capacity of the engines.
     pub load: f64,
     /// The faults.
     pub faults: String,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Answered whole.
+    /// Requests answered completely.
     pub whole: usize,
-    /// Answered whole and in time.
+    /// Requests answered completely and in time.
     pub on_time: usize,
-    /// The same a second, weighted by kind.
+    /// The same per second, weighted by kind.
     pub on_time_weighted_per_s: f64,
-    /// What could have been answered on time a second at this load, weighted by kind.
+    /// Requests per second that could have been answered on time at this load, weighted by kind.
     pub capacity_weighted_per_s: f64,
-    /// Told that they were not run.
+    /// Requests refused with the statement that they did not run.
     pub not_run: usize,
-    /// Told that they may have run, or not told anything.
+    /// Requests whose caller was told that they may have run, or got no statement.
     pub unknown: usize,
-    /// By code, what was told instead of an answer.
+    /// Number of requests without an answer, by result code.
     pub codes: BTreeMap<String, usize>,
-    /// Postings that ran twice.
+    /// Till requests that ran more than once.
     pub ran_twice: usize,
-    /// Postings that ran although their caller was told that they were not.
+    /// Till requests that ran although the caller was told that they did not.
     pub false_not_run: usize,
-    /// Answers cut short and passed on as whole.
+    /// Truncated answers passed on as complete.
     pub cut: usize,
     /// Answers that belong to another request.
     pub crossed: usize,
-    /// Seconds after the acceptance of a leave until the leaving engine began its last request.
+    /// Seconds from the acceptance of a leave until the leaving engine answered its last request.
     pub new_work_after_leave_s: Option<f64>,
-    /// Whether a planned stop cut nothing off.
+    /// Whether a planned stop ended without cutting off a request.
     pub stop_was_clean: Option<bool>,
-    /// Microseconds that an entry and an agent add, at 50 in 100.
+    /// Median latency that an entry and an agent add, in microseconds.
     pub entry_overhead_p50_us: Option<f64>,
-    /// The same, at 99 in 100.
+    /// The 99th percentile of the same latency.
     pub entry_overhead_p99_us: Option<f64>,
-    /// The time through an entry and an agent over the time around them, at 50 in 100.
+    /// Median latency through an entry and an agent divided by the median latency of direct requests.
     pub entry_overhead_ratio_p50: Option<f64>,
-    /// Time to the first token of completions answered whole, 95 in 100.
+    /// 95th percentile of the time to the first token of completions answered completely.
     pub first_token_p95_ms: f64,
-    /// The longest time between two tokens of a completion, 95 in 100.
+    /// 95th percentile of the longest gap between two tokens of a completion.
     pub token_gap_p95_ms: f64,
 }
 
 impl Report {
-    /// Counts the outcomes. `runs` tells how often each posting truly ran, by its digest.
+    /// Counts the outcomes. `runs` holds how often each till request ran, by the digest of its body.
     pub fn count(
         &mut self,
         outcomes: &[Outcome],
@@ -79,7 +79,7 @@
                 gaps.record(outcome.longest_gap.as_micros() as u64)?;
             }
             if outcome.planned.kind == Kind::Post {
-                self.compare(outcome, runs);
+                self.count_runs(outcome, runs);
             }
         }
         self.on_time_weighted_per_s = weighted / seconds;
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Compares what a caller was told with what truly ran.
-    fn compare(&mut self, outcome: &Outcome, runs: &HashMap<String, u64>) {
+    /// Compares what a caller was told with how often the request ran.
+    fn count_runs(&mut self, outcome: &Outcome, runs: &HashMap<String, u64>) {
         let digest = blake3::hash(outcome.planned.text.as_bytes()).to_hex().to_string();
         let ran = runs.get(&digest).copied().unwrap_or(0);
         self.ran_twice += usize::from(ran > 1);
-        // Each time it is sent is a request of its own: "not run" is false only if none of the
-        // others can have been the one that ran.
+        // Every attempt has its own answer. "Not run" is false only if no other attempt can be the one that
+        // ran.
         let told_not_run = outcome.endings.iter().all(|it| matches!(it, Ending::NotRun(_)));
         self.false_not_run += usize::from(told_not_run && ran > 0);
     }
--- a/examples/requests/run.rs
+++ b/examples/requests/run.rs
@@ -1,4 +1,4 @@
-//! The run itself.
+//! Runs the load and collects its results.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,76 +16,76 @@
 use standins::EngineOptions;
 
 use crate::args::Args;
-use crate::faults::bring_about;
-use crate::load::{send, Kind, Outcome, Planned, MODEL, TOKENS};
+use crate::faults::inject_faults;
+use crate::load::{send, Kind, Outcome, Planned, ANSWER_TOKENS, MODEL};
 use crate::overhead;
 use crate::report::Report;
 
-/// Engines of the fleet.
-const ENGINES: usize = 12;
-const LEDGERS: usize = 3;
-/// Requests that an engine batches.
-const BATCH: u32 = 4;
-/// Time between two tokens.
+/// Number of engines and of ledger services in the fleet.
+const ENGINE_COUNT: usize = 12;
+const LEDGER_COUNT: usize = 3;
+/// Number of requests that an engine runs in one batch.
+const BATCH_SIZE: u32 = 4;
+/// Time that an engine takes for a token.
 const TOKEN_TIME: Duration = Duration::from_millis(15);
-/// Time for one block of a prompt that is not cached.
+/// Time that an engine takes for a prompt block that is not cached.
 const BLOCK_TIME: Duration = Duration::from_millis(6);
-/// Blocks of 64 bytes that an engine's cache holds; far fewer than all prompts together have.
+/// Number of 64-byte blocks in an engine's cache, far fewer than all prompts together have.
 const CACHE_BLOCKS: usize = 128;
-/// The time a completion takes in an engine with a prompt that is half cached, in seconds.
+/// Time of a completion in an engine whose cache holds half of the prompt, in seconds.
 const COMPLETION_S: f64 = 0.24 + 0.03;
-/// The weights that are served; their size does not matter here.
-const WEIGHTS: usize = 256 * 1024;
-/// How long the fleet may take to be ready.
-const READY: Duration = Duration::from_secs(60);
-/// How long answers are waited for after the last request.
-const AFTERWARDS: Duration = Duration::from_secs(12);
+/// Size of the served weights in bytes; it does not affect the results.
+const WEIGHTS_BYTES: usize = 256 * 1024;
+/// How long the fleet may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the run waits for answers after the last request.
+const ANSWER_WAIT: Duration = Duration::from_secs(12);
 
-/// Runs a load and gives its figures.
+/// Runs a load and returns its results.
 pub async fn run(
     executor: &Arc<Executor<'static>>,
     args: &Args,
     choice: RouteChoice,
 ) -> eyre::Result<Report> {
     let lab = Lab::start(executor, options(choice)).await?;
-    let manifest = lab.publish("assistant", &vec![1; WEIGHTS]).await?;
-    lab.wait_ready(READY).await?;
-    lab.deploy(MODEL, manifest.version(), ENGINES).await?;
-    lab.wait_live(manifest.version(), ENGINES, READY).await?;
-    lab.wait_routed(manifest.version(), ENGINES).await?;
-    let chats_per_s = ENGINES as f64 * f64::from(BATCH) / COMPLETION_S * args.load;
+    let manifest = lab.publish("assistant", &vec![1; WEIGHTS_BYTES]).await?;
+    lab.wait_ready(READY_TIMEOUT).await?;
+    lab.deploy(MODEL, manifest.version(), ENGINE_COUNT).await?;
+    lab.wait_live(manifest.version(), ENGINE_COUNT, READY_TIMEOUT).await?;
+    lab.wait_routed(manifest.version(), ENGINE_COUNT).await?;
+    let chats_per_s = ENGINE_COUNT as f64 * f64::from(BATCH_SIZE) / COMPLETION_S * args.load;
     let per_s = chats_per_s / Kind::share(Kind::Chat);
     let entries: Vec<SocketAddr> = lab.entries.iter().map(|it| it.callers()).collect();
     let sending = send_all(executor, args, entries, per_s);
-    let (outcomes, seen) = zip(sending, bring_about(&lab, args)).await;
-    let seen = seen?;
-    // Under faults the fleet is no longer whole, and the figure would be of something else.
+    let (outcomes, observations) = zip(sending, inject_faults(&lab, args)).await;
+    let observations = observations?;
+    // With faults the fleet is incomplete, so the overhead would not be that of an idle, healthy fleet.
     let overhead = if args.faults.is_empty() { overhead::measure(&lab).await? } else { None };
     let mut report = Report {
         choice: format!("{choice:?}"),
         load: args.load,
         faults: args.faults.clone(),
         capacity_weighted_per_s: capacity(per_s, args.load),
-        new_work_after_leave_s: seen.new_work_after_leave_s,
-        stop_was_clean: seen.stop_was_clean,
+        new_work_after_leave_s: observations.new_work_after_leave_s,
+        stop_was_clean: observations.stop_was_clean,
         entry_overhead_p50_us: overhead.as_ref().map(|it| it.p50_us),
         entry_overhead_p99_us: overhead.as_ref().map(|it| it.p99_us),
         entry_overhead_ratio_p50: overhead.as_ref().map(|it| it.ratio_p50),
         ..Report::default()
     };
-    report.count(&outcomes, &true_runs(&lab), args.seconds)?;
+    report.count(&outcomes, &count_runs(&lab), args.seconds)?;
     lab.stop();
     Ok(report)
 }
 
 fn options(choice: RouteChoice) -> LabOptions {
     LabOptions {
-        engines: ENGINES,
-        services: vec![("ledger".to_owned(), LEDGERS)],
+        engines: ENGINE_COUNT,
+        services: vec![("ledger".to_owned(), LEDGER_COUNT)],
         service_work: Duration::ZERO,
-        concurrency: BATCH,
+        concurrency: BATCH_SIZE,
         engine: EngineOptions {
-            batch: BATCH,
+            batch: BATCH_SIZE,
             token_time: TOKEN_TIME,
             block_time: BLOCK_TIME,
             cache_blocks: CACHE_BLOCKS,
@@ -108,8 +108,8 @@
     }
 }
 
-/// What could be answered on time a second: completions up to what the engines can do, and every
-/// call to the services, which are far from their limits.
+/// Weighted requests per second that could be answered on time: completions up to the capacity of the engines,
+/// and every call to the services, which are far below their limits.
 fn capacity(per_s: f64, load: f64) -> f64 {
     let all = [Kind::Chat, Kind::Post, Kind::Payslip];
     let offered = |kind: Kind| per_s * kind.share() * kind.weight();
@@ -120,7 +120,7 @@
     all.into_iter().map(possible).sum()
 }
 
-/// Sends requests at random moments, whatever becomes of the ones before.
+/// Sends requests at random times, independent of the outcome of earlier requests.
 async fn send_all(
     executor: &Arc<Executor<'static>>,
     args: &Args,
@@ -131,12 +131,12 @@
     let outcomes = Arc::new(Mutex::new(Vec::new()));
     let entries = Arc::new(entries);
     let start = Instant::now();
-    let mut due = 0.0;
+    let mut next_send_s = 0.0;
     let mut sent = 0;
-    while due < args.seconds {
-        Timer::at(start + Duration::from_secs_f64(due)).await;
-        let late = start.elapsed().saturating_sub(Duration::from_secs_f64(due));
-        let planned = Planned::draw(&mut random, sent);
+    while next_send_s < args.seconds {
+        Timer::at(start + Duration::from_secs_f64(next_send_s)).await;
+        let late = start.elapsed().saturating_sub(Duration::from_secs_f64(next_send_s));
+        let planned = Planned::generate(&mut random, sent);
         let (outcomes, entries) = (outcomes.clone(), entries.clone());
         let call = async move {
             let outcome = send(planned, &entries, sent, late).await;
@@ -144,12 +144,12 @@
         };
         executor.spawn(call).detach();
         sent += 1;
-        // Independent callers arrive with exponential gaps.
-        due += -(1.0 - random.random::<f64>()).ln() / per_s;
+        // Requests of independent callers arrive at exponentially distributed intervals.
+        next_send_s += -(1.0 - random.random::<f64>()).ln() / per_s;
     }
     let waiting = Instant::now();
     while outcomes.lock().expect("the lock is never poisoned").len() < sent {
-        if waiting.elapsed() > AFTERWARDS {
+        if waiting.elapsed() > ANSWER_WAIT {
             break;
         }
         Timer::after(Duration::from_millis(20)).await;
@@ -158,8 +158,8 @@
     outcomes.clone()
 }
 
-/// How often each body truly ran, over all instances of the service.
-fn true_runs(lab: &Lab) -> HashMap<String, u64> {
+/// How often each request body ran, over all instances of the service.
+fn count_runs(lab: &Lab) -> HashMap<String, u64> {
     let mut runs = HashMap::new();
     for service in lab.agents.iter().filter_map(|agent| agent.service.as_ref()) {
         for (body, count) in service.runs() {
@@ -169,5 +169,5 @@
     runs
 }
 
-/// Kept next to the load it describes.
-const _: () = assert!(TOKENS as u64 * TOKEN_TIME.as_millis() as u64 == 240);
+/// Checks the 0.24 s of token time in `COMPLETION_S`.
+const _: () = assert!(ANSWER_TOKENS as u64 * TOKEN_TIME.as_millis() as u64 == 240);
