--- a/examples/slopes/configuration.rs
+++ b/examples/slopes/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration: bytes and time to read it, by the number of placements, and by revisions.
+//! Size of the configuration and the time to encode, decode and apply it, by the number of placements and
+//! revisions.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +8,21 @@
     Revision, Role, VersionId,
 };
 
-use crate::table::{head, micros, row};
+use crate::table::{micros, print_header, print_row};
 
-/// Placements over all deployments.
-const SIZES: [usize; 4] = [60, 200, 600, 1800];
-/// Placements of one deployment.
-const REPLICAS: usize = 30;
-/// Revisions.
-const REVISIONS: [usize; 3] = [100, 1000, 10_000];
+/// Numbers of placements over all deployments.
+const PLACEMENT_COUNTS: [usize; 4] = [60, 200, 600, 1800];
+/// Number of placements of one deployment.
+const REPLICAS_PER_DEPLOYMENT: usize = 30;
+/// Numbers of revisions.
+const REVISION_COUNTS: [usize; 3] = [100, 1000, 10_000];
 
 fn deployment(number: usize) -> Deployment {
     let placement = |n: usize| {
         let hall = Hall(format!("hall-{}", n % 4));
         (InstanceId(format!("instance-{n:04}")), Placement { role: Role::Serve, hall })
     };
-    let placements: BTreeMap<_, _> = (0..REPLICAS).map(placement).collect();
+    let placements: BTreeMap<_, _> = (0..REPLICAS_PER_DEPLOYMENT).map(placement).collect();
     Deployment {
         model: ModelName(format!("model-{number}")),
         release: Release { version: VersionId([1; 32]), label: "v1".into(), bytes: 1 },
@@ -34,31 +35,31 @@
 }
 
 fn configuration(placements: usize) -> Configuration {
-    let deployments = (0..placements / REPLICAS).map(deployment);
+    let deployments = (0..placements / REPLICAS_PER_DEPLOYMENT).map(deployment);
     Configuration {
         deployments: deployments.map(|it| (it.model.clone(), it)).collect(),
         ..Configuration::default()
     }
 }
 
-/// Prints the tables.
+/// Measures and prints the tables.
 pub fn measure() {
-    head("configuration", &["placements", "bytes", "encode us", "decode us"]);
-    for size in SIZES {
-        let held = configuration(size);
-        let bytes = serde_json::to_vec(&held).expect("it can be encoded");
-        let encode = micros(200, |_| drop(serde_json::to_vec(&held)));
+    print_header("configuration", &["placements", "bytes", "encode us", "decode us"]);
+    for size in PLACEMENT_COUNTS {
+        let current = configuration(size);
+        let bytes = serde_json::to_vec(&current).expect("it can be encoded");
+        let encode = micros(200, |_| drop(serde_json::to_vec(&current)));
         let decode = micros(200, |_| drop(serde_json::from_slice::<Configuration>(&bytes)));
-        row(&[size as f64, bytes.len() as f64, encode, decode]);
+        print_row(&[size as f64, bytes.len() as f64, encode, decode]);
     }
-    head("revisions", &["revisions", "bytes", "apply us"]);
-    for count in REVISIONS {
-        let mut held = configuration(600);
+    print_header("revisions", &["revisions", "bytes", "apply us"]);
+    for count in REVISION_COUNTS {
+        let mut current = configuration(600);
         let apply = micros(count as u32, |n| {
             let change = Change::Leave(InstanceId(format!("instance-{}", n % 50)));
-            held = held.apply(&PlanId(format!("{n:016x}")), &change);
+            current = current.apply(&PlanId(format!("{n:016x}")), &change);
         });
-        let bytes = serde_json::to_vec(&held).expect("it can be encoded").len();
-        row(&[count as f64, bytes as f64, apply]);
+        let bytes = serde_json::to_vec(&current).expect("it can be encoded").len();
+        print_row(&[count as f64, bytes as f64, apply]);
     }
 }
--- a/examples/slopes/control.rs
+++ b/examples/slopes/control.rs
@@ -1,4 +1,4 @@
-//! Members: state, tick and datagram, by the number of daemons.
+//! Membership: size of the state and the time of a tick and of a datagram, by the number of daemons.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,12 @@
 use reducer::{Control, ControlEvent, Seed};
 use wire::{Datagram, DatagramBody, MemberNews, MemberRecord, MemberState};
 
-use crate::table::{head, heap_bytes, micros, row};
+use crate::table::{heap_bytes, micros, print_header, print_row};
 
-/// Fleet sizes.
-const SIZES: [usize; 4] = [100, 300, 1000, 3000];
-/// Pieces of news in a busy datagram.
-const NEWS: usize = 30;
+/// Numbers of daemons.
+const FLEET_SIZES: [usize; 4] = [100, 300, 1000, 3000];
+/// Number of member updates in the measured datagram.
+const NEWS_PER_DATAGRAM: usize = 30;
 
 pub fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7400))
@@ -46,28 +46,29 @@
     }
 }
 
-/// A daemon that knows `size` others.
+/// The membership state of a daemon that knows `size` others.
 pub fn control(size: usize, process: &Process) -> Control {
-    let me = instance(0, Process::Entry);
+    let own_instance = instance(0, Process::Entry);
     let list: Vec<Instance> = (1..=size).map(|n| instance(n, process.clone())).collect();
-    let mut control = Control::new(record(&me), 3000);
+    let mut control = Control::new(record(&own_instance), 3000);
     let mut seed = Seed::new(1);
     control.reduce(Millis(0), &mut seed, ControlEvent::TableRead(None));
     control.reduce(Millis(0), &mut seed, ControlEvent::Listed(list));
     control
 }
 
-/// Prints the table.
+/// Measures and prints the table.
 pub fn measure() {
-    head("members", &["daemons", "state bytes", "tick us", "datagram us"]);
-    for size in SIZES {
+    print_header("members", &["daemons", "state bytes", "tick us", "datagram us"]);
+    for size in FLEET_SIZES {
         let state = heap_bytes(|| control(size, &Process::Engine));
         let mut daemon = control(size, &Process::Engine);
         let mut seed = Seed::new(2);
         let tick = micros(2000, |n| {
             daemon.reduce(Millis(u64::from(n) * 50), &mut seed, ControlEvent::Tick);
         });
-        let news = (1..=NEWS).map(|n| MemberNews::listed(&record(&instance(n, Process::Engine))));
+        let news = (1..=NEWS_PER_DATAGRAM)
+            .map(|n| MemberNews::listed(&record(&instance(n, Process::Engine))));
         let datagram = Datagram {
             from: instance(1, Process::Engine).id,
             incarnation: Incarnation(1),
@@ -80,6 +81,6 @@
             let event = ControlEvent::Datagram { from: address(1), datagram };
             daemon.reduce(Millis(200_000 + u64::from(n)), &mut seed, event);
         });
-        row(&[size as f64, state, tick, receive]);
+        print_row(&[size as f64, state, tick, receive]);
     }
 }
--- a/examples/slopes/entry.rs
+++ b/examples/slopes/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: the decisions of one request, by the number of upstreams.
+//! Entry: the time of the decisions for one request and of a tick, by the number of upstreams.
 
 use fleet::{Incarnation, Instance, Millis, Process, RequestId, ServiceName};
 use quarantine::RequestDigest;
@@ -9,10 +9,10 @@
 use wire::Load;
 
 use crate::control::{instance, record};
-use crate::table::{head, micros, row};
+use crate::table::{micros, print_header, print_row};
 
-/// Upstreams of the target.
-const SIZES: [usize; 4] = [12, 100, 300, 600];
+/// Numbers of upstreams of the target.
+const UPSTREAM_COUNTS: [usize; 4] = [12, 100, 300, 600];
 
 fn entry(upstreams: usize) -> Entry {
     let estimate = Estimate { origin_bytes_per_s: 1.0, link_bytes_per_s: 1.0, copies: 1 };
@@ -31,10 +31,10 @@
     entry
 }
 
-/// Prints the table.
+/// Measures and prints the table.
 pub fn measure() {
-    head("entry", &["upstreams", "request us", "tick us"]);
-    for size in SIZES {
+    print_header("entry", &["upstreams", "request us", "tick us"]);
+    for size in UPSTREAM_COUNTS {
         let mut entry = entry(size);
         let request = micros(2000, |n| {
             let request = RequestId { entry: Incarnation(1), serial: u64::from(n) };
@@ -58,6 +58,6 @@
         let tick = micros(2000, |n| {
             entry.reduce(Millis(20 + u64::from(n) * 50), 1, EntryEvent::Tick);
         });
-        row(&[size as f64, request, tick]);
+        print_row(&[size as f64, request, tick]);
     }
 }
--- a/examples/slopes/main.rs
+++ b/examples/slopes/main.rs
@@ -1,4 +1,4 @@
-//! Measures what the decisions of a daemon cost at several sizes, for docs/CAPACITY.md.
+//! Measures the cost of a daemon's decisions at several sizes, for docs/CAPACITY.md.
 //!
 //! `cargo run --release --example slopes`
 
--- a/examples/slopes/spread.rs
+++ b/examples/slopes/spread.rs
@@ -1,4 +1,5 @@
-//! A spread: the decision for one chunk, and the state, by the number of chunks and receivers.
+//! Distribution of a version: the time of the decision for one chunk and of a participant update, and the size
+//! of the state, by the number of chunks and receivers.
 
 use std::sync::Arc;
 
@@ -6,18 +7,19 @@
 use reducer::{Choice, DrawSource, Participant, Spread, SpreadEffect, SpreadOptions};
 
 use crate::control::instance;
-use crate::table::{head, heap_bytes, micros, row};
+use crate::table::{heap_bytes, micros, print_header, print_row};
 
-/// Chunks and receivers.
+/// Numbers of chunks and receivers.
 const SIZES: [(u32, usize); 6] =
     [(256, 270), (1024, 270), (4096, 270), (8192, 270), (1024, 50), (1024, 600)];
-const CHUNK: u32 = 64;
-/// Chunks in flight.
-const WINDOW: usize = 8;
+/// Size of a chunk, in bytes.
+const CHUNK_BYTES: u32 = 64;
+/// Number of chunks in flight.
+const MAX_IN_FLIGHT: usize = 8;
 
 fn manifest(chunks: u32) -> Arc<Manifest> {
-    let content: Vec<u8> = (0..chunks * CHUNK).map(|n| (n % 251) as u8).collect();
-    Arc::new(Manifest::describe_with("m", &content, CHUNK).expect("it has chunks"))
+    let content: Vec<u8> = (0..chunks * CHUNK_BYTES).map(|n| (n % 251) as u8).collect();
+    Arc::new(Manifest::describe_with("m", &content, CHUNK_BYTES).expect("it has chunks"))
 }
 
 fn spread(manifest: &Arc<Manifest>, receivers: usize) -> Spread {
@@ -34,9 +36,10 @@
         control_bytes_per_s: 3000,
         choice: Choice::Rarest,
     };
-    let me = instance(0, Process::Engine);
+    let own_instance = instance(0, Process::Engine);
     let (now, manifest) = (Millis(1000), manifest.clone());
-    let mut spread = Spread::new(now, &me.id, &me.place, manifest, &names, options);
+    let mut spread =
+        Spread::new(now, &own_instance.id, &own_instance.place, manifest, &names, options);
     spread.set_participants(now, &participants(receivers));
     spread
 }
@@ -49,31 +52,32 @@
     (0..receivers).map(describe).collect()
 }
 
-/// Prints the table.
+/// Measures and prints the table.
 pub fn measure() {
-    head("spread", &["chunks", "receivers", "state bytes", "chunk us", "review us"]);
+    print_header("spread", &["chunks", "receivers", "state bytes", "chunk us", "review us"]);
     for (chunks, receivers) in SIZES {
         let manifest = manifest(chunks);
         let state = heap_bytes(|| spread(&manifest, receivers));
-        let mut held = spread(&manifest, receivers);
+        let mut distribution = spread(&manifest, receivers);
         let full = Bitmap::full(chunks);
         for n in 1..receivers {
             let it = instance(n, Process::Engine);
-            held.take_summary(Millis(0), &it.id, it.address, &it.place, full.clone());
+            distribution.take_summary(Millis(0), &it.id, it.address, &it.place, full.clone());
         }
-        let mut flying: Vec<(u32, DrawSource)> = Vec::new();
-        let one = micros(chunks.min(1000), |_| {
-            for effect in held.draw(Millis(1000), WINDOW) {
+        let mut in_flight: Vec<(u32, DrawSource)> = Vec::new();
+        let chunk_micros = micros(chunks.min(1000), |_| {
+            for effect in distribution.draw(Millis(1000), MAX_IN_FLIGHT) {
                 if let SpreadEffect::Draw(draw) = effect {
-                    flying.push((draw.index, draw.source));
+                    in_flight.push((draw.index, draw.source));
                 }
             }
-            if let Some((index, source)) = flying.pop() {
-                held.take_chunk(Millis(1001), index, &source, true);
+            if let Some((index, source)) = in_flight.pop() {
+                distribution.take_chunk(Millis(1001), index, &source, true);
             }
         });
-        let everyone = participants(receivers);
-        let review = micros(200, |_| held.set_participants(Millis(2000), &everyone));
-        row(&[f64::from(chunks), receivers as f64, state, one, review]);
+        let all_participants = participants(receivers);
+        let review =
+            micros(200, |_| distribution.set_participants(Millis(2000), &all_participants));
+        print_row(&[f64::from(chunks), receivers as f64, state, chunk_micros, review]);
     }
 }
