--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Small fleets of real daemon code, with faults.
+//! Tests of small fleets that run the real daemon code, with faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use lab::{ChatCaller, Ending, Lab, LabOptions};
 use settings::Kind;
 
-/// How long anything may take before a test is given up as hung.
-const HANG: Duration = Duration::from_secs(60);
+/// Timeout of any single wait; a test that exceeds it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn start(options: LabOptions) -> Lab {
     let executor = Arc::new(Executor::new());
     Lab::run_threads(&executor);
     let lab = block_on(Lab::start(&executor, options)).unwrap();
-    block_on(lab.wait_ready(HANG)).unwrap();
+    block_on(lab.wait_ready(TEST_TIMEOUT)).unwrap();
     lab
 }
 
@@ -25,12 +25,12 @@
     (0..300_000u32).map(|n| (n % 251) as u8 ^ seed).collect()
 }
 
-/// Makes a version live on every engine.
+/// Deploys a version to every engine and waits until it is live.
 fn go_live(lab: &Lab, content: &[u8]) {
     let engines = lab.agents.iter().filter(|it| it.engine.is_some()).count();
     let manifest = block_on(lab.publish("v", content)).unwrap();
     block_on(lab.deploy("tips", manifest.version(), engines)).unwrap();
-    block_on(lab.wait_live(manifest.version(), engines, HANG)).unwrap();
+    block_on(lab.wait_live(manifest.version(), engines, TEST_TIMEOUT)).unwrap();
     block_on(lab.wait_routed(manifest.version(), engines)).unwrap();
 }
 
@@ -40,12 +40,12 @@
         model: "tips".into(),
         tokens: 4,
         stream: true,
-        patience: HANG,
+        patience: TEST_TIMEOUT,
     }
 }
 
 #[test]
-fn serves_whole_versions_over_damaged_links() {
+fn serves_complete_versions_over_corrupting_links() {
     let lab = start(LabOptions::default());
     lab.agents.iter().for_each(|agent| agent.link.set_corrupt_percent(20));
     lab.platform.origin.set_corrupt_percent(20);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn draws_one_copy_from_the_origin_where_one_is_allowed() {
+fn fetches_one_copy_from_the_origin_if_one_is_allowed() {
     let lab = start(LabOptions { engines: 6, ..LabOptions::default() });
     let content = content(2);
     go_live(&lab, &content);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn finishes_a_spread_and_restarts_agents_while_the_table_is_down() {
+fn distributes_to_a_restarted_agent_while_the_table_is_down() {
     let mut lab = start(LabOptions { engines: 4, ..LabOptions::default() });
     let content = content(3);
     go_live(&lab, &content);
@@ -75,11 +75,11 @@
     lab.agents.iter().find(|it| it.id.0 == "engine-001").unwrap().node.kill();
     block_on(lab.add_engine("engine-001")).unwrap();
     let version = fleet::Manifest::describe("v", &content).unwrap().version();
-    block_on(lab.wait_live(version, 4, HANG)).unwrap();
+    block_on(lab.wait_live(version, 4, TEST_TIMEOUT)).unwrap();
 }
 
 #[test]
-fn goes_on_answering_while_a_version_is_replaced_and_rolled_back() {
+fn answers_requests_while_a_version_is_replaced_and_rolled_back() {
     let lab = start(LabOptions::default());
     let (first, second) = (content(4), content(5));
     let known = [&first, &second].map(|it| blake3::hash(it).to_hex().to_string());
@@ -97,11 +97,11 @@
     let plan = block_on(operator.plan(&Intent::Rollback { model: "tips".into() })).unwrap();
     block_on(operator.confirm(&plan.id)).unwrap();
     let old = fleet::Manifest::describe("v", &first).unwrap().version();
-    block_on(lab.wait_live(old, 3, HANG)).unwrap();
+    block_on(lab.wait_live(old, 3, TEST_TIMEOUT)).unwrap();
 }
 
 #[test]
-fn runs_a_keyed_request_once_and_gives_its_answer_again() {
+fn runs_a_request_with_an_idempotency_key_once_and_replays_its_answer() {
     let kind = Kind {
         name: "till".into(),
         path: "/till/".into(),
@@ -119,10 +119,10 @@
     let post = |entry: usize| {
         let address = lab.entries[entry].callers();
         let headers = [("idempotency-key", "shift-7")];
-        block_on(lab::post(address, "/till/shift", &headers, b"total".to_vec(), HANG))
+        block_on(lab::post(address, "/till/shift", &headers, b"total".to_vec(), TEST_TIMEOUT))
     };
     assert_eq!(post(0), Ending::Whole);
-    // Until the answer is kept, a repetition is told that it may be running.
+    // Until the answer is stored, a repeated request is refused with `InProgress`.
     let mut again = post(1);
     while again != Ending::Whole {
         assert_eq!(again, Ending::Unknown(Code::InProgress));
@@ -140,16 +140,18 @@
 }
 
 #[test]
-fn starts_no_new_work_on_an_upstream_that_was_told_to_leave() {
+fn sends_no_new_requests_to_a_leaving_upstream() {
     let lab = start(LabOptions { engines: 2, ..LabOptions::default() });
     go_live(&lab, &content(6));
-    let leaver = &lab.agents[0];
+    let leaving_agent = &lab.agents[0];
     let operator = lab.operator(1);
-    let plan = block_on(operator.plan(&Intent::Leave { instance: leaver.id.clone() })).unwrap();
+    let plan =
+        block_on(operator.plan(&Intent::Leave { instance: leaving_agent.id.clone() })).unwrap();
     let revision = block_on(operator.confirm(&plan.id)).unwrap();
-    let told = || leaver.node.inspect(|it| it.control.configuration().revision >= revision);
-    block_on(lab.wait(HANG, told)).unwrap();
-    let engine = leaver.engine.as_ref().unwrap();
+    let has_applied_revision =
+        || leaving_agent.node.inspect(|it| it.control.configuration().revision >= revision);
+    block_on(lab.wait(TEST_TIMEOUT, has_applied_revision)).unwrap();
+    let engine = leaving_agent.engine.as_ref().unwrap();
     let before = engine.answered();
     for number in 0..20 {
         let answer = block_on(caller(&lab).chat(&format!("question {number}")));
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn lets_a_small_adapter_pass_a_large_model_that_spreads_at_the_same_time() {
+fn a_small_adapter_goes_live_before_a_large_model_deployed_earlier() {
     let lab = start(LabOptions {
         link_bytes_per_s: 4 << 20,
         origin_bytes_per_s: 8 << 20,
@@ -182,8 +184,8 @@
     let operator = lab.operator(0);
     let plan = block_on(operator.plan(&intent)).unwrap();
     block_on(operator.confirm(&plan.id)).unwrap();
-    block_on(lab.wait_live(adapter.version(), 3, HANG)).unwrap();
-    // The model is sixty times as large and was first.
+    block_on(lab.wait_live(adapter.version(), 3, TEST_TIMEOUT)).unwrap();
+    // The model is about sixty times as large and was deployed first.
     assert!(lab.live(model.version()).is_empty());
-    block_on(lab.wait_live(model.version(), 3, HANG)).unwrap();
+    block_on(lab.wait_live(model.version(), 3, TEST_TIMEOUT)).unwrap();
 }
--- a/tests/upstream_rest.rs
+++ b/tests/upstream_rest.rs
@@ -1,7 +1,8 @@
-//! An upstream that turns requests away and asks for rest.
+//! Test of an upstream that rejects requests with 503 and `Retry-After`.
 //!
-//! Upstreams of the users' platform got up to 37 requests a second each within the rest that they had asked for. The same
-//! fault stood here: an agent hands its upstream's 503 on and sends the next request at once, whatever `Retry-After` says.
+//! The failure: an agent forwarded the 503 of its upstream and sent the next request at once, ignoring
+//! `Retry-After`. Upstreams received up to 37 requests a second each during the rest period that they had asked
+//! for.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
@@ -13,20 +14,20 @@
 use lab::{Ending, Lab, LabOptions};
 use settings::Kind;
 
-/// How long anything may take before a test is given up as hung.
-const HANG: Duration = Duration::from_secs(60);
-/// How long the upstream wants to be left alone.
+/// Timeout of any single wait; a test that exceeds it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Rest period that the upstream asks for in `Retry-After`.
 const REST: Duration = Duration::from_millis(1500);
-/// How long after its answer requests may still be on their way.
+/// How long after a rejection requests may still be in transit and are not counted.
 const TRANSIT: Duration = Duration::from_millis(500);
-/// How many requests may reach it in one such time.
-const MOST_DURING_REST: usize = 2;
-/// How long it sheds.
-const SPAN: Duration = Duration::from_millis(4000);
-/// Callers at a time, so that both upstreams are used.
-const CALLERS: u32 = 6;
-/// The pause between two calls.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Maximum number of requests that may reach the upstream in one rest period.
+const MAX_DURING_REST: usize = 2;
+/// How long the upstream rejects requests.
+const SHEDDING_PERIOD: Duration = Duration::from_millis(4000);
+/// Number of concurrent callers, enough to use both upstreams.
+const CALLER_COUNT: u32 = 6;
+/// Pause of a caller between two calls.
+const CALL_PAUSE: Duration = Duration::from_millis(5);
 
 fn start() -> Lab {
     let executor = Arc::new(Executor::new());
@@ -46,39 +47,42 @@
         ..LabOptions::default()
     };
     let lab = block_on(Lab::start(&executor, options)).unwrap();
-    block_on(lab.wait_ready(HANG)).unwrap();
+    block_on(lab.wait_ready(TEST_TIMEOUT)).unwrap();
     lab
 }
 
 #[test]
-fn an_upstream_that_asks_for_rest_is_left_alone_by_its_agent() {
+fn an_agent_sends_no_requests_during_the_rest_period_that_its_upstream_asks_for() {
     let lab = start();
     let shedding = lab.agents[0].service.clone().expect("a plain service");
     let call = |number: u32| {
         let entry = lab.entries[number as usize % lab.entries.len()].callers();
-        block_on(lab::post(entry, "/till/x", &[], number.to_le_bytes().to_vec(), HANG))
+        block_on(lab::post(entry, "/till/x", &[], number.to_le_bytes().to_vec(), TEST_TIMEOUT))
     };
     shedding.set_shedding(Some(REST));
     let begun = Instant::now();
     let number = AtomicU32::new(0);
-    let call_on = || {
-        while begun.elapsed() < SPAN {
+    let call_repeatedly = || {
+        while begun.elapsed() < SHEDDING_PERIOD {
             call(number.fetch_add(1, Ordering::Relaxed));
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(CALL_PAUSE);
         }
     };
-    std::thread::scope(|scope| (0..CALLERS).for_each(|_| drop(scope.spawn(call_on))));
-    let all = shedding.turned_away();
-    assert!(!all.is_empty(), "it was asked");
-    let during =
-        |at: Instant| all.iter().filter(|it| (at + TRANSIT..at + REST).contains(it)).count();
-    let most = all.iter().map(|at| during(*at)).max().unwrap_or(0);
-    assert!(most <= MOST_DURING_REST, "{most} requests reached it within {REST:?} of rest");
+    std::thread::scope(|scope| (0..CALLER_COUNT).for_each(|_| drop(scope.spawn(call_repeatedly))));
+    let rejected = shedding.turned_away();
+    assert!(!rejected.is_empty(), "it was asked");
+    let count_during_rest =
+        |at: Instant| rejected.iter().filter(|it| (at + TRANSIT..at + REST).contains(it)).count();
+    let max_requests = rejected.iter().map(|at| count_during_rest(*at)).max().unwrap_or(0);
+    assert!(
+        max_requests <= MAX_DURING_REST,
+        "{max_requests} requests reached it within {REST:?} of rest"
+    );
     shedding.set_shedding(None);
     std::thread::sleep(REST);
     let before = shedding.runs().len();
     std::thread::scope(|scope| {
-        for _ in 0..CALLERS {
+        for _ in 0..CALLER_COUNT {
             scope.spawn(|| {
                 for _ in 0..20 {
                     assert_eq!(call(number.fetch_add(1, Ordering::Relaxed)), Ending::Whole);
