--- a/examples/soak/callers.rs
+++ b/examples/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each keeps a connection while it can and sends one request after the other.
+//! Callers. Each reuses its connection if possible and sends one request after another.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,47 +20,47 @@
 use smol_hyper::rt::FuturesIo;
 
 use crate::faults::CRASH_PATH;
-use crate::history::{Kind, NamedLimit, Request, Seen, Told};
+use crate::history::{Kind, LeaveNotice, LimitNotice, Outcome, Request};
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(5000);
-/// What it says of that.
+/// How long a caller waits for the head and for each piece of an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(5000);
+/// Deadline that a caller states in its requests, in milliseconds.
 const DEADLINE_MS: u64 = 4000;
-/// How long it waits for a connection.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(1000);
-/// The pause between two requests, in milliseconds.
-const PAUSE: std::ops::Range<u64> = 5..70;
-/// The part of the requests after which a caller opens another connection.
-const LEAVES: f64 = 0.15;
-
-/// The part of the answers that are read slowly.
-const SLOW: f64 = 0.15;
-/// The pause before each of the first pieces of such an answer.
-const SLOW_PAUSE: Duration = Duration::from_millis(120);
-/// How many pieces that are.
-const SLOW_PIECES: usize = 10;
-
-/// The part of the requests that crash runners, while there are any.
-const CRASHES: f64 = 0.05;
-
-/// What callers share.
+/// How long a caller waits for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Pause between two requests, in milliseconds.
+const PAUSE_MS: std::ops::Range<u64> = 5..70;
+/// Share of requests for which a caller opens a new connection.
+const RECONNECT_SHARE: f64 = 0.15;
+
+/// Share of answers that are read slowly.
+const SLOW_READ_SHARE: f64 = 0.15;
+/// Pause before each of the first pieces of a slowly read answer.
+const SLOW_READ_PAUSE: Duration = Duration::from_millis(120);
+/// Number of pieces of an answer that are read slowly.
+const SLOW_READ_PIECES: usize = 10;
+
+/// Share of requests that crash runners, while the fault is active.
+const CRASH_REQUEST_SHARE: f64 = 0.05;
+
+/// State shared by all callers.
 #[derive(Clone)]
 pub struct Shared {
-    /// When the run began.
-    pub begun: Instant,
-    /// Where each gateway listens, and which of its processes runs.
+    /// Start of the run.
+    pub start: Instant,
+    /// Address of each gateway, and how often its process was restarted.
     pub gateways: Arc<Vec<(SocketAddr, AtomicU64)>>,
-    /// The newest version of the configuration that added a route of its own.
+    /// Newest version of the configuration that added a route of its own.
     pub configuration: Arc<AtomicU64>,
-    /// The number of the request under which runners crash, while callers send it. Zero while they do not.
-    pub crashing: Arc<AtomicU64>,
-    /// Whether callers should end.
-    pub over: Arc<AtomicBool>,
-    /// What they saw.
+    /// Number of the request that crashes runners, or zero while callers do not send one.
+    pub crash_request: Arc<AtomicU64>,
+    /// Whether callers are to stop.
+    pub stopped: Arc<AtomicBool>,
+    /// Finished requests of all callers.
     pub requests: Arc<Mutex<Vec<Request>>>,
 }
 
-/// Runs so many callers until they should end.
+/// Runs `callers` callers until they are to stop.
 pub fn run(shared: &Shared, callers: usize, seed: u64) {
     let executor = Rc::new(LocalExecutor::new());
     let tasks: Vec<_> = (0..callers)
@@ -73,7 +73,7 @@
                 name: format!("c{number}"),
                 sent: 0,
             };
-            executor.spawn(caller.call_on())
+            executor.spawn(caller.run_until_stopped())
         })
         .collect();
     let all = async {
@@ -84,7 +84,7 @@
     async_io::block_on(executor.run(all));
 }
 
-/// A connection to a gateway, and to which of its processes.
+/// A connection to a gateway. `gateway` holds its number and how often its process had been restarted.
 struct Connection {
     gateway: (usize, u32),
     sender: SendRequest<Full<Bytes>>,
@@ -100,47 +100,47 @@
 }
 
 impl Caller {
-    async fn call_on(mut self) {
-        while !self.shared.over.load(Ordering::Relaxed) {
+    async fn run_until_stopped(mut self) {
+        while !self.shared.stopped.load(Ordering::Relaxed) {
             self.call().await;
-            let pause = self.random.random_range(PAUSE);
+            let pause = self.random.random_range(PAUSE_MS);
             Timer::after(Duration::from_millis(pause)).await;
         }
     }
 
     async fn call(&mut self) {
-        let leaves = self.random.random_bool(LEAVES);
-        let slow = if self.random.random_bool(SLOW) { SLOW_PIECES } else { 0 };
-        let kept = self.connection.take().filter(|it| !leaves && !it.sender.is_closed());
+        let reconnects = self.random.random_bool(RECONNECT_SHARE);
+        let slow = if self.random.random_bool(SLOW_READ_SHARE) { SLOW_READ_PIECES } else { 0 };
+        let reusable = self.connection.take().filter(|it| !reconnects && !it.sender.is_closed());
         let number = self.random.random_range(0..self.shared.gateways.len());
-        let life = self.shared.gateways[number].1.load(Ordering::Relaxed) as u32;
+        let restarts = self.shared.gateways[number].1.load(Ordering::Relaxed) as u32;
         let (kind, id) = (self.kind(), format!("{}-{}", self.name, self.sent));
         self.sent += 1;
-        let sent = self.shared.begun.elapsed();
-        let mut connection = match kept {
+        let sent = self.shared.start.elapsed();
+        let mut connection = match reusable {
             Some(connection) => Some(connection),
-            None => self.connect(number, life).await,
+            None => self.connect(number, restarts).await,
         };
-        let gateway = connection.as_ref().map_or((number, life), |it| it.gateway);
-        let sent = if connection.is_some() { self.shared.begun.elapsed() } else { sent };
-        let begun = self.shared.begun;
-        let Exchanged { seen, told, limit } = match &mut connection {
-            Some(connection) => exchange(begun, &mut connection.sender, kind, &id, slow).await,
-            None => Exchanged::without_answer(Seen::NoConnection),
+        let gateway = connection.as_ref().map_or((number, restarts), |it| it.gateway);
+        let sent = if connection.is_some() { self.shared.start.elapsed() } else { sent };
+        let start = self.shared.start;
+        let Exchange { outcome, leave_notice, limit } = match &mut connection {
+            Some(connection) => exchange(start, &mut connection.sender, kind, &id, slow).await,
+            None => Exchange::without_answer(Outcome::NoConnection),
         };
-        if matches!(seen, Seen::Answer { whole: true, .. }) {
+        if matches!(outcome, Outcome::Answer { whole: true, .. }) {
             self.connection = connection;
         }
-        let ended = self.shared.begun.elapsed();
-        let request = Request { id, kind, gateway, sent, ended, seen, told, limit };
+        let ended = self.shared.start.elapsed();
+        let request = Request { id, kind, gateway, sent, ended, outcome, leave_notice, limit };
         self.shared.requests.lock().expect("never poisoned").push(request);
     }
 
     fn kind(&mut self) -> Kind {
         let newest = self.shared.configuration.load(Ordering::Relaxed);
-        let crashing = self.shared.crashing.load(Ordering::Relaxed);
-        if crashing > 0 && self.random.random_bool(CRASHES) {
-            return Kind::Crash(crashing);
+        let crash_request = self.shared.crash_request.load(Ordering::Relaxed);
+        if crash_request > 0 && self.random.random_bool(CRASH_REQUEST_SHARE) {
+            return Kind::Crash(crash_request);
         }
         match self.random.random_range(0..10) {
             0..4 => Kind::Stream,
@@ -151,15 +151,15 @@
         }
     }
 
-    async fn connect(&self, number: usize, life: u32) -> Option<Connection> {
+    async fn connect(&self, number: usize, restarts: u32) -> Option<Connection> {
         let address = self.shared.gateways[number].0;
-        let stream = within(CONNECT_PATIENCE, TcpStream::connect(address)).await?.ok()?;
+        let stream = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await?.ok()?;
         let (sender, connection) = Builder::new().handshake(FuturesIo::new(stream)).await.ok()?;
-        let drive = async move {
+        let drive_connection = async move {
             let _ = connection.await;
         };
-        self.executor.spawn(drive).detach();
-        Some(Connection { gateway: (number, life), sender })
+        self.executor.spawn(drive_connection).detach();
+        Some(Connection { gateway: (number, restarts), sender })
     }
 }
 
@@ -179,48 +179,49 @@
     request.body(Full::new(Bytes::from_static(b"question"))).ok()
 }
 
-/// What a caller got, and what the answer said of its runner.
-struct Exchanged {
-    seen: Seen,
-    told: Option<Told>,
-    limit: Option<NamedLimit>,
+/// The outcome of a request, and what the answer stated about its runner.
+struct Exchange {
+    outcome: Outcome,
+    leave_notice: Option<LeaveNotice>,
+    limit: Option<LimitNotice>,
 }
 
-impl Exchanged {
-    fn without_answer(seen: Seen) -> Self {
-        Self { seen, told: None, limit: None }
+impl Exchange {
+    fn without_answer(outcome: Outcome) -> Self {
+        Self { outcome, leave_notice: None, limit: None }
     }
 }
 
 async fn exchange(
-    begun: Instant,
+    start: Instant,
     sender: &mut SendRequest<Full<Bytes>>,
     kind: Kind,
     id: &str,
     slow: usize,
-) -> Exchanged {
+) -> Exchange {
     let Some(request) = request(kind, id) else {
-        return Exchanged::without_answer(Seen::NoConnection);
+        return Exchange::without_answer(Outcome::NoConnection);
     };
-    let answer = within(PATIENCE, sender.send_request(request)).await;
+    let answer = with_timeout(ANSWER_TIMEOUT, sender.send_request(request)).await;
     let Some(Ok(answer)) = answer else {
-        return Exchanged::without_answer(Seen::Lost);
+        return Exchange::without_answer(Outcome::Lost);
     };
-    let at = begun.elapsed();
-    let told = leaving_runner(answer.headers()).map(|(runner, life)| Told { runner, life, at });
+    let at = start.elapsed();
+    let leave_notice =
+        leaving_runner(answer.headers()).map(|(runner, life)| LeaveNotice { runner, life, at });
     let limit = limited_runner(answer.headers()).map(|(runner, life, limit)| {
         let limit = limit.to_owned();
-        NamedLimit { runner, life, limit, at }
+        LimitNotice { runner, life, limit, at }
     });
     let status = answer.status().as_u16();
     let mut body = answer.into_body();
     let (mut bytes, mut whole, mut pieces) = (Vec::new(), true, 0);
     loop {
         if pieces < slow {
-            Timer::after(SLOW_PAUSE).await;
+            Timer::after(SLOW_READ_PAUSE).await;
         }
         pieces += 1;
-        match within(PATIENCE, body.frame()).await {
+        match with_timeout(ANSWER_TIMEOUT, body.frame()).await {
             Some(None) => break,
             Some(Some(Ok(frame))) => {
                 bytes.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()));
@@ -233,10 +234,13 @@
     }
     bytes.retain(|byte| *byte != PADDING);
     let body = String::from_utf8_lossy(&bytes).into_owned();
-    Exchanged { seen: Seen::Answer { status, whole, body }, told, limit }
+    Exchange { outcome: Outcome::Answer { status, whole, body }, leave_notice, limit }
 }
 
-async fn within<T>(time: Duration, future: impl std::future::Future<Output = T>) -> Option<T> {
+async fn with_timeout<T>(
+    time: Duration,
+    future: impl std::future::Future<Output = T>,
+) -> Option<T> {
     future::or(async { Some(future.await) }, async {
         Timer::after(time).await;
         None
--- a/examples/soak/checker/configuration.rs
+++ b/examples/soak/checker/configuration.rs
@@ -1,35 +1,36 @@
-//! By which configuration requests are served.
+//! Checks which version of the configuration requests are served by.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{broken, is_in_touch, Violation, APPLY};
-use crate::history::{Configured, History, Kind, Request, Seen};
+use super::{broken, is_undisturbed, Violation, CONFIGURATION_BOUND};
+use crate::history::{ConfigurationChange, History, Kind, Outcome, Request};
 
-/// A route of one version of the configuration is served as soon as that version binds, and no longer than
-/// until the next one does.
+/// The route of a version of the configuration is served as soon as that version must be in force, and no
+/// longer than until the next one must be.
 pub(super) fn check_in_force(history: &History, request: &Request) -> Option<Violation> {
-    let (Kind::Probe(version), Seen::Answer { status, .. }) = (request.kind, &request.seen) else {
+    let (Kind::Probe(version), Outcome::Answer { status, .. }) = (request.kind, &request.outcome)
+    else {
         return None;
     };
-    let versions = |is_counted: &dyn Fn(&Configured) -> bool| {
-        history.configured.iter().filter(|it| is_counted(it)).map(|it| it.version).max()
+    let versions = |matches: &dyn Fn(&ConfigurationChange) -> bool| {
+        history.configuration_changes.iter().filter(|it| matches(it)).map(|it| it.version).max()
     };
-    let binding = versions(&|it| it.taken + APPLY < request.sent)?;
+    let required = versions(&|it| it.taken + CONFIGURATION_BOUND < request.sent)?;
     let newest = versions(&|it| it.sent <= request.ended)?;
-    let by_an_older_one = match status {
-        200 => version < binding,
-        401 | 404 => version == binding && newest == binding,
+    let served_by_older = match status {
+        200 => version < required,
+        401 | 404 => version == required && newest == required,
         _ => false,
     };
-    let untouched = is_in_touch(history, request);
-    let broke = by_an_older_one && untouched;
-    broke.then(|| {
-        broken("a configuration is in force in time", request, &format!("version {binding}"))
+    let undisturbed = is_undisturbed(history, request);
+    let violated = served_by_older && undisturbed;
+    violated.then(|| {
+        broken("a configuration is in force in time", request, &format!("version {required}"))
     })
 }
 
-/// Within one life of a process, a configuration that was in force does not give way to an older one.
+/// Within one run of a process, an older configuration never replaces a newer one.
 pub(super) fn check_configuration(history: &History) -> Vec<Violation> {
     let mut newest: BTreeMap<(usize, u32), (u64, Duration)> = BTreeMap::new();
     let mut probes: Vec<&Request> = history.requests.iter().collect();
@@ -39,7 +40,7 @@
         let Kind::Probe(version) = request.kind else {
             continue;
         };
-        let Seen::Answer { status: 200, .. } = request.seen else {
+        let Outcome::Answer { status: 200, .. } = request.outcome else {
             continue;
         };
         let (known, since) = newest.entry(request.gateway).or_default();
--- a/examples/soak/checker/quarantine.rs
+++ b/examples/soak/checker/quarantine.rs
@@ -1,22 +1,22 @@
-//! What becomes of requests that crash their runners.
+//! Checks that requests that crash their runners are quarantined.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{is_in_touch, Violation};
+use super::{is_undisturbed, Violation};
 use crate::history::{History, Kind, Request};
 
-/// The crashes after which a request is not sent on.
+/// Number of crashes after which a request is not sent to runners any more.
 const QUARANTINE_AT: usize = 3;
-/// How long after it began such a request ends its runner.
+/// How long after its start such a request crashes its runner.
 const CRASH_AFTER: Duration = Duration::from_millis(30);
-/// Within what time every gateway knows of a crash.
-const CONTACT: Duration = Duration::from_millis(3000);
+/// Within what time every gateway must know of a crash.
+const CRASH_NOTICE_BOUND: Duration = Duration::from_millis(3000);
 /// How often such a request may reach runners after that.
-const MOST_RETRIES: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 
-/// Once a request has crashed three runners and every gateway must have heard of that, it reaches few more, of all
-/// gateways that were left alone together.
+/// Once a request has crashed three runners and every gateway must know of it, only a few more attempts reach
+/// runners, summed over all gateways without disruptions.
 pub(super) fn check_quarantine(history: &History) -> Vec<Violation> {
     let mut runs: BTreeMap<u64, Vec<(Duration, &Request)>> = BTreeMap::new();
     for request in &history.requests {
@@ -28,15 +28,18 @@
     }
     let late = runs.into_iter().filter_map(|(number, mut runs)| {
         runs.sort_by_key(|it| it.0);
-        // Each run ends its runner.
-        let known = runs.get(QUARANTINE_AT - 1)?.0 + CRASH_AFTER + CONTACT;
+        // Each run crashes its runner.
+        let known_from = runs.get(QUARANTINE_AT - 1)?.0 + CRASH_AFTER + CRASH_NOTICE_BOUND;
         let is_late = |(at, request): &&(Duration, &Request)| {
-            *at > known && request.sent > known && is_in_touch(history, request)
+            *at > known_from && request.sent > known_from && is_undisturbed(history, request)
         };
         let late = runs.iter().filter(is_late).count();
-        (late > MOST_RETRIES).then(|| Violation {
-            promise: "a request that crashes its runners is not sent on",
-            seen: format!("request {number}: {late} of {} runs later than {known:?}", runs.len()),
+        (late > MAX_LATE_RUNS).then(|| Violation {
+            guarantee: "a request that crashes its runners is not sent on",
+            details: format!(
+                "request {number}: {late} of {} runs later than {known_from:?}",
+                runs.len()
+            ),
         })
     });
     late.collect()
--- /dev/null
+++ b/examples/soak/fault_injector.rs
@@ -0,0 +1,278 @@
+//! Injects the planned faults into a fleet.
+
+mod operators;
+mod processes;
+mod runners;
+mod store;
+
+use std::sync::atomic::Ordering;
+use std::thread;
+use std::time::Duration;
+
+use platform_standin::{LostRows, RunnerFault, StoreFault};
+use rustix::process::Signal;
+
+use crate::callers::Shared;
+use crate::faults::{Fault, PlannedFault};
+use crate::fleet::{Fleet, Process};
+use crate::history::{Disruption, History, Target};
+use crate::proxy::LinkFault;
+
+/// Delay until a killed process is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// Bytes of padding in a large plain answer, and in each event of a stream.
+const LARGE_PADDING_BYTES: usize = 60_000;
+/// Minimum time that a runner reads slowly: until the bound of a target version set before has passed.
+const MIN_SLOW_READING: Duration = Duration::from_millis(9000);
+/// Interval at which due actions are run.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// An action that runs at a later time, usually the end of a fault.
+enum DelayedAction {
+    /// Restarts a process.
+    RestartProcess(usize),
+    /// Resumes a paused process.
+    ResumeProcess(usize),
+    /// Restarts a process that was asked to stop and has ended, and kills it if it has not ended by this time.
+    CheckStopped(usize, Duration),
+    /// Ends the fault of the store.
+    RestoreStore,
+    /// Sets a new target version of the weights.
+    SetTargetVersion,
+    /// Ends the rate limit of the origin.
+    RestoreOrigin,
+    /// Ends the fault of the link between a process and the store.
+    RestoreStoreLink(usize),
+    /// Ends the fault of the link to a runner.
+    RestoreRunnerLink(usize),
+    /// Ends the fault of a runner.
+    RestoreRunner(usize),
+    /// Has a runner overwrite the row of a foreign writer with its own entry.
+    RelistRunner(usize),
+    /// Replaces a leaving runner by a new one.
+    ReplaceRunner(usize),
+    /// Ends the slow reading of a runner.
+    EndSlowReading(usize),
+    /// Ends the load shedding of a runner.
+    EndShedding(usize),
+    /// Clears the rate limit of a runner, if it is still this one.
+    ClearLimit(usize, String),
+    /// Has operators and runners write the lost rows again.
+    RewriteLostRows(LostRows),
+    /// Evacuates a hall after the store was rolled back.
+    EvacuateAfterRollback(usize),
+    /// Ends the evacuation of a hall.
+    EndEvacuation(usize),
+    /// Has a cold runner report that it is warm.
+    ReportWarm(usize),
+    /// Ends the large answers of a runner.
+    EndLargeAnswers(usize),
+    /// Has callers stop sending the request that crashes runners.
+    EndCrashRequests,
+}
+
+/// Injects the planned faults and records whom they affect.
+pub struct FaultInjector<'a> {
+    fleet: &'a mut Fleet,
+    shared: Shared,
+    /// The recorded events.
+    pub history: History,
+    delayed_actions: Vec<(Duration, DelayedAction)>,
+    version: u64,
+    /// Number of requests that crash runners so far.
+    crash_requests: u64,
+    /// Number of rate limits that runners have stated so far.
+    limits_stated: u32,
+    /// Number of times that foreign rows were written so far.
+    foreign_writes: u64,
+}
+
+impl<'a> FaultInjector<'a> {
+    /// Creates an injector without recorded events.
+    pub fn new(fleet: &'a mut Fleet, shared: Shared) -> Self {
+        Self {
+            fleet,
+            shared,
+            history: History::default(),
+            delayed_actions: Vec::new(),
+            version: 1,
+            crash_requests: 0,
+            limits_stated: 0,
+            foreign_writes: 0,
+        }
+    }
+
+    /// Records which gateways run an earlier build at the start of the run.
+    pub fn record_old_builds(&mut self) {
+        let gateways = self.fleet.gateways.iter().enumerate();
+        self.history
+            .old_builds
+            .extend(gateways.filter(|(_, it)| it.runs_old_build()).map(|it| (it.0, 0)));
+    }
+
+    fn now(&self) -> Duration {
+        self.shared.start.elapsed()
+    }
+
+    /// Injects the planned faults and runs the delayed actions, each at its time.
+    pub fn run_plan(&mut self, planned: &[PlannedFault]) -> eyre::Result<()> {
+        let mut next = planned.iter().peekable();
+        while next.peek().is_some() || !self.delayed_actions.is_empty() {
+            let now = self.now();
+            while let Some(due) = next.next_if(|it| it.at <= now) {
+                self.inject(*due)?;
+            }
+            let (due, not_due) =
+                std::mem::take(&mut self.delayed_actions).into_iter().partition(|it| it.0 <= now);
+            self.delayed_actions = not_due;
+            let due: Vec<(Duration, DelayedAction)> = due;
+            for (_, action) in due {
+                self.run_delayed(action)?;
+            }
+            thread::sleep(POLL_INTERVAL);
+        }
+        self.history.faults_ended_at = self.now();
+        Ok(())
+    }
+
+    fn process(&mut self, number: usize) -> &mut Process {
+        let gateways = self.fleet.gateways.len();
+        match number.checked_sub(gateways) {
+            None => &mut self.fleet.gateways[number],
+            Some(sidecar) => &mut self.fleet.sidecars[sidecar],
+        }
+    }
+
+    fn target(&self, number: usize) -> Target {
+        match number.checked_sub(self.fleet.gateways.len()) {
+            None => Target::Gateway(number),
+            Some(sidecar) => Target::Runner(sidecar),
+        }
+    }
+
+    fn record_disruption(&mut self, target: Target, until: Duration) {
+        let from = self.now();
+        self.history.disruptions.push(Disruption { target, from, until });
+    }
+
+    /// Schedules an action.
+    fn schedule(&mut self, at: Duration, action: DelayedAction) {
+        self.delayed_actions.push((at, action));
+    }
+
+    /// Injects a fault. A fault that kills, pauses or stops a process is skipped while another one of these is
+    /// active there.
+    fn inject(&mut self, PlannedFault { span, fault, .. }: PlannedFault) -> eyre::Result<()> {
+        let until = self.now() + span;
+        match fault {
+            Fault::Kill(number) if self.is_available(number) => self.kill_process(number),
+            Fault::Pause(number) if self.is_available(number) => self.pause_process(number, until),
+            Fault::Stop(number) if self.is_available(number) => self.stop_process(number),
+            Fault::Upgrade(number) if self.is_available(number) => self.upgrade_process(number),
+            Fault::Kill(_) | Fault::Pause(_) | Fault::Stop(_) | Fault::Upgrade(_) => {}
+            Fault::Reload(number) => self.process(number).signal(Signal::HUP),
+            Fault::Settings(number, signalled) => self.rewrite_settings(number, signalled)?,
+            Fault::Store(fault) => self.set_store_fault(fault, until),
+            Fault::ForgetHistory => self.fleet.standin.forget_history(),
+            Fault::RollBackStore(age_ms) => {
+                self.roll_back_store(Duration::from_millis(age_ms), until)
+            }
+            Fault::StoreLink(number, link_fault) => {
+                self.break_store_link(number, link_fault, until)
+            }
+            Fault::SilentStoreConnections(number) => self.silence_store_connections(number),
+            Fault::RunnerLink(number, link_fault) => {
+                self.break_runner_link(number, link_fault, until)
+            }
+            Fault::SilentRunnerConnections(number) => self.silence_runner_connections(number),
+            Fault::Runner(number, fault) => self.set_runner_fault(number, fault, until),
+            Fault::RestartWithNewId(number) => self.restart_with_new_id(number, until),
+            Fault::RestartWithSameId(number) => self.restart_with_same_id(number, until),
+            Fault::ColdStart(number) => self.start_cold_runner(number),
+            Fault::Drain(number) => self.drain_runner(number, until),
+            Fault::CorruptChunk(number, index) => self.change_runner(number, |it| it.spoil(index)),
+            Fault::CrashRequests => self.send_crash_requests(until),
+            Fault::ForeignRows(number) => self.write_foreign_rows(number, until),
+            Fault::Shed(number, rest_ms) => {
+                self.shed_load(number, Duration::from_millis(rest_ms), until);
+            }
+            Fault::RateLimit(number, limit, reported) => {
+                self.state_limit(number, limit, reported, until);
+            }
+            Fault::LargeAnswers(number) => {
+                self.change_runner(number, |it| it.padding = LARGE_PADDING_BYTES);
+                self.schedule(until, DelayedAction::EndLargeAnswers(number));
+            }
+            Fault::ConfigurationThenVersion(millis) => {
+                self.add_configuration();
+                self.schedule(
+                    self.now() + Duration::from_millis(millis),
+                    DelayedAction::SetTargetVersion,
+                );
+            }
+            Fault::SlowReading(number, millis) => {
+                self.change_runner(number, |it| it.reading = Duration::from_millis(millis));
+                self.schedule(until + MIN_SLOW_READING, DelayedAction::EndSlowReading(number));
+            }
+            Fault::Configure => self.add_configuration(),
+            Fault::BindStreams(hall) => self.bind_streams(hall),
+            Fault::TargetVersion => self.set_target_version(),
+            Fault::SlowOrigin => self.slow_origin(until),
+            Fault::SlowStore { least_ms, most_ms } => self.slow_store(least_ms, most_ms, until),
+            Fault::UnreliableStoreLink(number, link_fault) => {
+                self.process(number).store_proxy.set_fault(link_fault);
+                self.schedule(until, DelayedAction::RestoreStoreLink(number));
+            }
+            Fault::VersionAndGatewayRestart(number) => {
+                self.set_target_version();
+                if self.is_available(number) {
+                    self.kill_process(number);
+                }
+            }
+            Fault::Evacuate(hall) => self.evacuate_hall(hall, until),
+        }
+        Ok(())
+    }
+
+    /// Runs a delayed action.
+    fn run_delayed(&mut self, action: DelayedAction) -> eyre::Result<()> {
+        match action {
+            DelayedAction::RestartProcess(number) => self.restart_process(number)?,
+            DelayedAction::ResumeProcess(number) => self.process(number).signal(Signal::CONT),
+            DelayedAction::CheckStopped(number, deadline) => {
+                self.check_stopped(number, deadline)?
+            }
+            DelayedAction::RestoreStore => self.fleet.standin.set_store_fault(StoreFault::None),
+            DelayedAction::SetTargetVersion => self.set_target_version(),
+            DelayedAction::RestoreOrigin => self.fleet.standin.set_origin_rate(None),
+            DelayedAction::RestoreStoreLink(number) => {
+                self.process(number).store_proxy.set_fault(LinkFault::None)
+            }
+            DelayedAction::RestoreRunnerLink(number) => {
+                self.fleet.runners[number].proxy.set_fault(LinkFault::None)
+            }
+            DelayedAction::RestoreRunner(number) => {
+                self.change_runner(number, |it| it.fault = RunnerFault::None);
+            }
+            DelayedAction::ReportWarm(number) | DelayedAction::RelistRunner(number) => {
+                self.relist_runner(number)
+            }
+            DelayedAction::EndLargeAnswers(number) => {
+                self.change_runner(number, |it| it.padding = 0)
+            }
+            DelayedAction::EndSlowReading(number) => {
+                self.change_runner(number, |it| it.reading = Duration::ZERO)
+            }
+            DelayedAction::EndShedding(number) => self.change_runner(number, |it| it.sheds = None),
+            DelayedAction::ClearLimit(number, limit) => self.clear_limit(number, &limit),
+            DelayedAction::ReplaceRunner(number) => self.replace_runner(number),
+            DelayedAction::EndCrashRequests => {
+                self.shared.crash_request.store(0, Ordering::Relaxed)
+            }
+            DelayedAction::RewriteLostRows(lost) => self.fleet.standin.write_again(lost),
+            DelayedAction::EvacuateAfterRollback(hall) => self.evacuate_hall(hall, self.now()),
+            DelayedAction::EndEvacuation(hall) => self.end_evacuation(hall),
+        }
+        Ok(())
+    }
+}
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to the fleet and when: all of it follows from the seed.
+//! Plans the faults of a run and their times. The plan depends only on the seed and the sizes of the fleet.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::proxy::Harm;
+use crate::proxy::LinkFault;
 
-/// Data halls, each in a region of its own.
+/// Number of data halls, each in a region of its own.
 pub const HALLS: usize = 2;
 
-/// The pause between the beginnings of two faults, in milliseconds.
-const PAUSE: std::ops::Range<u64> = 150..1400;
-/// How long a fault lasts, in milliseconds.
-const SPAN: std::ops::Range<u64> = 300..4000;
-/// When the first fault begins, in milliseconds.
-const FIRST_AT: u64 = 3000;
+/// Interval between the beginnings of two faults, in milliseconds.
+const INTERVAL_MS: std::ops::Range<u64> = 150..1400;
+/// Duration of a fault, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 300..4000;
+/// Time of the first fault, in milliseconds after the start of the run.
+const FIRST_FAULT_MS: u64 = 3000;
 
-/// Every kind, by the names that the command line takes.
-pub const KINDS: &[&str] = &[
+/// Names of all kinds of faults on the command line.
+pub const FAULT_KINDS: &[&str] = &[
     "kill",
     "pause",
     "stop",
@@ -55,147 +55,150 @@
     "busy_version",
 ];
 
-/// The start of the paths of requests under which model runners crash. Behind it stands the number of the fault.
+/// Path prefix of requests that crash model runners. The number of the fault follows it.
 pub const CRASH_PATH: &str = "/s/crash";
 
-/// Something that is done.
+/// A fault. A `usize` is the number of the affected process, runner or data hall.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A process is killed and starts again after a while.
+    /// A process is killed and restarted later.
     Kill(usize),
-    /// A process stands still for a while.
+    /// A process is paused for a while.
     Pause(usize),
-    /// A process is told to stop and starts again once it has ended.
+    /// A process is stopped by SIGTERM and restarted once it has ended.
     Stop(usize),
-    /// A process is told that its settings changed.
-    Hup(usize),
-    /// The store misbehaves for a while.
+    /// A process receives SIGHUP, which reloads its settings.
+    Reload(usize),
+    /// The store has a fault for a while.
     Store(StoreFault),
-    /// The store forgets its history.
-    Forget,
-    /// The way of one process to the store is harmed for a while.
-    StoreLink(usize, Harm),
-    /// The way to a runner is harmed for a while.
-    RunnerLink(usize, Harm),
-    /// The connections of one process to the store go silent for good, while new ones work.
-    StoreSilence(usize),
-    /// The connections to a runner go silent for good, while new ones work.
-    RunnerSilence(usize),
-    /// A runner misbehaves for a while.
+    /// The store discards its history of changes.
+    ForgetHistory,
+    /// The link between a process and the store has a fault for a while.
+    StoreLink(usize, LinkFault),
+    /// The link to a runner has a fault for a while.
+    RunnerLink(usize, LinkFault),
+    /// The open connections between a process and the store become silent permanently, while new ones work.
+    SilentStoreConnections(usize),
+    /// The open connections to a runner become silent permanently, while new ones work.
+    SilentRunnerConnections(usize),
+    /// A runner has a fault for a while.
     Runner(usize, RunnerFault),
-    /// A runner starts anew, empty and under another identity.
-    Restart(usize),
-    /// A runner says that it leaves, and that it stays after a while.
+    /// A runner restarts without weights and under a new id.
+    RestartWithNewId(usize),
+    /// A runner reports that it leaves and is replaced later.
     Drain(usize),
     /// A new version of the configuration.
     Configure,
-    /// A new version of the weights is named.
-    Version,
-    /// A version of the weights is named, and a gateway is killed and starts anew amid it.
-    NewGateway(usize),
-    /// The origin sends weights slowly for a while: a new version takes most of the time within which it must be there.
+    /// A new target version of the weights is set.
+    TargetVersion,
+    /// A new target version of the weights is set, and a gateway is killed and restarted at the same time.
+    VersionAndGatewayRestart(usize),
+    /// The origin is slow for a while: a new version takes most of the time within which it must arrive.
     SlowOrigin,
-    /// The store takes so many milliseconds before it looks at each call, for a while.
+    /// The store delays each call for a while.
     SlowStore {
-        /// The least.
+        /// Minimum delay in milliseconds.
         least_ms: u64,
-        /// The most.
+        /// Maximum delay in milliseconds.
         most_ms: u64,
     },
-    /// The way of one process to the store is uneven for a while. Nobody is excused by that.
-    UnevenStoreLink(usize, Harm),
-    /// A new version of the configuration, and one of the weights so many milliseconds later: all gateways have just heard the
-    /// store and rest.
-    BusyVersion(u64),
-    /// A model runner reads each request for so many milliseconds before it begins it, for a while.
-    Reading(usize, u64),
-    /// A chunk that lies at a runner turns bad.
-    Spoil(usize, u64),
+    /// The link between a process and the store has jitter or loses packets for a while. This excuses no
+    /// violation.
+    UnreliableStoreLink(usize, LinkFault),
+    /// A new version of the configuration, and this many milliseconds later a new target version of the
+    /// weights. All gateways have just received an answer of the store and pause before the next call.
+    ConfigurationThenVersion(u64),
+    /// A model runner reads each request for this many milliseconds before it starts to run it, for a while.
+    SlowReading(usize, u64),
+    /// The chunk of this index is corrupted on the machine of a runner.
+    CorruptChunk(usize, u64),
     /// A data hall is evacuated for a while.
     Evacuate(usize),
     /// The streams are bound to the region of a data hall, or to none.
-    Homes(Option<usize>),
-    /// A plain runner starts anew and is cold for a while.
+    BindStreams(Option<usize>),
+    /// A plain runner restarts and is cold for a while.
     ColdStart(usize),
-    /// Callers send a request under which each runner crashes that begins it, again and again for a while.
-    Crash,
-    /// A model runner starts anew under the name that it had.
-    Reborn(usize),
-    /// Another writer puts rows into the list, one of them in the place of a runner's, for a while.
-    Foreign(usize),
-    /// A runner turns everything away for a while and asks for so many milliseconds of rest each time.
+    /// Callers repeatedly send a request that crashes each runner that starts it, for a while.
+    CrashRequests,
+    /// A model runner restarts without weights and under the same id.
+    RestartWithSameId(usize),
+    /// A foreign writer writes rows to the list of runners, one of them in place of a runner's entry, for a
+    /// while.
+    ForeignRows(usize),
+    /// A runner rejects all requests for a while and asks for this many milliseconds of rest each time.
     Shed(usize, u64),
-    /// A runner names a rate limit for a while, in its reports as well or in other answers alone.
-    Limit(usize, LimitWord, bool),
-    /// The store goes back to how it was so many milliseconds ago. What operators and runners wrote is written again after
-    /// a while.
-    StoreCopy(u64),
-    /// A process is told to stop and starts again with the other build, where there are two.
+    /// A runner states a rate limit for a while, in its answers to requests and, if the flag is set, also in
+    /// its reports to the sidecar.
+    RateLimit(usize, StatedLimit, bool),
+    /// The store is rolled back to its state this many milliseconds ago. Operators and runners write their lost
+    /// rows again later.
+    RollBackStore(u64),
+    /// A process is stopped and restarted with the other build, if there are two.
     Upgrade(usize),
     /// The answers of a runner are large for a while.
-    Bulk(usize),
-    /// The settings file of a process changes; it may be told of that or not.
+    LargeAnswers(usize),
+    /// The settings file of a process changes; if the flag is set, the process receives SIGHUP.
     Settings(usize, bool),
 }
 
-/// What a runner names as its rate limit.
+/// The rate limit that a runner states.
 #[derive(Clone, Copy, Debug)]
-pub enum LimitWord {
-    /// So many thousandths of a request a second.
+pub enum StatedLimit {
+    /// Thousandths of a request per second.
     Thousandths(u32),
-    /// Something that can't be read.
+    /// Text that is no number.
     Unreadable,
 }
 
-/// Rates that runners name, in thousandths of a request a second. Each is named with a number added, so that no two are
-/// the same.
-const RATES: [u32; 6] = [0, 400, 1000, 1600, 3000, 8000];
+/// Rates that runners state, in thousandths of a request per second. A counter is added to each, so that no two
+/// are the same.
+const STATED_RATES: [u32; 6] = [0, 400, 1000, 1600, 3000, 8000];
 
-/// A fault with its time.
+/// A fault with its time and duration.
 #[derive(Clone, Copy, Debug)]
-pub struct Planned {
-    /// When it begins, from the start of the run.
+pub struct PlannedFault {
+    /// Beginning of the fault, from the start of the run.
     pub at: Duration,
-    /// How long it lasts, where that applies.
+    /// Duration of the fault, where that applies.
     pub span: Duration,
-    /// What is done.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The sizes that a plan is made for.
+/// The sizes of the fleet that a plan is made for.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
-    /// Gateways and sidecars.
+    /// Number of gateways and sidecars.
     pub processes: usize,
-    /// Model runners.
+    /// Number of model runners.
     pub models: usize,
-    /// All runners.
+    /// Number of all runners.
     pub runners: usize,
 }
 
 impl Sizes {
-    /// Gateways: every process that is no sidecar of a model runner.
+    /// Number of gateways: the processes that are not the sidecar of a model runner.
     fn gateways(self) -> usize {
         self.processes - self.models
     }
 }
 
-/// The faults of a run.
-pub fn plan(seed: u64, span: Duration, sizes: Sizes, kinds: &[&str]) -> Vec<Planned> {
+/// Plans the faults of a run.
+pub fn plan(seed: u64, span: Duration, sizes: Sizes, kinds: &[&str]) -> Vec<PlannedFault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut planned = Vec::new();
-    let mut at = Duration::from_millis(FIRST_AT);
+    let mut at = Duration::from_millis(FIRST_FAULT_MS);
     while at < span {
         let kind = kinds[random.random_range(0..kinds.len())];
-        let fault = draw(&mut random, kind, sizes);
-        let span = Duration::from_millis(random.random_range(SPAN));
-        planned.push(Planned { at, span, fault });
-        at += Duration::from_millis(random.random_range(PAUSE));
+        let fault = random_fault(&mut random, kind, sizes);
+        let span = Duration::from_millis(random.random_range(DURATION_MS));
+        planned.push(PlannedFault { at, span, fault });
+        at += Duration::from_millis(random.random_range(INTERVAL_MS));
     }
     planned
 }
 
-fn draw(random: &mut SmallRng, kind: &str, sizes: Sizes) -> Fault {
+fn random_fault(random: &mut SmallRng, kind: &str, sizes: Sizes) -> Fault {
     let process = random.random_range(0..sizes.processes);
     let runner = random.random_range(0..sizes.runners);
     let model = random.random_range(0..sizes.models);
@@ -203,69 +206,74 @@
         "kill" => Fault::Kill(process),
         "pause" => Fault::Pause(process),
         "stop" => Fault::Stop(process),
-        "hup" => Fault::Hup(process),
+        "hup" => Fault::Reload(process),
         "store" => match random.random_range(0..4) {
             0 => Fault::Store(StoreFault::Busy),
             1 => Fault::Store(StoreFault::Silent),
             2 => Fault::Store(StoreFault::Narrow),
-            _ => Fault::Forget,
+            _ => Fault::ForgetHistory,
         },
-        "store_link" => Fault::StoreLink(process, harm(random)),
-        "runner_link" => Fault::RunnerLink(runner, harm(random)),
-        "store_silence" => Fault::StoreSilence(process),
-        "runner_silence" => Fault::RunnerSilence(runner),
-        "runner" => Fault::Runner(runner, runner_fault(random)),
-        "restart" => Fault::Restart(model),
+        "store_link" => Fault::StoreLink(process, random_link_fault(random)),
+        "runner_link" => Fault::RunnerLink(runner, random_link_fault(random)),
+        "store_silence" => Fault::SilentStoreConnections(process),
+        "runner_silence" => Fault::SilentRunnerConnections(runner),
+        "runner" => Fault::Runner(runner, random_runner_fault(random)),
+        "restart" => Fault::RestartWithNewId(model),
         "drain" => Fault::Drain(runner),
         "configuration" => Fault::Configure,
-        "version" => Fault::Version,
+        "version" => Fault::TargetVersion,
         "evacuate" => Fault::Evacuate(random.random_range(0..HALLS)),
-        "homes" => Fault::Homes(random.random_bool(0.7).then(|| random.random_range(0..HALLS))),
+        "homes" => {
+            Fault::BindStreams(random.random_bool(0.7).then(|| random.random_range(0..HALLS)))
+        }
         "cold" => Fault::ColdStart(random.random_range(sizes.models..sizes.runners)),
-        "crash" => Fault::Crash,
-        "reborn" => Fault::Reborn(model),
-        "foreign" => Fault::Foreign(runner),
+        "crash" => Fault::CrashRequests,
+        "reborn" => Fault::RestartWithSameId(model),
+        "foreign" => Fault::ForeignRows(runner),
         "shed" => Fault::Shed(runner, random.random_range(600..3000)),
-        "limit" => Fault::Limit(runner, limit_word(random), random.random_bool(0.3)),
-        "store_copy" => Fault::StoreCopy(random.random_range(500..6000)),
+        "limit" => Fault::RateLimit(runner, random_limit(random), random.random_bool(0.3)),
+        "store_copy" => Fault::RollBackStore(random.random_range(500..6000)),
         "upgrade" => Fault::Upgrade(process),
-        "bulk" => Fault::Bulk(runner),
+        "bulk" => Fault::LargeAnswers(runner),
         "slow_origin" => Fault::SlowOrigin,
         "slow_store" => {
             let least_ms = random.random_range(0..800);
             Fault::SlowStore { least_ms, most_ms: least_ms + random.random_range(0..200) }
         }
         "uneven_link" => {
-            let longest_ms = random.random_range(20..250);
-            let harms = [Harm::Jitter(longest_ms), Harm::Lossy];
-            Fault::UnevenStoreLink(process, harms[random.random_range(0..harms.len())])
+            let max_jitter_ms = random.random_range(20..250);
+            let link_faults = [LinkFault::Jitter(max_jitter_ms), LinkFault::Lossy];
+            Fault::UnreliableStoreLink(
+                process,
+                link_faults[random.random_range(0..link_faults.len())],
+            )
         }
-        "busy_version" => Fault::BusyVersion(random.random_range(20..900)),
-        "reading" => Fault::Reading(model, random.random_range(200..1000)),
-        "new_gateway" => Fault::NewGateway(random.random_range(0..sizes.gateways())),
+        "busy_version" => Fault::ConfigurationThenVersion(random.random_range(20..900)),
+        "reading" => Fault::SlowReading(model, random.random_range(200..1000)),
+        "new_gateway" => Fault::VersionAndGatewayRestart(random.random_range(0..sizes.gateways())),
         "settings" => Fault::Settings(process, random.random_bool(0.5)),
-        _ => Fault::Spoil(model, random.random_range(0..64)),
+        _ => Fault::CorruptChunk(model, random.random_range(0..64)),
     }
 }
 
-fn limit_word(random: &mut SmallRng) -> LimitWord {
+fn random_limit(random: &mut SmallRng) -> StatedLimit {
     if random.random_bool(0.1) {
-        LimitWord::Unreadable
+        StatedLimit::Unreadable
     } else {
-        LimitWord::Thousandths(RATES[random.random_range(0..RATES.len())])
+        StatedLimit::Thousandths(STATED_RATES[random.random_range(0..STATED_RATES.len())])
     }
 }
 
-fn harm(random: &mut SmallRng) -> Harm {
+fn random_link_fault(random: &mut SmallRng) -> LinkFault {
     match random.random_range(0..4) {
-        0 => Harm::Delay(random.random_range(20..400)),
-        1 => Harm::Silence,
-        2 => Harm::OneWay,
-        _ => Harm::Reset,
+        0 => LinkFault::Delay(random.random_range(20..400)),
+        1 => LinkFault::Silence,
+        2 => LinkFault::OneWay,
+        _ => LinkFault::Reset,
     }
 }
 
-fn runner_fault(random: &mut SmallRng) -> RunnerFault {
+fn random_runner_fault(random: &mut SmallRng) -> RunnerFault {
     match random.random_range(0..6) {
         0 => RunnerFault::CutAfter(random.random_range(1..10)),
         1 => RunnerFault::Full,
--- a/examples/soak/fleet.rs
+++ b/examples/soak/fleet.rs
@@ -1,4 +1,5 @@
-//! Gateways and sidecars as processes before a stand-in of the platform, each behind proxies.
+//! Gateways and sidecars as processes, and a stand-in of the platform. Proxies in between can disturb the
+//! connections to runners and to the store.
 
 use std::fs::{self, File, OpenOptions};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
@@ -14,63 +15,63 @@
 use crate::faults::{CRASH_PATH, HALLS};
 use crate::proxy::Proxy;
 
-/// Where proxies listen in front of runners.
+/// Port of the proxies in front of runners.
 const RUNNER_PORT: u16 = 8001;
-/// Where runners listen.
+/// Port of the runners.
 const ENGINE_PORT: u16 = 8101;
-/// Where gateways and sidecars take datagrams.
+/// Port on which gateways and sidecars receive datagrams.
 const DATAGRAM_PORT: u16 = 7700;
-/// Where gateways listen for callers.
+/// Port of the gateways for callers.
 const CALLERS_PORT: u16 = 8005;
-/// Where gateways say whether they are ready.
+/// Port of the gateways for readiness checks.
 const READINESS_PORT: u16 = 8002;
-/// The networks that soaks run on, so that several can run at the same time.
+/// First loopback network and number of networks for soak runs, so that several can run at the same time.
 const FIRST_NETWORK: u8 = 20;
-const NETWORKS: u8 = 120;
-/// Plain runners, in turn in the halls.
-const PLAIN_RUNNERS: usize = 4;
+const NETWORK_COUNT: u8 = 120;
+/// Number of plain runners, assigned to the halls in turn.
+const PLAIN_RUNNER_COUNT: usize = 4;
 /// The data halls and their regions.
 const HALL_NAMES: [(&str, &str); HALLS] = [("a", "north"), ("b", "south")];
-/// How long a runner is cold after a start.
+/// How long a plain runner is cold after a cold start.
 pub const COLD_START: Duration = Duration::from_millis(3000);
-/// When model runners first started, in milliseconds of Unix time.
-const FIRST_BIRTH: u64 = 1_764_720_000_000;
-/// Requests a second that a cold runner bears.
-const COLD_PER_S: f64 = 6.0;
+/// First start time that model runners report, in milliseconds of Unix time.
+const FIRST_START_MS: u64 = 1_764_720_000_000;
+/// Rate limit of a cold runner, in requests per second.
+const COLD_REQUESTS_PER_S: f64 = 6.0;
 
-/// A process of silverdock with the way that it has to the store.
+/// A silverdock process and the proxy between it and the store.
 pub struct Process {
     machine: IpAddr,
     settings: PathBuf,
     log: PathBuf,
     child: Child,
-    /// Which of the fleet's programs it runs, from its next start on.
+    /// Index of the fleet's program that it runs from its next start on.
     build: usize,
-    /// Which of its lives this is, counted from zero.
-    pub life: u32,
-    /// In front of the store.
-    pub store: Proxy,
+    /// Number of restarts.
+    pub restarts: u32,
+    /// The proxy in front of the store.
+    pub store_proxy: Proxy,
 }
 
 /// A runner behind a proxy.
 pub struct Runner {
-    /// Where the stand-in serves it.
+    /// Address at which the stand-in serves the runner.
     pub engine: SocketAddr,
-    /// In front of it.
+    /// The proxy in front of the runner.
     pub proxy: Proxy,
-    /// How often it was restarted.
+    /// Number of restarts under a new id.
     pub restarts: u32,
     name: String,
 }
 
 impl Runner {
-    /// Its identity in its present life.
+    /// The current id of the runner.
     pub fn id(&self) -> String {
         format!("{}-{}", self.name, self.restarts)
     }
 }
 
-/// Everything that runs.
+/// All processes, runners and the platform of a run.
 pub struct Fleet {
     /// The platform.
     pub standin: Standin,
@@ -80,40 +81,40 @@
     pub sidecars: Vec<Process>,
     /// The model runners, then the plain ones.
     pub runners: Vec<Runner>,
-    /// The folder of settings and logs.
-    pub folder: PathBuf,
+    /// Directory of settings and logs.
+    pub directory: PathBuf,
     programs: Vec<PathBuf>,
     network: u8,
-    machines: u8,
+    machine_count: u8,
 }
 
 impl Fleet {
-    /// Starts so many processes of a program, one in three of them a gateway. Where there is an earlier build, all run
-    /// that at first.
+    /// Starts `processes` processes, one in three of them a gateway. If there is an earlier build, all run that
+    /// one at first.
     pub fn start(
         processes: usize,
         seed: u64,
         program: Option<PathBuf>,
-        old: Option<PathBuf>,
+        old_program: Option<PathBuf>,
     ) -> eyre::Result<Self> {
-        let program = program.map_or_else(built_beside, Ok)?;
-        let programs = [program].into_iter().chain(old).collect();
-        let folder =
+        let program = program.map_or_else(default_program, Ok)?;
+        let programs = [program].into_iter().chain(old_program).collect();
+        let directory =
             std::env::temp_dir().join(format!("silverdock-soak-{}-{seed}", std::process::id()));
-        fs::create_dir_all(&folder)?;
+        fs::create_dir_all(&directory)?;
         let standin = Standin::start();
         standin.configure();
-        standin.reconfigure(add_terms);
+        standin.reconfigure(extend_configuration);
         let network = free_network(seed)?;
         let mut fleet = Self {
             standin,
             gateways: Vec::new(),
             sidecars: Vec::new(),
             runners: Vec::new(),
-            folder,
+            directory,
             programs,
             network,
-            machines: 0,
+            machine_count: 0,
         };
         let gateways = (processes / 3).max(2);
         for number in 0..processes.saturating_sub(gateways).max(2) {
@@ -128,13 +129,13 @@
             let sidecar = fleet.spawn(machine, number, &role)?;
             fleet.sidecars.push(sidecar);
         }
-        for number in 0..PLAIN_RUNNERS {
+        for number in 0..PLAIN_RUNNER_COUNT {
             fleet.add_runner(&format!("l{number}"), |id| {
                 Engine::plain(id, "ledger", hall_name(number))
             })?;
         }
         for number in 0..gateways {
-            let machine = fleet.machine();
+            let machine = fleet.new_machine();
             let role = format!(
                 "[gateway]\ncallers = {machine}:{CALLERS_PORT}\n\
                  readiness = {machine}:{READINESS_PORT}\n"
@@ -145,14 +146,14 @@
         Ok(fleet)
     }
 
-    /// Where callers reach a gateway.
+    /// Address of a gateway for callers.
     pub fn callers_address(&self, gateway: usize) -> SocketAddr {
         SocketAddr::new(self.gateways[gateway].machine, CALLERS_PORT)
     }
 
-    fn machine(&mut self) -> IpAddr {
-        self.machines += 1;
-        Ipv4Addr::new(127, 78, self.network, self.machines).into()
+    fn new_machine(&mut self) -> IpAddr {
+        self.machine_count += 1;
+        Ipv4Addr::new(127, 78, self.network, self.machine_count).into()
     }
 
     fn add_runner(
@@ -160,16 +161,16 @@
         name: &str,
         engine: impl FnOnce(&str) -> Engine,
     ) -> eyre::Result<IpAddr> {
-        let machine = self.machine();
+        let machine = self.new_machine();
         let listed = SocketAddr::new(machine, RUNNER_PORT);
         let mut engine = engine(&format!("{name}-0"));
         engine.listed_at = Some(listed);
         if engine.model {
-            engine.born = Some(FIRST_BIRTH);
+            engine.born = Some(FIRST_START_MS);
             engine.crashes_on = Some(CRASH_PATH.into());
         }
         let address = SocketAddr::new(machine, ENGINE_PORT);
-        let proxy = Proxy::start(listed, address).wrap_err("a proxy cannot listen")?;
+        let proxy = Proxy::start(listed, address).wrap_err("failed to start a proxy")?;
         let engine = self.standin.add_runner(address, engine);
         self.runners.push(Runner { engine, proxy, restarts: 0, name: name.into() });
         Ok(machine)
@@ -177,10 +178,10 @@
 
     fn spawn(&self, machine: IpAddr, number: usize, role: &str) -> eyre::Result<Process> {
         let loopback = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0);
-        let store = Proxy::start(loopback, self.standin.store)?;
-        let address = store.address;
+        let store_proxy = Proxy::start(loopback, self.standin.store)?;
+        let address = store_proxy.address;
         let (hall, region) = HALL_NAMES[number % HALLS];
-        let settings = self.folder.join(format!("{machine}.ini"));
+        let settings = self.directory.join(format!("{machine}.ini"));
         let text = format!(
             "[node]\nname = m-{machine}\nregion = {region}\nhall = {hall}\n\
              halls = a=north,b=south\naddress = {machine}\n\
@@ -191,13 +192,13 @@
              repeat_allowance = 200\nevacuate_ms = 2500\ncold_overrun = 1.5\ncold_slack = 5\n"
         );
         fs::write(&settings, text)?;
-        let log = self.folder.join(format!("{machine}.log"));
+        let log = self.directory.join(format!("{machine}.log"));
         let build = self.programs.len() - 1;
-        let child = start(&self.programs[build], &settings, &log)?;
-        Ok(Process { machine, settings, log, child, build, life: 0, store })
+        let child = start_process(&self.programs[build], &settings, &log)?;
+        Ok(Process { machine, settings, log, child, build, restarts: 0, store_proxy })
     }
 
-    /// Ends every process that runs.
+    /// Kills all processes.
     pub fn stop(&mut self) {
         for process in self.gateways.iter_mut().chain(&mut self.sidecars) {
             let _ = process.child.kill();
@@ -205,7 +206,7 @@
         }
     }
 
-    /// The programs that processes run: the one that is tested, then an earlier one if there is one.
+    /// The programs that processes run: the tested one, then the earlier one if there is one.
     pub fn programs(&self) -> &[PathBuf] {
         &self.programs
     }
@@ -218,48 +219,48 @@
 }
 
 impl Process {
-    /// Sends a signal to it, by its id.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = Pid::from_raw(self.child.id() as i32) {
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Changes a bound in its settings file, to another value each time.
+    /// Changes a bound in the settings file of the process, to a different value each time.
     pub fn rewrite_settings(&self) -> eyre::Result<()> {
         let text = fs::read_to_string(&self.settings)?;
-        let old = text.contains("version_ms = 8000");
-        let (from, to) = if old { ("8000", "7900") } else { ("7900", "8000") };
+        let is_original = text.contains("version_ms = 8000");
+        let (from, to) = if is_original { ("8000", "7900") } else { ("7900", "8000") };
         let text = text.replace(&format!("version_ms = {from}"), &format!("version_ms = {to}"));
         Ok(fs::write(&self.settings, text)?)
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Turns to the other build from its next start on, where there are two.
-    pub fn change_build(&mut self) {
+    /// Selects the other build for the next start. Without a second build `restart` runs the only one again.
+    pub fn switch_build(&mut self) {
         self.build = 1 - self.build;
     }
 
-    /// Whether it runs an earlier build.
-    pub fn is_old(&self) -> bool {
+    /// Whether the process runs the earlier build.
+    pub fn runs_old_build(&self) -> bool {
         self.build > 0
     }
 
-    /// Starts it anew after it has ended.
+    /// Starts the process again after it has ended.
     pub fn restart(&mut self, programs: &[PathBuf]) -> eyre::Result<()> {
         let _ = self.child.wait();
         self.build = self.build.min(programs.len() - 1);
-        self.child = start(&programs[self.build], &self.settings, &self.log)?;
-        self.life += 1;
+        self.child = start_process(&programs[self.build], &self.settings, &self.log)?;
+        self.restarts += 1;
         Ok(())
     }
 }
 
-/// The data hall of the process or runner of a number.
+/// Name of the data hall of the process or runner with this number.
 pub fn hall_name(number: usize) -> &'static str {
     HALL_NAMES[number % HALLS].0
 }
@@ -269,8 +270,9 @@
     HALL_NAMES[hall % HALLS].1
 }
 
-/// Gives routes and workspaces homes, a route that is always bound, and runners that start cold.
-fn add_terms(configuration: &mut Value) {
+/// Extends the configuration by home regions of routes and workspaces, a route that is always bound to a
+/// region, and a plain service whose runners start cold.
+fn extend_configuration(configuration: &mut Value) {
     let mut bound = configuration["routes"][1].clone();
     bound["name"] = json!("bound");
     bound["pathPrefix"] = json!("/bound/");
@@ -282,30 +284,30 @@
     }
     configuration["routes"][3]["homeRegions"] = json!([HALL_NAMES[0].1]);
     configuration["services"][1]["coldStartS"] = json!(COLD_START.as_secs_f64());
-    configuration["services"][1]["coldPerS"] = json!(COLD_PER_S);
+    configuration["services"][1]["coldPerS"] = json!(COLD_REQUESTS_PER_S);
 }
 
-/// A network of loopback on which no other soak runs, and no process is left of one that was ended.
+/// Finds a loopback network that no other soak run uses and that no process left over from a killed run uses.
 fn free_network(seed: u64) -> eyre::Result<u8> {
-    let first = (seed % u64::from(NETWORKS)) as u8;
-    let networks = (0..NETWORKS).map(|it| FIRST_NETWORK + (first + it) % NETWORKS);
+    let first = (seed % u64::from(NETWORK_COUNT)) as u8;
+    let networks = (0..NETWORK_COUNT).map(|it| FIRST_NETWORK + (first + it) % NETWORK_COUNT);
     let is_free = |network: &u8| {
         let address = Ipv4Addr::new(127, 78, *network, 1);
-        let is_unheard = UdpSocket::bind((address, DATAGRAM_PORT)).is_ok();
-        is_unheard && TcpListener::bind((address, RUNNER_PORT)).is_ok()
+        let is_datagram_port_free = UdpSocket::bind((address, DATAGRAM_PORT)).is_ok();
+        is_datagram_port_free && TcpListener::bind((address, RUNNER_PORT)).is_ok()
     };
     let free = networks.into_iter().find(is_free);
-    free.ok_or_else(|| eyre::eyre!("every network of loopback is taken"))
+    free.ok_or_else(|| eyre::eyre!("all loopback networks are in use"))
 }
 
-fn start(program: &Path, settings: &Path, log: &Path) -> eyre::Result<Child> {
+fn start_process(program: &Path, settings: &Path, log: &Path) -> eyre::Result<Child> {
     let log: File = OpenOptions::new().create(true).append(true).open(log)?;
     let child = Command::new(program).arg(settings).stdin(Stdio::null()).stdout(log).spawn();
-    child.wrap_err_with(|| format!("{} cannot be started", program.display()))
+    child.wrap_err_with(|| format!("failed to start {}", program.display()))
 }
 
-/// The daemon, built beside this example.
-fn built_beside() -> eyre::Result<PathBuf> {
+/// Path of the daemon built next to this example.
+fn default_program() -> eyre::Result<PathBuf> {
     let example = std::env::current_exe()?;
     let build = example.parent().and_then(Path::parent).unwrap_or(Path::new("."));
     let program = build.join("silverdockd");
--- a/examples/soak/history.rs
+++ b/examples/soak/history.rs
@@ -1,42 +1,42 @@
-//! What happened in a run: what callers saw, what runners ran, and what was done to whom.
+//! The history of a run: what callers received, what runners ran, and which faults were injected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A moment of the run, from its start.
+/// A point in time, measured from the start of the run.
 pub type Moment = Duration;
 
-/// What a request was for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A stream that may be resumed.
     Stream,
-    /// A stream under which each runner crashes that begins it, by its number.
+    /// A stream that crashes each runner that starts it, with its number.
     Crash(u64),
     /// A plain request that may be repeated.
     Safe,
-    /// A plain request that may not.
+    /// A plain request that may not be repeated.
     Unsafe,
-    /// A plain request that may be repeated, on the route that is bound to one region throughout.
+    /// A plain request that may be repeated, on the route that is bound to one region during the whole run.
     Bound,
-    /// A request on the route that one version of the configuration added and the next one drops.
+    /// A request on the route that this version of the configuration added and the next one removes.
     Probe(u64),
 }
 
-/// What a caller got.
+/// The outcome of a request at its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// No connection came up, so nothing was sent.
+pub enum Outcome {
+    /// The caller could not connect, so nothing was sent.
     NoConnection,
-    /// The connection ended, or nothing came any more, before the head of an answer.
+    /// The connection was closed or the wait timed out before the head of an answer.
     Lost,
     /// An answer.
     Answer {
-        /// Its status.
+        /// Status code.
         status: u16,
-        /// Whether its body came whole.
+        /// Whether the body was received completely.
         whole: bool,
-        /// Its body.
+        /// The body without padding.
         body: String,
     },
 }
@@ -44,214 +44,215 @@
 /// One request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// What it was for.
+    /// Kind of the request.
     pub kind: Kind,
-    /// The gateway, and which of its processes, counted from zero.
+    /// Number of the gateway, and number of restarts of its process.
     pub gateway: (usize, u32),
-    /// When it was sent and when it had ended.
+    /// When the request was sent.
     pub sent: Moment,
-    /// When it had ended.
+    /// When the request ended.
     pub ended: Moment,
-    /// What the caller got.
-    pub seen: Seen,
-    /// What the answer said of its runner, if it said that the runner leaves.
-    pub told: Option<Told>,
-    /// The rate limit that the runner named in the answer, if it named one.
-    pub limit: Option<NamedLimit>,
+    /// The outcome.
+    pub outcome: Outcome,
+    /// The notice in the answer that its runner leaves, if it had one.
+    pub leave_notice: Option<LeaveNotice>,
+    /// The rate limit that the runner stated in the answer, if any.
+    pub limit: Option<LimitNotice>,
 }
 
-/// An answer that a gateway handed on said that its runner leaves.
+/// A notice in an answer forwarded by a gateway that the runner leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
-    /// The runner.
+pub struct LeaveNotice {
+    /// Id of the runner.
     pub runner: String,
-    /// Which of its lives.
+    /// Incarnation of the runner.
     pub life: u64,
-    /// When the head of the answer came.
+    /// When the head of the answer was received.
     pub at: Moment,
 }
 
-/// A runner named a rate limit: in an answer that a gateway handed on, or while a request reached it.
+/// A rate limit stated by a runner: in an answer that a gateway forwarded, or at the time that a request
+/// reached the runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NamedLimit {
-    /// The runner.
+pub struct LimitNotice {
+    /// Id of the runner.
     pub runner: String,
-    /// Which of its lives.
+    /// Incarnation of the runner.
     pub life: u64,
-    /// The limit, as the runner names it.
+    /// The text of the limit.
     pub limit: String,
-    /// When that was.
+    /// Time of the event.
     pub at: Moment,
 }
 
-/// A runner turned a request away and asked for rest.
+/// A request that a runner rejected with a rest period.
 #[derive(Clone, Debug)]
 pub struct TurnedAway {
-    /// The runner.
+    /// Id of the runner.
     pub runner: String,
-    /// Which of its lives.
+    /// Incarnation of the runner.
     pub life: u64,
     /// The request.
     pub request: String,
-    /// When that was.
+    /// Time of the event.
     pub at: Moment,
-    /// How long it wants nothing from the gateway that sent the request.
+    /// Rest period during which the gateway that sent the request must send nothing more.
     pub rest: Duration,
 }
 
 /// One run of a request at a runner.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The runner.
+    /// Id of the runner.
     pub runner: String,
-    /// Which of its lives.
+    /// Incarnation of the runner.
     pub life: u64,
-    /// Its service.
+    /// The service of the runner.
     pub service: String,
-    /// Whose request it was told to be.
+    /// The workspace named in the request.
     pub tenant: Option<String>,
-    /// The version of the runner's weights. Zero where it has none.
+    /// Version of the runner's weights, or zero without weights.
     pub version: u64,
-    /// Whether it was given the caller's key.
+    /// Whether the request carried the caller's key.
     pub saw_key: bool,
     /// The data hall of the runner.
     pub hall: String,
-    /// When it began.
+    /// When the run began.
     pub at: Moment,
 }
 
-/// Whom something was done to.
+/// The target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
-    /// A gateway's process, or its way to the store.
+    /// A gateway process, or its link to the store.
     Gateway(usize),
-    /// A runner, its sidecar or the way to them.
+    /// A runner, its sidecar, or the links to them.
     Runner(usize),
     /// The store.
     Store,
-    /// The store, which only takes longer than usual for each call.
+    /// The store, while it is only slower than usual.
     SlowStore,
 }
 
-/// Something that was done.
+/// The disruption of a target.
 #[derive(Clone, Debug)]
-pub struct Harmed {
-    /// Whom.
+pub struct Disruption {
+    /// The target.
     pub target: Target,
-    /// From when.
+    /// Beginning of the disruption.
     pub from: Moment,
-    /// Until when.
+    /// End of the disruption.
     pub until: Moment,
 }
 
-/// A planned stop of a gateway's process, or one that stood still.
+/// A planned stop or a pause of a gateway process.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     /// The gateway.
     pub gateway: usize,
-    /// When that was.
+    /// Time of the event.
     pub at: Moment,
 }
 
-/// A runner said that it leaves.
+/// The leave of a runner.
 #[derive(Clone, Debug)]
 pub struct Leaving {
-    /// The runner, by its incarnation.
+    /// Id of the runner.
     pub runner: String,
-    /// When the store took that in.
+    /// When the store had recorded the leave.
     pub at: Moment,
-    /// When it said that it stays, if it did.
+    /// When the leave ended, if it did.
     pub until: Option<Moment>,
 }
 
-/// A version of the configuration, whose number its own route bears.
+/// A version of the configuration. Its own route has the version in its name.
 #[derive(Clone, Copy, Debug)]
-pub struct Configured {
+pub struct ConfigurationChange {
     /// The version.
     pub version: u64,
     /// When it was sent to the store.
     pub sent: Moment,
-    /// When the store had taken it.
+    /// When the store had recorded it.
     pub taken: Moment,
 }
 
-/// A version of the weights that was named.
+/// A target version of the weights.
 #[derive(Clone, Copy, Debug)]
-pub struct Named {
+pub struct TargetVersion {
     /// The version.
     pub version: u64,
-    /// When the store had taken it.
+    /// When the store had recorded it.
     pub taken: Moment,
 }
 
-/// The homes of the streams, as a configuration has them.
+/// The home regions of the streams in a configuration.
 #[derive(Clone, Debug)]
-pub struct Homes {
+pub struct StreamHomes {
     /// The only data hall in the home regions. `None` where the streams are not bound.
     pub hall: Option<String>,
     /// When the configuration was sent to the store.
     pub sent: Moment,
-    /// When the store had taken it.
+    /// When the store had recorded it.
     pub taken: Moment,
 }
 
-/// A data hall that was evacuated.
+/// The evacuation of a data hall.
 #[derive(Clone, Debug)]
-pub struct Evacuated {
+pub struct Evacuation {
     /// The hall.
     pub hall: String,
-    /// When the store had taken that.
+    /// When the store had recorded the evacuation.
     pub at: Moment,
-    /// When it was about to be taken back, if it was.
+    /// When the evacuation was about to be ended, if it was.
     pub until: Option<Moment>,
 }
 
-/// A runner that started cold.
+/// A cold start of a runner.
 #[derive(Clone, Debug)]
 pub struct Cold {
-    /// The runner, by its incarnation.
+    /// Id of the runner.
     pub runner: String,
-    /// When it started.
+    /// When the runner started.
     pub from: Moment,
-    /// Until when it is cold.
+    /// When the runner stops being cold.
     pub until: Moment,
 }
 
-/// Everything.
+/// The complete history of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Requests, in the order in which they ended.
     pub requests: Vec<Request>,
-    /// Runs by request.
+    /// Runs, by the id of the request.
     pub runs: BTreeMap<String, Vec<Run>>,
-    /// What was done to whom.
-    pub harmed: Vec<Harmed>,
-    /// Planned stops.
+    /// Disruptions by injected faults.
+    pub disruptions: Vec<Disruption>,
+    /// Planned stops of gateways.
     pub stops: Vec<Stop>,
-    /// Gateways that stood still, and when that began.
+    /// Pauses of gateways.
     pub pauses: Vec<Stop>,
-    /// Processes of gateways that ran an earlier build, as requests name them.
-    pub old: BTreeSet<(usize, u32)>,
-    /// Requests that runners turned away for a time.
+    /// Gateway processes that ran an earlier build, as in `Request::gateway`.
+    pub old_builds: BTreeSet<(usize, u32)>,
+    /// Requests that runners rejected with a rest period.
     pub turned_away: Vec<TurnedAway>,
-    /// Requests that reached runners while they named a rate limit, each with the request's id.
-    pub limited: Vec<(String, NamedLimit)>,
-    /// Runners that left.
+    /// Requests that reached runners while they stated a rate limit, each with the id of the request.
+    pub limited_requests: Vec<(String, LimitNotice)>,
+    /// Leaves of runners.
     pub leaving: Vec<Leaving>,
     /// Versions of the configuration, oldest first.
-    pub configured: Vec<Configured>,
-    /// Versions of the weights, oldest first.
-    pub named: Vec<Named>,
-    /// The homes of the streams, oldest first.
-    pub homes: Vec<Homes>,
-    /// Data halls that were evacuated.
-    pub evacuated: Vec<Evacuated>,
-    /// Runners that started cold.
+    pub configuration_changes: Vec<ConfigurationChange>,
+    /// Target versions of the weights, oldest first.
+    pub target_versions: Vec<TargetVersion>,
+    /// Home regions of the streams, oldest first.
+    pub homes: Vec<StreamHomes>,
+    /// Evacuations of data halls.
+    pub evacuations: Vec<Evacuation>,
+    /// Cold starts of runners.
     pub cold: Vec<Cold>,
-    /// Runners that took weights which were not whole or of one version.
-    pub mixtures: Vec<String>,
-    /// When the last fault had ended.
-    pub calm_from: Moment,
+    /// Runners that loaded weights that were incomplete or mixed from several versions.
+    pub mixed_weights: Vec<String>,
+    /// When the last fault ended.
+    pub faults_ended_at: Moment,
 }
--- a/examples/soak/main.rs
+++ b/examples/soak/main.rs
@@ -1,11 +1,12 @@
-//! A randomized soak: the real programs as processes, harmed from outside, their promises checked.
+//! A randomized soak test: it runs the real programs as processes, injects faults from outside and checks the
+//! guarantees.
 //!
 //! `cargo build --release -p silverdockd && cargo run --release --example soak -- --seed 7`
 
 mod args;
 mod callers;
 mod checker;
-mod conductor;
+mod fault_injector;
 mod faults;
 mod fleet;
 mod history;
--- a/examples/soak/proxy.rs
+++ b/examples/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that can harm the connections through it.
+//! A TCP proxy on loopback that can inject faults into the connections through it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,54 +12,54 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use rand::Rng;
 
-/// How often a silenced connection looks whether it may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(15);
-/// The part of the pieces that a lossy way loses, and when they are sent again, in milliseconds.
-const LOSS: f64 = 1.0 / 12.0;
+/// Interval at which a silenced connection checks whether it may continue.
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// Share of pieces that a lossy link loses, and the delay until they are sent again, in milliseconds.
+const LOSS_SHARE: f64 = 1.0 / 12.0;
 const RETRANSMISSION_MS: u64 = 210;
-/// Bytes that are passed on at once.
-const BUFFER: usize = 16 * 1024;
+/// Maximum number of bytes that are forwarded at once.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a proxy does to its connections.
+/// The fault that a proxy applies to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum LinkFault {
+    /// No fault.
     #[default]
     None,
-    /// Everything comes later by so many milliseconds.
+    /// All pieces are delayed by this many milliseconds.
     Delay(u64),
-    /// Each piece comes later by up to so many milliseconds.
+    /// Each piece is delayed by up to this many milliseconds.
     Jitter(u64),
-    /// One piece in twelve is lost and sent again after as long as a first retransmission takes.
+    /// One piece in twelve is lost and sent again after the time of a first retransmission.
     Lossy,
-    /// Nothing passes, and nobody is told.
+    /// No bytes pass, and neither end gets an error.
     Silence,
-    /// Nothing passes from the server to the client.
+    /// No bytes pass from the server to the client.
     OneWay,
     /// Connections are reset.
     Reset,
 }
 
-/// What connections look at before they pass bytes on.
+/// The state that connections check before they forward bytes.
 #[derive(Default)]
 struct State {
-    harm: Harm,
-    /// Connections so far.
+    fault: LinkFault,
+    /// Number of connections accepted so far.
     connections: u64,
-    /// Connections with smaller numbers have gone silent for good.
+    /// Connections with smaller numbers are silent permanently.
     silent_below: u64,
 }
 
-/// A running proxy. It lives until the process ends.
+/// A running proxy. It runs until the process ends.
 #[derive(Clone)]
 pub struct Proxy {
     state: Arc<Mutex<State>>,
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
 }
 
 impl Proxy {
-    /// Listens at an address and passes connections on to a server.
+    /// Listens on an address and forwards connections to a server.
     pub fn start(listen: SocketAddr, server: SocketAddr) -> std::io::Result<Self> {
         let listener = std::net::TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
@@ -73,13 +73,13 @@
         Ok(Self { state, address })
     }
 
-    /// Harms its connections from now on.
-    pub fn set(&self, harm: Harm) {
-        self.state.lock().expect("never poisoned").harm = harm;
+    /// Sets the fault that applies to all connections from now on.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.state.lock().expect("never poisoned").fault = fault;
     }
 
-    /// Lets the connections that are open go silent for good. Nobody is told, and new ones work.
-    pub fn silence_open(&self) {
+    /// Silences the open connections permanently without an error at either end. New connections work.
+    pub fn silence_open_connections(&self) {
         let mut state = self.state.lock().expect("never poisoned");
         state.silent_below = state.connections;
     }
@@ -94,18 +94,18 @@
     let listener = TcpListener::try_from(listener)?;
     loop {
         let (client, _) = listener.accept().await?;
-        let way = Way::new(state.clone());
-        executor.spawn(async move { pass(client, server, &way).await }).detach();
+        let connection = ProxiedConnection::new(state.clone());
+        executor.spawn(async move { forward(client, server, &connection).await }).detach();
     }
 }
 
-/// The way of one connection through a proxy.
-struct Way {
+/// One connection through a proxy.
+struct ProxiedConnection {
     state: Arc<Mutex<State>>,
     number: u64,
 }
 
-impl Way {
+impl ProxiedConnection {
     fn new(state: Arc<Mutex<State>>) -> Self {
         let number = {
             let mut state = state.lock().expect("never poisoned");
@@ -115,69 +115,80 @@
         Self { state, number }
     }
 
-    fn harm(&self) -> Harm {
-        self.state.lock().expect("never poisoned").harm
+    fn fault(&self) -> LinkFault {
+        self.state.lock().expect("never poisoned").fault
     }
 
-    /// Whether the connection has gone silent for good.
-    fn is_dead(&self) -> bool {
+    /// Whether the connection is silent permanently.
+    fn is_silenced(&self) -> bool {
         self.number < self.state.lock().expect("never poisoned").silent_below
     }
 
-    /// Waits until bytes may pass in a direction that `silenced_by` stops, and gives what is done to them.
-    async fn open(&self, silenced_by: Harm) -> Harm {
+    /// Waits until bytes may pass in a direction that `silenced_by` stops, and returns the fault that then
+    /// applies to them.
+    async fn wait_until_open(&self, silenced_by: LinkFault) -> LinkFault {
         loop {
-            let harm = self.harm();
-            let is_silent = harm == Harm::Silence || harm == silenced_by;
-            if !is_silent && !self.is_dead() {
-                return harm;
+            let fault = self.fault();
+            let is_silent = fault == LinkFault::Silence || fault == silenced_by;
+            if !is_silent && !self.is_silenced() {
+                return fault;
             }
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn pass(client: TcpStream, server: SocketAddr, way: &Way) {
+async fn forward(client: TcpStream, server: SocketAddr, connection: &ProxiedConnection) {
     let Ok(server) = TcpStream::connect(server).await else {
         return;
     };
-    let up = copy(client.clone(), server.clone(), way, Harm::Silence);
-    let down = copy(server.clone(), client.clone(), way, Harm::OneWay);
-    // A reset ends both directions; the end of one direction leaves the other.
-    let both = future::zip(up, down);
-    let ((), ()) = future::or(both, reset(way)).await;
+    let to_server = forward_bytes(client.clone(), server.clone(), connection, LinkFault::Silence);
+    let to_client = forward_bytes(server.clone(), client.clone(), connection, LinkFault::OneWay);
+    // A reset ends both directions; the end of one direction does not end the other.
+    let both = future::zip(to_server, to_client);
+    let ((), ()) = future::or(both, wait_for_reset(connection)).await;
     for stream in [&client, &server] {
-        if way.harm() == Harm::Reset {
+        if connection.fault() == LinkFault::Reset {
             let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
         }
     }
 }
 
-/// Ends when connections are to be reset.
-async fn reset(way: &Way) -> ((), ()) {
-    while way.harm() != Harm::Reset {
-        Timer::after(LOOK_EVERY).await;
+/// Returns when connections are to be reset.
+async fn wait_for_reset(connection: &ProxiedConnection) -> ((), ()) {
+    while connection.fault() != LinkFault::Reset {
+        Timer::after(POLL_INTERVAL).await;
     }
     ((), ())
 }
 
-/// How much later a piece comes that passes now.
-fn delay(harm: Harm) -> Option<Duration> {
-    let millis = match harm {
-        Harm::Delay(millis) => millis,
-        Harm::Jitter(longest) => rand::rng().random_range(0..=longest),
-        Harm::Lossy if rand::rng().random_bool(LOSS) => RETRANSMISSION_MS,
-        Harm::None | Harm::Lossy | Harm::Silence | Harm::OneWay | Harm::Reset => return None,
+/// Returns the delay of the next piece.
+fn piece_delay(fault: LinkFault) -> Option<Duration> {
+    let millis = match fault {
+        LinkFault::Delay(millis) => millis,
+        LinkFault::Jitter(longest) => rand::rng().random_range(0..=longest),
+        LinkFault::Lossy if rand::rng().random_bool(LOSS_SHARE) => RETRANSMISSION_MS,
+        LinkFault::None
+        | LinkFault::Lossy
+        | LinkFault::Silence
+        | LinkFault::OneWay
+        | LinkFault::Reset => return None,
     };
     Some(Duration::from_millis(millis))
 }
 
-/// Passes bytes on. `silenced_by` stops this direction, as does silence of both.
-async fn copy(mut from: TcpStream, mut to: TcpStream, way: &Way, silenced_by: Harm) {
-    let mut buffer = [0; BUFFER];
+/// Forwards bytes in one direction. `silenced_by` is the fault that stops only this direction; `Silence` stops
+/// both.
+async fn forward_bytes(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    connection: &ProxiedConnection,
+    silenced_by: LinkFault,
+) {
+    let mut buffer = [0; BUFFER_BYTES];
     loop {
         let length = from.read(&mut buffer).await.unwrap_or(0);
-        if let Some(delay) = delay(way.open(silenced_by).await) {
+        if let Some(delay) = piece_delay(connection.wait_until_open(silenced_by).await) {
             Timer::after(delay).await;
         }
         if length == 0 {
--- a/examples/soak/run.rs
+++ b/examples/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run under one seed.
+//! Runs one seed.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -11,31 +11,32 @@
 use crate::args::Args;
 use crate::callers::{self, Shared};
 use crate::checker::{check, Violation};
-use crate::conductor::Conductor;
-use crate::faults::{plan, Sizes, KINDS};
+use crate::fault_injector::FaultInjector;
+use crate::faults::{plan, Sizes, FAULT_KINDS};
 use crate::fleet::Fleet;
-use crate::history::{History, Leaving, NamedLimit, Run, TurnedAway};
+use crate::history::{History, Leaving, LimitNotice, Run, TurnedAway};
 
-/// How long the fleet has to get ready.
+/// How long the fleet runs before callers and faults start.
 const WARM_UP: Duration = Duration::from_millis(1500);
-/// How long callers go on after the last fault: the bound of recovery and some time to see it.
-const CALM: Duration = Duration::from_millis(15_000);
+/// How long callers go on after the last fault: the bound of recovery, and some time in which it is checked.
+const RECOVERY_TIME: Duration = Duration::from_millis(15_000);
 
-/// What became of a run.
+/// The result of a run.
 pub struct Report {
     seed: u64,
     requests: usize,
     whole: usize,
     faults: usize,
-    /// The promises that were broken.
+    /// The violations of guarantees.
     pub violations: Vec<Violation>,
     replay: String,
 }
 
 impl Report {
-    /// Prints it.
+    /// Prints the report.
     pub fn print(&self, as_json: bool) {
-        let violations: Vec<_> = self.violations.iter().map(|it| (it.promise, &it.seen)).collect();
+        let violations: Vec<_> =
+            self.violations.iter().map(|it| (it.guarantee, &it.details)).collect();
         if as_json {
             let line = json!({
                 "seed": self.seed, "requests": self.requests, "whole": self.whole,
@@ -49,8 +50,8 @@
             "seed {seed}: {faults} faults, {requests} requests, {whole} answered whole, {} broken",
             violations.len()
         );
-        for (promise, seen) in violations.iter().take(5) {
-            println!("  broken: {promise}\n    {seen}");
+        for (guarantee, details) in violations.iter().take(5) {
+            println!("  broken: {guarantee}\n    {details}");
         }
         if !violations.is_empty() {
             println!("  again with: {replay}");
@@ -58,7 +59,7 @@
     }
 }
 
-/// Plays a run and checks it.
+/// Runs one seed and checks its history.
 pub fn run(args: &Args, seed: u64) -> eyre::Result<Report> {
     let mut fleet = Fleet::start(args.processes, seed, args.program.clone(), args.old.clone())?;
     thread::sleep(WARM_UP);
@@ -68,41 +69,41 @@
         runners: fleet.runners.len(),
     };
     let kinds: Vec<&str> = match args.faults.as_str() {
-        "" => KINDS.to_vec(),
+        "" => FAULT_KINDS.to_vec(),
         text => text.split(',').collect(),
     };
     let span = Duration::from_secs(args.seconds);
     let planned = plan(seed, span, sizes, &kinds);
     let addresses = (0..fleet.gateways.len()).map(|it| fleet.callers_address(it));
     let shared = Shared {
-        begun: Instant::now(),
+        start: Instant::now(),
         gateways: Arc::new(addresses.map(|it| (it, AtomicU64::new(0))).collect()),
         configuration: Arc::default(),
-        crashing: Arc::default(),
-        over: Arc::new(AtomicBool::new(false)),
+        crash_request: Arc::default(),
+        stopped: Arc::new(AtomicBool::new(false)),
         requests: Arc::new(Mutex::new(Vec::new())),
     };
-    let calling = {
+    let caller_thread = {
         let (shared, count) = (shared.clone(), args.callers);
         thread::spawn(move || callers::run(&shared, count, seed))
     };
-    let mut conductor = Conductor::new(&mut fleet, shared.clone());
-    conductor.note_builds();
-    conductor.play(&planned)?;
-    let mut history = conductor.history;
-    thread::sleep(CALM);
-    shared.over.store(true, Ordering::Relaxed);
-    calling.join().map_err(|_| eyre::eyre!("the callers ended badly"))?;
+    let mut fault_injector = FaultInjector::new(&mut fleet, shared.clone());
+    fault_injector.record_old_builds();
+    fault_injector.run_plan(&planned)?;
+    let mut history = fault_injector.history;
+    thread::sleep(RECOVERY_TIME);
+    shared.stopped.store(true, Ordering::Relaxed);
+    caller_thread.join().map_err(|_| eyre::eyre!("the thread of the callers panicked"))?;
     fleet.stop();
-    complete(&mut history, &fleet, &shared);
+    collect_observations(&mut history, &fleet, &shared);
     let violations = check(&history);
     if violations.is_empty() {
-        std::fs::remove_dir_all(&fleet.folder).wrap_err("the logs cannot be removed")?;
+        std::fs::remove_dir_all(&fleet.directory).wrap_err("failed to remove the logs")?;
     } else {
         keep_logs(&fleet, &args.keep, seed)?;
     }
     let whole = history.requests.iter().filter(|it| {
-        matches!(it.seen, crate::history::Seen::Answer { status: 200, whole: true, .. })
+        matches!(it.outcome, crate::history::Outcome::Answer { status: 200, whole: true, .. })
     });
     Ok(Report {
         seed,
@@ -121,12 +122,12 @@
     })
 }
 
-/// Takes in what callers and runners saw.
-fn complete(history: &mut History, fleet: &Fleet, shared: &Shared) {
+/// Adds what callers and runners observed to the history.
+fn collect_observations(history: &mut History, fleet: &Fleet, shared: &Shared) {
     history.requests = shared.requests.lock().expect("never poisoned").clone();
     for (request, runs) in fleet.standin.all_runs() {
         let runs = runs.into_iter().map(|run| Run {
-            at: run.at.saturating_duration_since(shared.begun),
+            at: run.at.saturating_duration_since(shared.start),
             runner: run.runner,
             life: run.life,
             service: run.service,
@@ -137,7 +138,7 @@
         });
         history.runs.insert(request, runs.collect());
     }
-    let moment = |at: Instant| at.saturating_duration_since(shared.begun);
+    let moment = |at: Instant| at.saturating_duration_since(shared.start);
     history.leaving.extend(fleet.standin.foreign_entries().into_iter().map(|it| Leaving {
         runner: it.runner,
         at: moment(it.from),
@@ -155,29 +156,29 @@
             rest: it.rest,
         })
         .collect();
-    history.limited = fleet
+    history.limited_requests = fleet
         .standin
         .limited_arrivals()
         .into_iter()
         .map(|it| {
             let (runner, life, limit, at) = (it.runner, it.life, it.limit, moment(it.at));
-            (it.request, NamedLimit { runner, life, limit, at })
+            (it.request, LimitNotice { runner, life, limit, at })
         })
         .collect();
     for runner in &fleet.runners {
         let engine = fleet.standin.runner(runner.engine);
         if engine.is_some_and(|it| it.took_mixture) {
-            history.mixtures.push(runner.id());
+            history.mixed_weights.push(runner.id());
         }
     }
 }
 
 fn keep_logs(fleet: &Fleet, keep: &str, seed: u64) -> eyre::Result<()> {
-    let folder = std::path::Path::new(keep).join(format!("seed-{seed}"));
-    std::fs::create_dir_all(&folder)?;
-    for file in std::fs::read_dir(&fleet.folder)? {
+    let directory = std::path::Path::new(keep).join(format!("seed-{seed}"));
+    std::fs::create_dir_all(&directory)?;
+    for file in std::fs::read_dir(&fleet.directory)? {
         let file = file?;
-        std::fs::copy(file.path(), folder.join(file.file_name()))?;
+        std::fs::copy(file.path(), directory.join(file.file_name()))?;
     }
     Ok(())
 }
