--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs daemons as processes against stand-ins in the test's own process.
+//! Runs daemons as processes, with stand-ins of the platform and the engines in the test process.
 
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -18,88 +18,89 @@
 use rustix::process::{kill_process, Pid, Signal};
 use standins::{Engine, EngineOptions, PlatformOptions, PlatformStandIn};
 
-/// The operators' token of these tests.
-pub const TOKEN: &str = "token-of-the-process-tests";
-const KEY: &str = "key-of-the-process-tests";
-/// Where daemons listen for each other on their machines. All ports lie below the range that the system hands out by
-/// itself.
+/// Operator token of these tests.
+pub const OPERATOR_TOKEN: &str = "token-of-the-process-tests";
+const CLUSTER_KEY: &str = "key-of-the-process-tests";
+/// Port of daemons for messages of other daemons. All ports lie below the range that the system assigns
+/// automatically.
 const DAEMONS_PORT: u16 = 7101;
-/// Where daemons listen for operators.
+/// Port of daemons for operators.
 const OPERATORS_PORT: u16 = 7102;
-/// Where entries listen for callers.
+/// Port of entries for callers.
 const CALLERS_PORT: u16 = 7103;
-/// Where agents listen for weights.
+/// Port of agents for weights.
 const WEIGHTS_PORT: u16 = 7104;
-/// The networks of loopback that stages take, so that several can run at the same time.
+/// Loopback networks for clusters, so that several can run at the same time.
 const NETWORKS: std::ops::Range<u8> = 1..250;
-/// The machine and the port by which a stage holds its network.
-const HOLDER: (u8, u16) = (254, 7999);
-/// How long anything may take before a test is given up as hung.
-pub const HANG: Duration = Duration::from_secs(60);
+/// Machine and port of the socket that reserves a network.
+const NETWORK_LOCK: (u8, u16) = (254, 7999);
+/// Timeout of any single wait; a test that exceeds it fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The platform, a folder for settings, and a network of loopback with a machine for each daemon.
-pub struct Stage {
+/// The platform, a directory for settings, and a loopback network with an address for each daemon.
+pub struct TestCluster {
     pub platform: PlatformStandIn,
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     tasks: Tasks,
     network: u8,
-    holder: TcpListener,
-    machines: AtomicU8,
+    network_lock: TcpListener,
+    machine_count: AtomicU8,
 }
 
-/// A daemon as a process. It is ended with the test.
+/// A daemon process, which is killed at the end of the test.
 pub struct Daemon {
     pub child: Child,
     pub operators: SocketAddr,
     pub callers: SocketAddr,
-    /// The engine beside an agent.
+    /// The engine of an agent.
     pub engine: Option<Arc<Engine>>,
     name: String,
     log: PathBuf,
 }
 
-impl Stage {
-    /// Starts the platform. `name` keeps the tests' folders apart.
+impl TestCluster {
+    /// Starts the platform. `name` distinguishes the directories of the tests.
     pub fn new(name: &str) -> Self {
         let executor = Arc::new(Executor::new());
         Lab::run_threads(&executor);
         let tasks = Tasks::new(&executor);
         let options = PlatformOptions { origin_bytes_per_s: 64 << 20 };
         let platform = async_io::block_on(PlatformStandIn::start(&tasks, options)).unwrap();
-        let folder = std::env::temp_dir().join(format!("silverdock-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("key"), KEY).unwrap();
-        std::fs::write(folder.join("token"), TOKEN).unwrap();
-        let (network, holder) = take_network();
-        Self { platform, folder, tasks, network, holder, machines: AtomicU8::new(0) }
+        let directory =
+            std::env::temp_dir().join(format!("silverdock-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).unwrap();
+        std::fs::write(directory.join("key"), CLUSTER_KEY).unwrap();
+        std::fs::write(directory.join("token"), OPERATOR_TOKEN).unwrap();
+        let (network, network_lock) = reserve_network();
+        Self { platform, directory, tasks, network, network_lock, machine_count: AtomicU8::new(0) }
     }
 
-    /// The address of the next machine.
-    fn machine(&self) -> IpAddr {
-        let machine = self.machines.fetch_add(1, Ordering::Relaxed) + 1;
-        assert!(machine < HOLDER.0, "a stage has no more machines");
+    /// Returns the address of a new machine.
+    fn new_machine(&self) -> IpAddr {
+        let machine = self.machine_count.fetch_add(1, Ordering::Relaxed) + 1;
+        assert!(machine < NETWORK_LOCK.0, "the network has no more addresses");
         network_address(self.network, machine).into()
     }
 
     /// Starts an entry.
     pub fn entry(&self, name: &str) -> Daemon {
-        let machine = self.machine();
+        let machine = self.new_machine();
         let callers = SocketAddr::new(machine, CALLERS_PORT);
         let role = format!("[entry]\ncallers = {callers}\ndeadline_s = 30\n");
         self.start(name, "entry", Process::Entry, machine, &role)
     }
 
-    /// Starts an engine stand-in and an agent beside it.
+    /// Starts an engine stand-in and its agent.
     pub fn engine(&self, name: &str, options: EngineOptions) -> Daemon {
         let engine = Arc::new(Engine::new(&self.tasks, options));
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let serving = Server::start(&self.tasks, any, Bounds::default(), engine.clone());
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let serving = Server::start(&self.tasks, any_port, Bounds::default(), engine.clone());
         let server = async_io::block_on(serving).unwrap();
-        let machine = self.machine();
+        let machine = self.new_machine();
         let weights = SocketAddr::new(machine, WEIGHTS_PORT);
         let role =
             format!("[agent]\nupstream = {}\nweights_listen = {weights}\n", server.address());
-        // The engine lives as long as the test's process.
+        // The engine runs until the test process ends.
         std::mem::forget(server);
         let mut daemon = self.start(name, "agent", Process::Engine, machine, &role);
         daemon.engine = Some(engine);
@@ -114,18 +115,18 @@
         machine: IpAddr,
         section: &str,
     ) -> Daemon {
-        let at = |port| SocketAddr::new(machine, port);
-        let (listen, operators) = (at(DAEMONS_PORT), at(OPERATORS_PORT));
+        let address = |port| SocketAddr::new(machine, port);
+        let (listen, operators) = (address(DAEMONS_PORT), address(OPERATORS_PORT));
         let [table, objects, weights, instances] = self.platform.addresses();
-        let folder = self.folder.display();
+        let directory = self.directory.display();
         let text = format!(
             "[node]\nname = {name}\nrole = {role}\nregion = r\nhall = h\nlisten = {listen}\n\
-             operators = {operators}\ncluster_key_file = {folder}/key\n\
-             token_file = {folder}/token\nstop_grace_s = 30\n\
+             operators = {operators}\ncluster_key_file = {directory}/key\n\
+             token_file = {directory}/token\nstop_grace_s = 30\n\
              [platform]\ntable = {table}\nobjects = {objects}\nweights = {weights}\n\
              instances = {instances}\n{section}"
         );
-        let path = self.folder.join(format!("{name}.ini"));
+        let path = self.directory.join(format!("{name}.ini"));
         std::fs::write(&path, text).unwrap();
         self.platform.instances.add(Instance {
             id: InstanceId::from(name),
@@ -135,28 +136,29 @@
             memory_bytes: 1 << 40,
             state: ListedState::Live,
         });
-        let log = self.folder.join(format!("{name}.log"));
-        // The daemon holds the network too: one that outlives a killed run keeps later ones away.
-        let holder = OwnedFd::from(self.holder.try_clone().unwrap());
+        let log = self.directory.join(format!("{name}.log"));
+        // The daemon also holds the reservation of the network, so that later runs avoid the network of a
+        // daemon that outlives a killed run.
+        let network_lock = OwnedFd::from(self.network_lock.try_clone().unwrap());
         let mut command = run_daemon(&path);
-        command.stdin(holder).stderr(File::create(&log).unwrap());
+        command.stdin(network_lock).stderr(File::create(&log).unwrap());
         let child = command.spawn().unwrap();
-        let (callers, name) = (at(CALLERS_PORT), name.to_owned());
+        let (callers, name) = (address(CALLERS_PORT), name.to_owned());
         Daemon { child, operators, callers, engine: None, name, log }
     }
 
-    /// Publishes weights and makes a number of replicas live.
+    /// Publishes weights, deploys a number of replicas and waits until they are live.
     pub fn deploy(&self, entry: &Daemon, replicas: usize) -> Manifest {
         let content = vec![7; 200_000];
         let manifest = Manifest::describe("weights", &content).unwrap();
         let platform = self.platform.connect();
         let publish = client::publish(&*platform.weights, &*platform.objects, &manifest, content);
         async_io::block_on(publish).unwrap();
-        let operator = entry.operator(TOKEN);
+        let operator = entry.operator(OPERATOR_TOKEN);
         let intent = lab::deploy_intent("tips", manifest.version(), replicas);
         let plan = retry(|| async_io::block_on(operator.plan(&intent)));
         async_io::block_on(operator.confirm(&plan.id)).unwrap();
-        wait(|| {
+        wait_until(|| {
             let rollout = async_io::block_on(operator.rollout(&"tips".into()));
             rollout.is_ok_and(|it| it.live >= replicas)
         });
@@ -164,89 +166,90 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestCluster {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 impl Daemon {
-    /// The operators' door.
+    /// A client for the operator address.
     pub fn operator(&self, token: &str) -> Operator {
         Operator::new(self.operators, token)
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has exited.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(start.elapsed() < HANG, "the daemon does not end");
+            assert!(start.elapsed() < TEST_TIMEOUT, "the daemon did not exit");
             sleep(Duration::from_millis(10));
         }
     }
 
-    /// Tells how the daemon of a failed test fared, for one that ended at its start looks like one that hangs.
-    fn tell(&mut self) {
-        let ended = self.child.try_wait();
+    /// Prints the state and the log of the daemon of a failed test, because a daemon that ended during its
+    /// start looks like one that hangs.
+    fn print_state(&mut self) {
+        let exit_status = self.child.try_wait();
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
-        eprintln!("{}: ended: {ended:?}, log:\n{log}", self.name);
+        eprintln!("{}: ended: {exit_status:?}, log:\n{log}", self.name);
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.tell();
+            self.print_state();
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The daemon's program with a settings file.
+/// Returns the command of the daemon with a settings file.
 pub fn run_daemon(settings: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_silverdockd"));
     command.arg(settings).stderr(Stdio::null());
     command
 }
 
-/// Waits until something has happened.
-pub fn wait(happened: impl Fn() -> bool) {
+/// Waits until `happened` returns `true`.
+pub fn wait_until(happened: impl Fn() -> bool) {
     let start = Instant::now();
     while !happened() {
-        assert!(start.elapsed() < HANG, "what the test waited for did not happen");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out: the expected state was not reached");
         sleep(Duration::from_millis(10));
     }
 }
 
-/// Tries until it succeeds: daemons take a moment to start and to hear of each other.
+/// Repeats an attempt until it succeeds, because daemons take a moment to start and to learn of each other.
 pub fn retry<T>(attempt: impl Fn() -> errors::Result<T>) -> T {
     let start = Instant::now();
     loop {
         match attempt() {
             Ok(value) => return value,
-            Err(error) => assert!(start.elapsed() < HANG, "{error}"),
+            Err(error) => assert!(start.elapsed() < TEST_TIMEOUT, "{error}"),
         }
         sleep(Duration::from_millis(20));
     }
 }
 
-/// Takes a network of loopback that no other stage has, of this process or another one. It is held as long as the
-/// stage or one of its daemons lives. A port that is only seen to be free can be taken by another run before the
-/// daemon binds it.
-fn take_network() -> (u8, TcpListener) {
-    let (machine, port) = HOLDER;
-    let hold = |network| TcpListener::bind((network_address(network, machine), port));
-    let free = NETWORKS.into_iter().find_map(|it| Some((it, hold(it).ok()?)));
-    free.expect("some network of loopback is free")
+/// Reserves a loopback network that no other cluster uses, in this process or another one, as long as the
+/// cluster or one of its daemons lives. Checking that ports are free would not suffice: another run could take
+/// them before the daemon binds them.
+fn reserve_network() -> (u8, TcpListener) {
+    let (machine, port) = NETWORK_LOCK;
+    let lock = |network| TcpListener::bind((network_address(network, machine), port));
+    let free = NETWORKS.into_iter().find_map(|it| Some((it, lock(it).ok()?)));
+    free.expect("a loopback network is free")
 }
 
 fn network_address(network: u8, machine: u8) -> Ipv4Addr {
