--- a/daemon/tests/deployment/foreign_rows.rs
+++ b/daemon/tests/deployment/foreign_rows.rs
@@ -1,14 +1,14 @@
-//! Entries of the list of runners that another writer has put there, before a gateway as a process.
+//! Tests of rows that a foreign writer puts into the list of runners, with a gateway as a process.
 
 use http::Method;
 use platform_standin::Caller;
 use serde_json::json;
 
-use crate::neighbour;
+use crate::machine_address;
 use crate::support::{wait_until, Deployment};
 
 #[test]
-fn an_entry_that_was_good_and_is_spoilt_names_no_runner_until_it_is_good_again() {
+fn a_runner_with_an_unreadable_entry_gets_no_requests_until_the_entry_is_valid_again() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -17,32 +17,32 @@
         deployment.standin.runs(id)[0].runner.clone()
     };
     let listed = |count: u32| {
-        let is_told = || {
-            let page = deployment.metrics(gateway.ip());
-            let line = page.lines().find(|it| it.contains("name=\"runners_listed\""));
+        let reports_count = || {
+            let metrics = deployment.metrics(gateway.ip());
+            let line = metrics.lines().find(|it| it.contains("name=\"runners_listed\""));
             line.is_some_and(|it| it.ends_with(&format!(" {count}")))
         };
-        wait_until("the list is heard", is_told);
+        wait_until("the gateway knows the list", reports_count);
     };
     listed(2);
-    let strange = [json!({"state": "resting"}), json!("no entry"), json!([1, 2])];
-    for (number, value) in strange.into_iter().enumerate() {
+    let invalid_rows = [json!({"state": "resting"}), json!("no entry"), json!([1, 2])];
+    for (number, value) in invalid_rows.into_iter().enumerate() {
         deployment.standin.write_row("servers", "l1", value.clone());
         deployment.standin.write_row("servers", &format!("x{number}"), value);
         listed(1);
         for call in 0..6 {
             assert_eq!(runner_of(&format!("s{number}-{call}")), "l2");
         }
-        let runner = std::net::SocketAddr::new(neighbour(gateway, 1), 8001);
+        let runner = std::net::SocketAddr::new(machine_address(gateway, 1), 8001);
         deployment.standin.change_runner(runner, |_| {});
         listed(2);
     }
     let log = deployment.log(gateway.ip());
-    assert_eq!(log.matches("row cannot be read").count(), 6, "each is told once\n{log}");
+    assert_eq!(log.matches("row cannot be read").count(), 6, "each row is logged once\n{log}");
 }
 
 #[test]
-fn an_entry_that_names_an_unknown_service_names_no_runner_until_it_is_good_again() {
+fn a_runner_with_an_unknown_service_gets_no_requests_until_the_entry_is_valid_again() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -50,7 +50,7 @@
         assert_eq!(Caller::new(Method::GET, "/get/x", id).call(gateway).status, 200);
         deployment.standin.runs(id)[0].runner == runner
     };
-    let runner = std::net::SocketAddr::new(neighbour(gateway, 1), 8001);
+    let runner = std::net::SocketAddr::new(machine_address(gateway, 1), 8001);
     let foreign = json!({
         "service": "neither here nor there", "address": runner, "zone": "a", "version": "v1", "slots": 16,
         "state": "ready", "coldRemainingMs": 0, "sequence": 0,
@@ -63,7 +63,7 @@
     wait_until("both serve", || serves("l1"));
     deployment.standin.write_row("servers", "l1", foreign);
     let mut in_a_row = 0;
-    wait_until("the other one serves alone", || {
+    wait_until("only the other runner serves", || {
         in_a_row = if serves("l2") { in_a_row + 1 } else { 0 };
         in_a_row >= 10
     });
--- a/daemon/tests/deployment/limits.rs
+++ b/daemon/tests/deployment/limits.rs
@@ -1,7 +1,7 @@
-//! Runners that name the rate of requests that they take from all gateways together.
+//! Tests of runners that state a limit for the rate of requests from all gateways together.
 //!
-//! Two of twenty runners named 1.6 and 1 requests a second and went on getting four to five, the even share of the work, to
-//! the end of the day. Neither gateways nor sidecars read what they named.
+//! The failure: two of twenty runners stated 1.6 and 1 requests a second and received four to five, the even
+//! share of the load, to the end of the day. Neither gateways nor sidecars read the limits.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,34 +10,36 @@
 use http::Method;
 use platform_standin::{Caller, LimitedArrival};
 
-use crate::neighbour;
+use crate::machine_address;
 use crate::support::{stream, wait_until, Deployment};
 
-/// Within how long all must go by a rate, by the settings of the deployment.
-const CONTACT: Duration = Duration::from_millis(3000);
-/// The span in which requests are counted.
+/// Within what time all gateways must keep to a rate limit, by the settings of the deployment.
+const LIMIT_BOUND: Duration = Duration::from_millis(3000);
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How many times the rate a runner may get in such a span, and how many requests on top.
+/// A runner may receive `OVERRUN` times its rate in a window, and `SLACK` requests in addition.
 const OVERRUN: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// How long callers go on while a runner names its rate.
-const SPAN: Duration = Duration::from_secs(9);
-/// Callers at the same time, and the pause of each between two calls.
-const CALLERS: usize = 4;
-const PAUSE: Duration = Duration::from_millis(40);
-/// Within how long after it names no rate any more a runner is used as before.
-const BACK: Duration = Duration::from_millis(3500);
-/// The span in which its requests are counted then, and how many no rate of these tests allows in it.
-const AFTERWARDS: Duration = Duration::from_secs(3);
-const UNLIMITED: usize = 9;
-
-/// The most requests that reached a runner in one span, once all had to go by its rate.
-fn most_in_window(arrivals: &[LimitedArrival]) -> usize {
+/// How long callers go on while a runner states a rate limit.
+const CALL_PERIOD: Duration = Duration::from_secs(9);
+/// Number of concurrent callers, and the pause of each between two calls.
+const CALLER_COUNT: usize = 4;
+const CALL_PAUSE: Duration = Duration::from_millis(40);
+/// Within what time after the end of a limit the runner is used as before.
+const RECOVERY_BOUND: Duration = Duration::from_millis(3500);
+/// Length of the window in which requests are counted after the end of a limit, and a number of requests in it
+/// that no rate limit of these tests allows.
+const UNLIMITED_WINDOW: Duration = Duration::from_secs(3);
+const MIN_UNLIMITED_REQUESTS: usize = 9;
+
+/// Returns the maximum number of requests that reached a runner in one window, after all gateways had to keep
+/// to its limit.
+fn max_in_window(arrivals: &[LimitedArrival]) -> usize {
     let Some(first) = arrivals.first() else {
         return 0;
     };
     let counted: Vec<Instant> =
-        arrivals.iter().map(|it| it.at).filter(|at| *at > first.at + CONTACT).collect();
+        arrivals.iter().map(|it| it.at).filter(|at| *at > first.at + LIMIT_BOUND).collect();
     let within = |from: Instant| {
         let window = from..from + WINDOW;
         counted.iter().filter(|at| window.contains(at)).count()
@@ -45,21 +47,23 @@
     counted.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
-/// Within how long a caller is refused that no runner takes: less than the part of its aim that it would wait for a place.
-const AT_ONCE: Duration = Duration::from_millis(60);
+/// Within what time a caller is refused if no runner can take the request: less than the part of its target
+/// latency that it would wait for a slot.
+const REFUSAL_BOUND: Duration = Duration::from_millis(60);
 
-/// Calls a gateway with a request of an id, and gives the status.
+/// Sends a request with an id to a gateway and returns the status.
 type Call = fn(SocketAddr, &str) -> u16;
 
-/// A deployment in which callers go to all gateways in turn.
-struct Limits {
+/// A deployment whose callers use the gateways in turn.
+struct LimitTest {
     deployment: Deployment,
     gateways: Vec<SocketAddr>,
     calls: AtomicUsize,
 }
 
-impl Limits {
-    /// Starts so many gateways before two model runners and two plain ones, and waits until they know each other.
+impl LimitTest {
+    /// Starts `gateways` gateways, two model runners and two plain ones, and waits until the gateways are
+    /// ready.
     fn start(gateways: usize) -> (Self, SocketAddr) {
         let mut deployment = Deployment::start();
         let model = deployment.add_model_runner("e1", Some(1));
@@ -72,118 +76,131 @@
     }
 
     fn plain_runner(&self) -> SocketAddr {
-        SocketAddr::new(neighbour(self.gateways[0], 1), 8001)
+        SocketAddr::new(machine_address(self.gateways[0], 1), 8001)
     }
 
-    fn name(&self, runner: SocketAddr, limit: Option<&str>) {
+    fn set_limit(&self, runner: SocketAddr, limit: Option<&str>) {
         self.deployment.standin.change_runner(runner, |it| it.limit = limit.map(str::to_owned));
     }
 
-    /// Callers go to one gateway after the other for a while. Gives how many calls were not served.
+    /// Runs callers for a while that use the gateways in turn. Returns the number of calls that were not
+    /// served.
     fn call(&self, span: Duration, call: Call) -> usize {
         let end = Instant::now() + span;
         let refused = AtomicUsize::new(0);
-        let come_again = || {
+        let call_repeatedly = || {
             while Instant::now() < end {
                 let number = self.calls.fetch_add(1, Ordering::Relaxed);
                 let gateway = self.gateways[number % self.gateways.len()];
                 let served = call(gateway, &format!("c{number}")) == 200;
                 refused.fetch_add(usize::from(!served), Ordering::Relaxed);
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(CALL_PAUSE);
             }
         };
-        std::thread::scope(|scope| (0..CALLERS).for_each(|_| drop(scope.spawn(come_again))));
+        std::thread::scope(|scope| {
+            (0..CALLER_COUNT).for_each(|_| drop(scope.spawn(call_repeatedly)))
+        });
         refused.into_inner()
     }
 
-    /// Requests that ran at a runner from a moment on.
+    /// Returns the number of requests that ran at a runner since `from`.
     fn runs_since(&self, id: &str, from: Instant) -> usize {
         let runs = self.deployment.standin.all_runs();
         runs.values().flatten().filter(|it| it.runner == id && it.at >= from).count()
     }
 
-    /// Has a runner name a rate while callers go on, and checks what reaches it, that others serve, and that it is used
-    /// again when the limit ends.
+    /// Makes a runner state a rate limit while callers go on. Checks how many requests reach it, that the
+    /// others serve, and that it is used again after the limit ends.
     fn expect_rate(&self, runner: SocketAddr, per_s: f64, call: Call) {
         let id = self.deployment.standin.runner(runner).expect("the runner is there").id;
         self.call(Duration::from_secs(6), call);
-        self.name(runner, Some(&per_s.to_string()));
-        let refused = self.call(SPAN, call);
+        self.set_limit(runner, Some(&per_s.to_string()));
+        let refused = self.call(CALL_PERIOD, call);
         let arrivals = self.deployment.standin.limited_arrivals();
-        let most = most_in_window(&arrivals);
+        let max_requests = max_in_window(&arrivals);
         let allowed = per_s * OVERRUN * WINDOW.as_secs_f64() + SLACK;
         assert!(
-            most as f64 <= allowed,
-            "{most} requests in {WINDOW:?} where {allowed} are allowed"
+            max_requests as f64 <= allowed,
+            "{max_requests} requests in {WINDOW:?} where {allowed} are allowed"
         );
         assert!(arrivals.len() > 2, "it is still used: {} arrivals", arrivals.len());
-        assert_eq!(refused, 0, "the others serve");
-        self.name(runner, None);
-        self.call(BACK, call);
+        assert_eq!(refused, 0, "the other runners serve all requests");
+        self.set_limit(runner, None);
+        self.call(RECOVERY_BOUND, call);
         let from = Instant::now();
-        self.call(AFTERWARDS, call);
+        self.call(UNLIMITED_WINDOW, call);
         let runs = self.runs_since(&id, from);
-        assert!(runs >= UNLIMITED, "{runs} requests in {AFTERWARDS:?} after the limit has ended");
+        assert!(
+            runs >= MIN_UNLIMITED_REQUESTS,
+            "{runs} requests in {UNLIMITED_WINDOW:?} after the limit has ended"
+        );
     }
 }
 
-fn assist(gateway: SocketAddr, id: &str) -> u16 {
+fn call_stream(gateway: SocketAddr, id: &str) -> u16 {
     stream(gateway, id).status
 }
 
-fn get(gateway: SocketAddr, id: &str) -> u16 {
+fn call_plain(gateway: SocketAddr, id: &str) -> u16 {
     Caller::new(Method::GET, "/get/x", id).call(gateway).status
 }
 
 #[test]
-fn a_model_runner_gets_no_more_than_the_rate_it_names_from_all_gateways_together() {
-    let (limits, model) = Limits::start(3);
-    limits.expect_rate(model, 1.6, assist);
+fn a_model_runner_gets_no_more_than_its_rate_limit_from_all_gateways_together() {
+    let (limit_test, model) = LimitTest::start(3);
+    limit_test.expect_rate(model, 1.6, call_stream);
 }
 
 #[test]
-fn a_plain_runner_gets_no_more_than_the_rate_it_names_from_all_gateways_together() {
-    let (limits, _) = Limits::start(3);
-    let plain = limits.plain_runner();
-    limits.expect_rate(plain, 1.6, get);
+fn a_plain_runner_gets_no_more_than_its_rate_limit_from_all_gateways_together() {
+    let (limit_test, _) = LimitTest::start(3);
+    let plain = limit_test.plain_runner();
+    limit_test.expect_rate(plain, 1.6, call_plain);
 }
 
 #[test]
-fn a_sidecar_that_starts_again_goes_by_the_rate_that_gateways_know() {
-    let (mut limits, model) = Limits::start(2);
-    limits.name(model, Some("0.5"));
-    limits.call(Duration::from_secs(4), assist);
-    limits.deployment.lose_power(&[model.ip()]);
+fn a_restarted_sidecar_keeps_to_the_rate_limit_that_gateways_know() {
+    let (mut limit_test, model) = LimitTest::start(2);
+    limit_test.set_limit(model, Some("0.5"));
+    limit_test.call(Duration::from_secs(4), call_stream);
+    limit_test.deployment.kill_and_restart(&[model.ip()]);
     wait_until("the sidecar is back", || {
-        limits.call(Duration::from_millis(100), assist);
-        limits.deployment.log(model.ip()).matches("\"message\":\"started\"").count() > 1
+        limit_test.call(Duration::from_millis(100), call_stream);
+        limit_test.deployment.log(model.ip()).matches("\"message\":\"started\"").count() > 1
     });
-    limits.call(SPAN, assist);
-    let most = most_in_window(&limits.deployment.standin.limited_arrivals());
-    assert!(most <= 8, "{most} requests in {WINDOW:?} where 8 are allowed");
+    limit_test.call(CALL_PERIOD, call_stream);
+    let max_requests = max_in_window(&limit_test.deployment.standin.limited_arrivals());
+    assert!(max_requests <= 8, "{max_requests} requests in {WINDOW:?} where 8 are allowed");
 }
 
 #[test]
-fn callers_are_refused_at_once_while_every_runner_has_had_the_rate_that_it_names() {
-    let (limits, model) = Limits::start(2);
-    let other = SocketAddr::new(neighbour(model, 4), 8001);
+fn callers_are_refused_immediately_while_all_runners_are_at_their_rate_limit() {
+    let (limit_test, model) = LimitTest::start(2);
+    let other = SocketAddr::new(machine_address(model, 4), 8001);
     for runner in [model, other] {
-        limits.name(runner, Some("0.4"));
+        limit_test.set_limit(runner, Some("0.4"));
     }
-    limits.call(Duration::from_secs(4), assist);
+    limit_test.call(Duration::from_secs(4), call_stream);
     let answers: Vec<_> = (0..60)
         .map(|number| {
-            std::thread::sleep(PAUSE);
-            stream(limits.gateways[number % 2], &format!("r{number}"))
+            std::thread::sleep(CALL_PAUSE);
+            stream(limit_test.gateways[number % 2], &format!("r{number}"))
         })
         .collect();
     let refused: Vec<_> = answers.iter().filter(|it| it.status == 503).collect();
     assert!(refused.len() > 40, "{} of {} are refused", refused.len(), answers.len());
-    let at_once = refused.iter().filter(|it| it.took < AT_ONCE).count();
-    assert!(at_once * 10 >= refused.len() * 9, "{at_once} of {} at once", refused.len());
+    let refused_at_once = refused.iter().filter(|it| it.took < REFUSAL_BOUND).count();
+    assert!(
+        refused_at_once * 10 >= refused.len() * 9,
+        "{refused_at_once} of {} were refused immediately",
+        refused.len()
+    );
     assert!(refused.iter().all(|it| it.body.contains("RateLimited")), "{refused:?}");
     for answer in refused {
-        let away: f64 = answer.headers["retry-after"].to_str().unwrap().parse().unwrap();
-        assert!((0.25..=2.5).contains(&away), "back in {away} s, where a place comes within 2.5 s");
+        let retry_after_s: f64 = answer.headers["retry-after"].to_str().unwrap().parse().unwrap();
+        assert!(
+            (0.25..=2.5).contains(&retry_after_s),
+            "retry-after of {retry_after_s} s, though a slot becomes free within 2.5 s"
+        );
     }
 }
--- a/daemon/tests/deployment/logs.rs
+++ b/daemon/tests/deployment/logs.rs
@@ -1,4 +1,4 @@
-//! Failed requests explained from logs alone, and logs that nobody reads.
+//! Tests that logs alone explain failed requests, and that a blocked log output does not affect requests.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 use platform_standin::{Caller, RunnerFault};
 use rustix::process::Signal;
 
-use crate::neighbour;
+use crate::machine_address;
 use crate::support::{is_whole_stream, stream, wait_until, Deployment};
 
-/// A runner that looks free to a gateway, but whose sidecar stands still.
+/// The runner looks free to the gateway, but its sidecar is paused.
 #[test]
-fn a_refusal_though_a_runner_looked_free_is_explained() {
+fn the_log_explains_a_refusal_though_a_runner_looked_free() {
     let mut deployment = Deployment::start();
     let runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
@@ -26,11 +26,11 @@
     let account = deployment.account("refused-1");
     assert!(account.cause.contains("did not run"), "{account}");
     assert!(account.cause.contains("silent"), "{account}");
-    assert!(deployment.standin.runs("refused-1").is_empty(), "and it did not run");
+    assert!(deployment.standin.runs("refused-1").is_empty(), "the request did not run");
 }
 
 #[test]
-fn a_stream_that_broke_off_midway_is_explained() {
+fn the_log_explains_a_stream_that_was_cut_off() {
     let mut deployment = Deployment::start();
     let runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn an_unsafe_request_of_unknown_outcome_is_explained() {
+fn the_log_explains_an_unsafe_request_of_unknown_outcome() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     for machine in [1, 2] {
-        let runner = SocketAddr::new(neighbour(gateway, machine), 8001);
+        let runner = SocketAddr::new(machine_address(gateway, machine), 8001);
         deployment.standin.change_runner(runner, |it| it.fault = RunnerFault::AnswerLost);
     }
     let answer = Caller::new(Method::POST, "/post/x", "unknown-1").call(gateway);
@@ -60,9 +60,9 @@
     assert!(account.to_string().contains("(unsafe) to ledger"), "{account}");
 }
 
-/// A caller that was refused by an old configuration: the log did not tell how old it was.
+/// Guards against a log that does not state the age of the configuration by which a caller was refused.
 #[test]
-fn a_refusal_by_the_configuration_tells_how_old_it_is() {
+fn the_log_of_a_refusal_states_the_age_of_the_configuration() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_log_tells_now_and_then_what_a_gateway_believes() {
+fn a_gateway_logs_its_state_regularly() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -95,9 +95,9 @@
     assert!(last["operator_age_ms"].is_u64() && last["runners_age_ms"].is_u64(), "{last}");
 }
 
-/// Requests enough to fill a pipe and the queue before it several times over.
+/// The requests fill the pipe and the log queue before it several times.
 #[test]
-fn a_reader_that_never_reads_costs_lines_and_nothing_else() {
+fn a_blocked_log_output_drops_lines_and_no_requests() {
     let mut deployment = Deployment::start();
     deployment.unread_logs = true;
     let gateway = deployment.add_gateway();
@@ -108,20 +108,20 @@
         assert_eq!(answer.status, 404, "request {number}");
     }
     assert_eq!(Caller::new(Method::GET, "/get/x", "still").call(gateway).status, 200);
-    let page = deployment.metrics(gateway.ip());
-    let dropped = page.lines().find(|it| it.contains("name=\"log_lines_dropped\""));
+    let metrics = deployment.metrics(gateway.ip());
+    let dropped = metrics.lines().find(|it| it.contains("name=\"log_lines_dropped\""));
     let dropped = dropped.and_then(|it| it.rsplit(' ').next()).and_then(|it| it.parse().ok());
-    assert!(dropped.unwrap_or(0) > 0, "{page}");
+    assert!(dropped.unwrap_or(0) > 0, "{metrics}");
 }
 
 #[test]
-fn the_page_of_metrics_counts_every_reason() {
+fn the_metrics_count_refusals_and_requests_by_reason() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     Caller::new(Method::GET, "/nowhere/x", "n1").call(gateway);
     Caller::new(Method::GET, "/get/x", "g1").call(gateway);
-    let page = deployment.metrics(gateway.ip());
+    let metrics = deployment.metrics(gateway.ip());
     for part in [
         "reason=\"UnknownTarget\"",
         "kind=\"safe\",outcome=\"whole\"",
@@ -132,19 +132,19 @@
         "name=\"runner_table_age_ms\"",
         "outcome=\"ok\",service=\"operator_table\"",
     ] {
-        assert!(page.contains(part), "{part} is missing from\n{page}");
+        assert!(metrics.contains(part), "{part} is missing from\n{metrics}");
     }
 }
 
 #[test]
-fn tries_of_the_same_request_are_found_by_their_digest_at_every_gateway() {
+fn attempts_of_the_same_request_have_the_same_digest_at_every_gateway() {
     let mut deployment = Deployment::start();
     let gateways = [deployment.add_gateway(), deployment.add_gateway()];
     for gateway in gateways {
         deployment.wait_until_ready(gateway);
     }
     for machine in [1, 2] {
-        let runner = SocketAddr::new(neighbour(gateways[0], machine), 8001);
+        let runner = SocketAddr::new(machine_address(gateways[0], machine), 8001);
         deployment.standin.change_runner(runner, |it| it.fault = RunnerFault::AnswerLost);
     }
     let digest = |path: &str, id: &str, gateway: SocketAddr| {
@@ -162,16 +162,16 @@
     assert_ne!(digest("/post/y", "try-3", gateways[1]), first);
 }
 
-/// Callers were handled by an old configuration, and no log told which answers of the store the gateway had had: lines
-/// on requests had used up the allowance.
+/// Guards against a failure in which log lines on requests used up the line rate limit, so that no log showed
+/// which answers of the store a gateway with an old configuration had received.
 #[test]
-fn what_a_gateway_knows_is_logged_while_requests_use_up_the_allowance() {
+fn answers_of_the_store_are_logged_while_requests_use_up_the_line_limit() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     deployment.rewrite_settings(gateway.ip(), "log_lines_per_s = 1000", "log_lines_per_s = 20");
     deployment.signal(gateway.ip(), Signal::HUP);
-    wait_until("the log tells of the new allowance", || {
+    wait_until("the log reports the new line limit", || {
         deployment.log(gateway.ip()).contains("node.log_lines_per_s")
     });
     for number in 0..300 {
--- a/daemon/tests/deployment/main.rs
+++ b/daemon/tests/deployment/main.rs
@@ -1,39 +1,39 @@
-//! Gateways and sidecars as processes, against a stand-in of the users' platform.
+//! Tests of gateways and sidecars as processes, with a stand-in of the users' platform.
 
-mod builds;
-mod bulk;
 mod crashes;
-mod drills;
 mod evacuations;
 mod foreign_rows;
 mod leaving;
 mod limits;
-mod lives;
 mod logs;
 mod narrow_paths;
+mod narrow_store_links;
 mod outages;
-mod readers;
-mod record;
 mod reload;
 mod rests;
+mod runner_restarts;
 mod slow_callers;
 mod starts_between_versions;
+mod store_rollbacks;
 mod support;
+mod table_readers;
+mod unknown_messages;
 mod version_ages;
+mod version_record;
 
 use std::time::{Duration, Instant};
 
 use http::Method;
 use platform_standin::{Caller, RunnerFault, StoreFault};
 use rustix::process::Signal;
-use support::{is_whole_stream, stream, wait_until, Deployment, PATIENCE};
+use support::{is_whole_stream, stream, wait_until, Deployment, TEST_TIMEOUT};
 
-/// How long a version may take to a runner whose gateways are all gone: their subscriptions lapse, the gateways that the
-/// store names are asked, the store is read.
-const WITHOUT_GATEWAYS: Duration = Duration::from_secs(10);
+/// How long a version may take to reach a runner whose gateways are all gone: the subscriptions expire, the
+/// sidecar asks the gateways named in the store, and then reads the store.
+const MAX_DELAY_WITHOUT_GATEWAYS: Duration = Duration::from_secs(10);
 
 #[test]
-fn a_calm_day_is_served() {
+fn requests_are_served_without_faults() {
     let mut deployment = Deployment::start();
     deployment.add_model_runner("e1", Some(1));
     deployment.add_model_runner("e2", Some(1));
@@ -47,7 +47,7 @@
         let runs = deployment.standin.runs(&id);
         assert_eq!(runs.len(), 1);
         assert_eq!(runs[0].tenant.as_deref(), Some("t1"));
-        assert!(!runs[0].saw_key, "the key stays at the gateway");
+        assert!(!runs[0].saw_key, "the gateway does not forward the key");
     }
     let answer = Caller::new(Method::GET, "/get/x", "g1").call(gateway);
     assert_eq!((answer.status, answer.body.as_str()), (200, "ledger g1"));
@@ -55,15 +55,15 @@
     assert_eq!((answer.status, answer.body.as_str()), (200, "ledger p1"));
 }
 
-/// Sidecars have their number of places from gateways.
+/// Sidecars learn their number of slots from gateways, so a gateway must not be ready before they know it.
 #[test]
-fn a_gateway_that_has_just_become_ready_serves_at_once() {
+fn a_gateway_serves_as_soon_as_it_is_ready() {
     let mut deployment = Deployment::start();
     deployment.add_model_runner("e1", Some(1));
     deployment.add_model_runner("e2", Some(1));
     std::thread::sleep(Duration::from_millis(500));
     let gateway = deployment.add_gateway();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !deployment.is_ready(gateway) {
         assert!(Instant::now() < until, "not ready");
     }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_the_configuration_does_not_allow_is_refused() {
+fn unknown_routes_and_keys_are_refused() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -82,13 +82,13 @@
     caller.key = "wrong".into();
     assert_eq!(caller.call(gateway).status, 401);
     deployment.standin.reconfigure(|it| it["tenants"][0]["apiKeys"] = serde_json::json!(["wrong"]));
-    wait_until("the new key holds", || caller.call(gateway).status == 200);
+    wait_until("the new key is in force", || caller.call(gateway).status == 200);
     let old = Caller::new(Method::GET, "/get/x", "n3").call(gateway);
-    assert_eq!(old.status, 401, "the old key is gone");
+    assert_eq!(old.status, 401, "the old key is not in force any more");
 }
 
 #[test]
-fn a_gateway_that_knows_no_configuration_promises_that_nothing_ran() {
+fn a_gateway_without_a_configuration_refuses_requests_as_not_run() {
     let mut deployment = Deployment::start();
     deployment.standin.set_store_fault(StoreFault::Busy);
     let gateway = deployment.add_gateway();
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_within_an_event_goes_on_at_another_runner() {
+fn a_stream_cut_off_within_an_event_is_resumed_at_another_runner() {
     let mut deployment = Deployment::start();
-    let bad = deployment.add_model_runner("e1", Some(1));
+    let cutting_runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    deployment.standin.change_runner(bad, |it| it.fault = RunnerFault::CutAfter(5));
-    wait_until("a stream reaches the bad runner", || {
+    deployment.standin.change_runner(cutting_runner, |it| it.fault = RunnerFault::CutAfter(5));
+    wait_until("a stream reaches the runner that cuts it off", || {
         !stream(gateway, "first").whole && !deployment.standin.runs("first").is_empty()
     });
     deployment.add_model_runner("e2", Some(1));
@@ -132,11 +132,11 @@
 }
 
 #[test]
-fn an_unsafe_request_whose_answer_is_lost_runs_once_and_is_not_promised_otherwise() {
+fn an_unsafe_request_whose_answer_is_lost_runs_once_and_is_not_refused_as_not_run() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    let machine = |it: u8| std::net::SocketAddr::new(neighbour(gateway, it), 8001);
+    let machine = |it: u8| std::net::SocketAddr::new(machine_address(gateway, it), 8001);
     for runner in [machine(1), machine(2)] {
         deployment.standin.change_runner(runner, |it| it.fault = RunnerFault::AnswerLost);
     }
@@ -145,7 +145,8 @@
     assert!(answer.status == 502 || answer.status == 0 || !answer.whole, "{answer:?}");
 }
 
-fn neighbour(gateway: std::net::SocketAddr, machine: u8) -> std::net::IpAddr {
+/// Returns the address of another machine of the gateway's deployment.
+fn machine_address(gateway: std::net::SocketAddr, machine: u8) -> std::net::IpAddr {
     let std::net::IpAddr::V4(address) = gateway.ip() else {
         panic!("the tests use IPv4");
     };
@@ -154,11 +155,11 @@
 }
 
 #[test]
-fn a_runner_that_turns_work_away_is_passed_over() {
+fn requests_rejected_by_a_full_runner_run_at_another() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    let full = std::net::SocketAddr::new(neighbour(gateway, 1), 8001);
+    let full = std::net::SocketAddr::new(machine_address(gateway, 1), 8001);
     deployment.standin.change_runner(full, |it| it.fault = RunnerFault::Full);
     for number in 0..10 {
         let id = format!("f{number}");
@@ -168,11 +169,11 @@
 }
 
 #[test]
-fn a_draining_runner_gets_nothing_more_after_two_seconds() {
+fn a_draining_runner_gets_no_requests_after_two_seconds() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    let leaving = std::net::SocketAddr::new(neighbour(gateway, 1), 8001);
+    let leaving = std::net::SocketAddr::new(machine_address(gateway, 1), 8001);
     deployment.standin.change_runner(leaving, |it| it.draining = true);
     std::thread::sleep(Duration::from_millis(2000));
     for number in 0..20 {
@@ -182,9 +183,10 @@
     }
 }
 
-/// Found on a grown site: seventy sidecars read the whole configuration over links that callers need.
+/// Guards against a failure in which seventy sidecars read the whole configuration over links that callers
+/// need.
 #[test]
-fn sidecars_hear_of_the_weights_from_gateways_and_leave_the_configuration_alone() {
+fn sidecars_learn_the_target_version_from_gateways_without_reading_the_configuration() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -195,9 +197,10 @@
     assert_eq!(deployment.standin.configuration_reads(), read);
 }
 
-/// Found on a site of 173 machines: sidecars made a third of all calls to the store.
+/// Guards against a failure in which sidecars made a third of all calls to the store, on a site of 173
+/// machines.
 #[test]
-fn sidecars_learn_of_each_other_from_gateways_and_leave_the_list_alone() {
+fn sidecars_learn_of_each_other_from_gateways_without_reading_the_list() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -206,8 +209,8 @@
     let empty = deployment.add_model_runner("e2", None);
     for runner in [full, empty] {
         wait_until("the sidecars know each other", || {
-            let page = deployment.metrics(runner.ip());
-            let known = page.lines().find(|it| it.contains("name=\"sidecars_known\""));
+            let metrics = deployment.metrics(runner.ip());
+            let known = metrics.lines().find(|it| it.contains("name=\"sidecars_known\""));
             known.is_some_and(|it| it.ends_with(" 1"))
         });
     }
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn a_sidecar_whose_gateways_are_gone_reads_the_list_and_the_versions_itself() {
+fn a_sidecar_without_live_gateways_reads_the_list_and_the_versions_from_the_store() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -233,12 +236,12 @@
     for runner in [full, empty] {
         deployment.wait_for_version(runner, 2);
     }
-    assert!(killed.elapsed() < WITHOUT_GATEWAYS, "took {:?}", killed.elapsed());
+    assert!(killed.elapsed() < MAX_DELAY_WITHOUT_GATEWAYS, "took {:?}", killed.elapsed());
     wait_until("the list is read", || deployment.standin.runner_reads() > read);
 }
 
 #[test]
-fn a_sidecar_that_no_gateway_reaches_reads_the_configuration() {
+fn a_sidecar_without_gateways_reads_the_configuration() {
     let mut deployment = Deployment::start();
     deployment.add_model_runner("e1", Some(1));
     let empty = deployment.add_model_runner("e2", None);
@@ -246,7 +249,7 @@
 }
 
 #[test]
-fn weights_reach_an_empty_runner_and_a_named_version_every_runner() {
+fn an_empty_runner_gets_weights_and_every_runner_gets_a_new_target_version() {
     let mut deployment = Deployment::start();
     let first = deployment.add_model_runner("e1", Some(1));
     let empty = deployment.add_model_runner("e2", None);
@@ -257,9 +260,9 @@
     for runner in [first, empty] {
         deployment.wait_for_version(runner, 2);
         let engine = deployment.standin.runner(runner).unwrap();
-        assert!(!engine.took_mixture, "weights of one version, and whole");
+        assert!(!engine.took_mixture, "the weights are complete and of one version");
     }
-    // A chunk that turns bad on the runner's machine is not taken.
+    // A chunk that is corrupted on the machine of the runner is not used.
     deployment.standin.change_runner(empty, |it| it.spoil(7));
     deployment.standin.name_version(3);
     for runner in [first, empty] {
@@ -272,7 +275,7 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_planned_stop_cuts_off_no_request() {
     let mut deployment = Deployment::start();
     deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
@@ -289,18 +292,19 @@
         .collect();
     std::thread::sleep(Duration::from_millis(60));
     deployment.signal(gateway.ip(), Signal::TERM);
-    wait_until("the gateway is not ready", || !deployment.is_ready(gateway));
+    wait_until("the gateway reports that it is not ready", || !deployment.is_ready(gateway));
     for caller in callers {
         let (answer, id) = caller.join().unwrap();
         assert!(is_whole_stream(&answer, &id), "{answer:?}");
     }
     let late = Caller::new(Method::GET, "/get/x", "late").call(gateway);
-    assert_eq!(late.status, 200, "callers that the platform still sends are served");
-    assert!(deployment.wait_for_end(gateway.ip()));
+    assert_eq!(late.status, 200, "callers are served that the platform still sends to the gateway");
+    assert!(deployment.wait_for_exit(gateway.ip()));
 }
 
-/// The log of an incident lacked the last line of each process, as its writer ended first. That depends
-/// on who runs first, so without the mend this passes on most machines.
+/// Guards against a log writer that ended first, so that the last log line of each process was missing. Whether
+/// the line is lost depends on the order in which threads run, so on most machines this test also passes with
+/// the fault.
 #[test]
 fn a_planned_stop_does_not_wait_for_callers_that_ask_nothing() {
     let mut deployment = Deployment::start();
@@ -309,7 +313,7 @@
     let _silent = std::net::TcpStream::connect(gateway).unwrap();
     let begun = Instant::now();
     deployment.signal(gateway.ip(), Signal::TERM);
-    assert!(deployment.wait_for_end(gateway.ip()));
+    assert!(deployment.wait_for_exit(gateway.ip()));
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
     let log = deployment.log(gateway.ip());
     for line in ["started", "stopping", "stopped"] {
@@ -318,12 +322,12 @@
 }
 
 #[test]
-fn a_killed_gateway_serves_again_at_once() {
+fn a_killed_gateway_serves_soon_after_its_restart() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     deployment.signal(gateway.ip(), Signal::KILL);
-    deployment.wait_for_end(gateway.ip());
+    deployment.wait_for_exit(gateway.ip());
     let begun = Instant::now();
     deployment.restart_gateway(gateway);
     deployment.wait_until_ready(gateway);
@@ -332,7 +336,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_the_runner() {
+fn a_runner_is_released_when_its_caller_disconnects() {
     let mut deployment = Deployment::start();
     let runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
--- a/daemon/tests/deployment/narrow_paths.rs
+++ b/daemon/tests/deployment/narrow_paths.rs
@@ -1,11 +1,9 @@
-//! Requests that are still on their way to a runner when nobody waits for them any more.
+//! Tests of requests that reach a runner late over a narrow link, after the gateway has given up on them.
 //!
-//! Users had requests begin on a version of the weights 0.15 to 0.48 s behind its bound. The gateway had sent them 1.0 to
-//! 1.5 s before it, to runners behind links that were narrow just then and full of weights. It heard nothing, gave up
-//! after twice the aim and was served by another runner; what it had sent came out of the link's queue behind the bound,
-//! and the runner began it, because nothing there looks at a version's age. What proved the cause: one second of silence
-//! between two series of questions for a place, each time before the runner that answered was reached, and one request
-//! that reached the late runner first and the other one 7 ms after it.
+//! The failure: requests began on a version of the weights 0.15 to 0.48 s after its bound. The gateway had sent
+//! them 1.0 to 1.5 s before the bound to runners behind links that were full of weights. It got no answer, gave
+//! up after twice the target latency and used another runner. The queue of the link delivered the request after
+//! the bound, and the runner, which does not check the age of a version, began it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -20,131 +18,137 @@
 use crate::support::{sleep_until, stream, wait_until, Deployment};
 
 /// How long requests may begin on an older version, by the settings of the deployment.
-const VERSION: Duration = Duration::from_millis(8000);
-/// How long before that the request is sent. Gateways leave the older version 1.2 s before its bound, and may take it for
-/// named half a second before it was.
-const BEFORE: Duration = Duration::from_millis(1900);
-/// How long behind it the path lets through what it held.
-const BEHIND: Duration = Duration::from_millis(150);
-/// How long after its start a gateway dates closely what it hears.
-const CALM: Duration = Duration::from_millis(6000);
-/// The port of the path to the runner, on the runner's machine.
-const PATH_PORT: u16 = 8003;
-/// How long behind the last bytes the end of a connection comes out of the path: it was sent later.
-const END: Duration = Duration::from_millis(300);
-/// The pause between two looks whether the path is open.
-const LOOK: Duration = Duration::from_millis(5);
+const VERSION_BOUND: Duration = Duration::from_millis(8000);
+/// How long before the bound the request is sent. Gateways stop using the older version 1.2 s before its bound,
+/// and may date the newer one up to half a second too early.
+const SENT_BEFORE_BOUND: Duration = Duration::from_millis(1900);
+/// How long after the bound the proxy delivers what it held.
+const DELIVERED_AFTER_BOUND: Duration = Duration::from_millis(150);
+/// How long after its start a gateway dates new versions precisely.
+const SETTLE_TIME: Duration = Duration::from_millis(6000);
+/// Port of the proxy, on the runner's machine.
+const PROXY_PORT: u16 = 8003;
+/// Delay between the last bytes of a connection and its end, which was sent later.
+const END_DELAY: Duration = Duration::from_millis(300);
+/// Interval at which the proxy checks whether it may deliver.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A path to a runner that can hold what is sent there. It delivers what it was given, whatever became of the sender, as
-/// the queue of a link does.
+/// A proxy in front of a runner that can hold the bytes sent there. Like the queue of a link, it delivers them
+/// even if the sender has closed its connection.
 #[derive(Clone)]
-struct NarrowPath {
+struct HoldingProxy {
     address: SocketAddr,
     holds: Arc<AtomicBool>,
-    /// Whether it has held anything.
+    /// Whether it has held any bytes.
     has_held: Arc<AtomicBool>,
 }
 
-impl NarrowPath {
+impl HoldingProxy {
     fn start(runner: SocketAddr) -> Self {
-        let address = SocketAddr::new(runner.ip(), PATH_PORT);
+        let address = SocketAddr::new(runner.ip(), PROXY_PORT);
         let listener = TcpListener::bind(address).unwrap();
-        let path = Self { address, holds: Arc::default(), has_held: Arc::default() };
-        let held = path.clone();
+        let proxy = Self { address, holds: Arc::default(), has_held: Arc::default() };
+        let holding_proxy = proxy.clone();
         thread::spawn(move || {
             for caller in listener.incoming().flatten() {
-                held.carry(caller, TcpStream::connect(runner).unwrap());
+                holding_proxy.forward(caller, TcpStream::connect(runner).unwrap());
             }
         });
-        path
+        proxy
     }
 
     fn hold(&self, holds: bool) {
         self.holds.store(holds, Ordering::SeqCst);
     }
 
-    /// Passes bytes on in both directions until each side has ended.
-    fn carry(&self, caller: TcpStream, runner: TcpStream) {
+    /// Forwards bytes in both directions until both sides have ended.
+    fn forward(&self, caller: TcpStream, runner: TcpStream) {
         let (from_caller, to_caller) = (caller.try_clone().unwrap(), caller);
         let (from_runner, to_runner) = (runner.try_clone().unwrap(), runner);
         let (holds, has_held) = (self.holds.clone(), self.has_held.clone());
-        thread::spawn(move || pass_on(from_caller, to_runner, &holds, &has_held));
-        let (never, unused) = (AtomicBool::new(false), AtomicBool::new(false));
-        thread::spawn(move || pass_on(from_runner, to_caller, &never, &unused));
+        thread::spawn(move || forward_bytes(from_caller, to_runner, &holds, &has_held));
+        let (never_holds, unused) = (AtomicBool::new(false), AtomicBool::new(false));
+        thread::spawn(move || forward_bytes(from_runner, to_caller, &never_holds, &unused));
     }
 }
 
-fn pass_on(mut from: TcpStream, mut to: TcpStream, holds: &AtomicBool, has_held: &AtomicBool) {
+fn forward_bytes(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    holds: &AtomicBool,
+    has_held: &AtomicBool,
+) {
     let mut buffer = [0; 4096];
     while let Ok(length @ 1..) = from.read(&mut buffer) {
         while holds.load(Ordering::SeqCst) {
             has_held.store(true, Ordering::SeqCst);
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         if to.write_all(&buffer[..length]).is_err() {
             break;
         }
     }
-    thread::sleep(END);
+    thread::sleep(END_DELAY);
     let _ = to.shutdown(Shutdown::Write);
 }
 
 #[test]
-fn a_request_that_was_given_up_on_does_not_begin_on_a_version_behind_its_bound() {
+fn an_abandoned_request_does_not_begin_on_a_version_after_its_bound() {
     let mut deployment = Deployment::start();
     let runner = deployment.add_model_runner("e1", Some(1));
-    let path = NarrowPath::start(runner);
-    let listed = path.address;
+    let proxy = HoldingProxy::start(runner);
+    let listed = proxy.address;
     deployment.standin.change_runner(runner, |it| it.listed_at = Some(listed));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     wait_until("streams are served", || stream(gateway, "first").whole);
-    // No chunk of the new version can be had.
+    // No chunk of the new version is available.
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
-    // What the gateway hears next is news and not from before its start.
-    thread::sleep(CALM);
+    // Changes after this wait are not taken for changes from before the start of the gateway.
+    thread::sleep(SETTLE_TIME);
     deployment.standin.name_version(2);
-    let bound = Instant::now() + VERSION;
+    let bound = Instant::now() + VERSION_BOUND;
 
-    sleep_until(bound - BEFORE);
-    path.hold(true);
-    let mut late = Caller::new(http::Method::POST, "/s/x", "late");
-    late.deadline_ms = 1000;
-    let answer = late.call(gateway);
-    assert!(!answer.whole || answer.status != 200, "nobody could serve it: {answer:?}");
-    assert!(path.has_held.load(Ordering::SeqCst), "the request was sent to the runner");
-    sleep_until(bound + BEHIND);
-    path.hold(false);
-    // What the path held has reached the runner by then.
+    sleep_until(bound - SENT_BEFORE_BOUND);
+    proxy.hold(true);
+    let mut request = Caller::new(http::Method::POST, "/s/x", "late");
+    request.deadline_ms = 1000;
+    let answer = request.call(gateway);
+    assert!(!answer.whole || answer.status != 200, "no runner could serve it: {answer:?}");
+    assert!(proxy.has_held.load(Ordering::SeqCst), "the request was sent to the runner");
+    sleep_until(bound + DELIVERED_AFTER_BOUND);
+    proxy.hold(false);
+    // By then the held bytes have reached the runner.
     thread::sleep(Duration::from_millis(500));
     let runs = deployment.standin.runs("late");
     let begun: Vec<Duration> =
         runs.iter().map(|it| it.at.saturating_duration_since(bound)).collect();
-    assert!(begun.is_empty(), "begun on version {} {begun:?} behind its bound", runs[0].version);
+    assert!(begun.is_empty(), "begun on version {} {begun:?} after its bound", runs[0].version);
 }
 
-/// How long before its bound a version is given up at the latest that cannot be replaced.
-const GIVEN_UP: Duration = Duration::from_millis(120);
+/// How long before its bound a version that cannot be replaced is given up at the latest.
+const GIVEN_UP_BEFORE_BOUND: Duration = Duration::from_millis(120);
 
-/// A gateway that rests between two questions to the store hears of a version up to a quarter of a second after it was
-/// named, and took it for named at that moment: every bound that followed lay as much too late. Seen where gateways logged
-/// a version 0.2 s after it was acknowledged, and the version before it was given up 0.1 s before its bound.
+/// Guards against a failure in which a gateway dated a version by the time at which it learned of it. A gateway
+/// that pauses between two calls to the store learns of a version up to a quarter of a second late, so that
+/// every later bound was late by the same time: a version was logged 0.2 s after its acknowledgement, and the
+/// version before it was given up only 0.1 s before its bound.
 #[test]
-fn a_version_that_is_named_while_a_gateway_rests_is_as_old_as_it_may_be() {
+fn a_version_set_while_a_gateway_pauses_is_dated_by_its_earliest_possible_time() {
     let mut deployment = Deployment::start();
     let runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     wait_until("streams are served", || stream(gateway, "first").whole);
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
-    thread::sleep(CALM);
-    // The gateway hears of this at once and rests then.
+    thread::sleep(SETTLE_TIME);
+    // The gateway learns of this change immediately and then pauses.
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(4001));
     thread::sleep(Duration::from_millis(30));
     deployment.standin.name_version(2);
-    let bound = Instant::now() + VERSION;
+    let bound = Instant::now() + VERSION_BOUND;
 
-    sleep_until(bound - GIVEN_UP);
+    sleep_until(bound - GIVEN_UP_BEFORE_BOUND);
     let taken = deployment.standin.runner(runner).map(|it| it.sequence);
     assert_eq!(taken, Some(1), "the order to give up version 1 has been taken");
 }
--- a/daemon/tests/deployment/bulk.rs
+++ b/daemon/tests/deployment/narrow_store_links.rs
@@ -1,4 +1,5 @@
-//! Gateways behind a narrow link to the store while much of the list of runners changes.
+//! Tests of processes whose link to the store is narrow while many runner entries change, and of sidecars that
+//! read the store.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,25 +13,25 @@
 
 use crate::support::{wait_until, Deployment};
 
-/// How long after its acknowledgement a configuration is in force.
-const CONFIGURATION: Duration = Duration::from_millis(2000);
-/// How many gateways share the link.
-const GATEWAYS: usize = 6;
-/// The link's bytes per second: the changes of all runners, once for each gateway, take it more than a second.
+/// Within what time after its acknowledgement a configuration must be in force.
+const CONFIGURATION_BOUND: Duration = Duration::from_millis(2000);
+/// Number of gateways that share the link.
+const GATEWAY_COUNT: usize = 6;
+/// Bandwidth of the link. The changes of all runners, once for each gateway, need it for more than a second.
 const LINK_BYTES_PER_S: u64 = 500_000;
-/// How many runners change all the time, and how often.
-const CHANGING: usize = 250;
-const CHANGE_EVERY: Duration = Duration::from_millis(250);
-/// How long the list changes before anything is asked of the gateways.
+/// Number of runner entries that change, and the interval between two changes.
+const CHANGING_RUNNERS: usize = 250;
+const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the list changes before the configuration changes.
 const WARM_UP: Duration = Duration::from_secs(8);
 
-/// How many sidecars start without a gateway. All of them ask the store within the same part of the time over which they
-/// spread one time in some ten thousand.
-const SIDECARS: u64 = 10;
-/// A part of that time.
-const INSTANT: Duration = Duration::from_millis(500);
+/// Number of sidecars that start without a gateway. The probability that all of them read the store within
+/// `OBSERVED_PERIOD` by chance is about 1 in 10,000.
+const SIDECAR_COUNT: u64 = 10;
+/// A part of the period over which the first reads of sidecars are spread.
+const OBSERVED_PERIOD: Duration = Duration::from_millis(500);
 
-/// Entries of runners that change until this is dropped.
+/// Changes runner entries until it is dropped.
 struct Churn {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -44,9 +45,9 @@
             let mut sequence = 0;
             while !stopped.load(Ordering::Relaxed) {
                 sequence += 1;
-                let rows = (0..CHANGING).map(|it| (format!("c{it}"), entry(it, sequence)));
+                let rows = (0..CHANGING_RUNNERS).map(|it| (format!("c{it}"), entry(it, sequence)));
                 standin.write_rows("servers", rows.collect());
-                thread::sleep(CHANGE_EVERY);
+                thread::sleep(CHANGE_INTERVAL);
             }
         });
         Self { stop, thread: Some(thread) }
@@ -60,7 +61,7 @@
     }
 }
 
-/// The entry of a runner of a service that nobody calls.
+/// Returns the entry of a runner of a service without requests.
 fn entry(number: usize, sequence: u64) -> Value {
     json!({
         "service": "elsewhere", "zone": "a", "address": format!("127.99.0.{number}:8001"),
@@ -78,16 +79,16 @@
     });
 }
 
-fn status_of_the_new_route(gateway: SocketAddr, id: &str) -> u16 {
+fn call_new_route(gateway: SocketAddr, id: &str) -> u16 {
     Caller::new(Method::GET, "/new/x", id).call(gateway).status
 }
 
-/// Feeds of the runners once filled the links between regions, so that the answers to feeds of the operators' table came
-/// later than those are waited for, again and again.
+/// Guards against a failure in which feeds of the runner list filled the links between regions, so that answers
+/// to feeds of the operators' table repeatedly arrived after their timeout.
 #[test]
 fn a_configuration_is_in_force_in_time_while_the_list_of_runners_fills_the_link() {
     let mut deployment = Deployment::start();
-    let gateways: Vec<SocketAddr> = (0..GATEWAYS).map(|_| deployment.add_gateway()).collect();
+    let gateways: Vec<SocketAddr> = (0..GATEWAY_COUNT).map(|_| deployment.add_gateway()).collect();
     for gateway in &gateways {
         deployment.wait_until_ready(*gateway);
     }
@@ -96,22 +97,27 @@
     thread::sleep(WARM_UP);
     add_route(&deployment.standin);
     let acknowledged = Instant::now();
-    thread::sleep(CONFIGURATION.saturating_sub(acknowledged.elapsed()));
+    thread::sleep(CONFIGURATION_BOUND.saturating_sub(acknowledged.elapsed()));
     let statuses: Vec<u16> =
-        gateways.iter().map(|it| status_of_the_new_route(*it, &format!("n{it}"))).collect();
-    assert_eq!(statuses, [200; GATEWAYS]);
+        gateways.iter().map(|it| call_new_route(*it, &format!("n{it}"))).collect();
+    assert_eq!(statuses, [200; GATEWAY_COUNT]);
 }
 
-/// Many sidecars once listed the runners in the same instant, in a fleet whose runners were not listed yet.
+/// Guards against a failure in which many sidecars listed the runners at the same moment, in a fleet whose
+/// runners were not listed yet.
 #[test]
-fn sidecars_without_a_gateway_do_not_read_the_store_all_at_once() {
+fn sidecars_without_a_gateway_spread_their_first_reads_of_the_store() {
     let mut deployment = Deployment::start();
-    for number in 0..SIDECARS {
+    for number in 0..SIDECAR_COUNT {
         deployment.add_model_runner(&format!("e{number}"), Some(1));
     }
     let standin = deployment.standin.clone();
     wait_until("the first sidecar reads the list", || standin.runner_reads() > 0);
-    thread::sleep(INSTANT);
-    assert!(standin.runner_reads() < SIDECARS, "{} of {SIDECARS}", standin.runner_reads());
-    wait_until("all sidecars have read it", || standin.runner_reads() >= SIDECARS);
+    thread::sleep(OBSERVED_PERIOD);
+    assert!(
+        standin.runner_reads() < SIDECAR_COUNT,
+        "{} of {SIDECAR_COUNT}",
+        standin.runner_reads()
+    );
+    wait_until("all sidecars have read it", || standin.runner_reads() >= SIDECAR_COUNT);
 }
--- a/daemon/tests/deployment/outages.rs
+++ b/daemon/tests/deployment/outages.rs
@@ -1,4 +1,4 @@
-//! Gateways while the store is away or slow, and after it.
+//! Tests of gateways during and after outages of the store, and with a slow store.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,49 +7,51 @@
 use platform_standin::{Caller, StoreFault};
 use serde_json::{json, Value};
 
-use crate::neighbour;
+use crate::machine_address;
 use crate::support::{wait_until, Deployment};
 
-/// How long after an outage of the store its changes are in force again, as the platform's bounds say.
-const CONTACT: Duration = Duration::from_millis(3000);
+/// Within what time after an outage of the store its changes must be in force, by the platform's bounds.
+const CONTACT_BOUND: Duration = Duration::from_millis(3000);
 
-/// How soon behind the answer that a history is gone its table is read, in milliseconds.
-const READ_AT_ONCE_MS: u64 = 300;
-/// When an answer has arrived that the store delivers late.
-const DELIVERED: Duration = Duration::from_millis(1000);
-/// How long an answer of the store confirms a configuration: the wait of a feed, the pause before it, and a margin.
-const CONFIRMED: Duration = Duration::from_millis(2500);
+/// Within what time after the answer that the history is lost its table is read, in milliseconds.
+const MAX_READ_DELAY_MS: u64 = 300;
+/// Time by which a delayed answer of the store has arrived.
+const DELIVERY_TIME: Duration = Duration::from_millis(1000);
+/// How long an answer of the store confirms a configuration: the wait of a feed, the pause before it, and a
+/// margin.
+const CONFIRMATION_PERIOD: Duration = Duration::from_millis(2500);
 
-/// Silences the store until it has taken so many calls for a table, and gives when it spoke again. The last
-/// of these calls was sent in its last moment and is lost.
-fn silence(deployment: &Deployment, table: &str, calls: u64) -> Instant {
+/// Silences the store until it has accepted `calls` calls for a table, all of which stay without an answer. The
+/// last one arrives shortly before the end of the silence. Returns the time at which the store answers again.
+fn silence_store(deployment: &Deployment, table: &str, calls: u64) -> Instant {
     let before = deployment.standin.unanswered_calls(table);
     deployment.standin.set_store_fault(StoreFault::Silent);
-    wait_until("the silent store has taken the calls", || {
+    wait_until("the silent store has accepted the calls", || {
         deployment.standin.unanswered_calls(table) >= before + calls
     });
     deployment.standin.set_store_fault(StoreFault::None);
     Instant::now()
 }
 
-/// Adds a route after an outage and gives what a caller of it gets as soon as it must be in force.
+/// Adds a route after an outage and returns the status of a call to it at the time at which it must be in
+/// force.
 fn status_of_a_new_route_after(calls: u64) -> u16 {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    let back = silence(&deployment, "op", calls);
+    let available_at = silence_store(&deployment, "op", calls);
     deployment.standin.reconfigure(|it| {
         let mut route = it["routes"][1].clone();
         route["name"] = json!("new");
         route["pathPrefix"] = json!("/new/");
         it["routes"].as_array_mut().unwrap().push(route);
     });
-    std::thread::sleep(CONTACT.saturating_sub(back.elapsed()));
+    std::thread::sleep(CONTACT_BOUND.saturating_sub(available_at.elapsed()));
     Caller::new(Method::GET, "/new/x", "n1").call(gateway).status
 }
 
-/// Found on the users' days (docs/incidents/obwwa-flood-config.md): a gateway refused a request by a
-/// configuration that had been replaced 3.1 s before. Its feed had been lost, and it waited for it.
+/// Guards against a failure in which a gateway waited for a lost feed and refused a request by a configuration
+/// that had been replaced 3.1 s before.
 #[test]
 fn a_configuration_is_in_force_in_time_though_a_feed_was_lost() {
     assert_eq!(status_of_a_new_route_after(1), 200);
@@ -61,14 +63,14 @@
 }
 
 #[test]
-fn a_runner_that_left_gets_nothing_in_time_though_a_feed_was_lost() {
+fn a_runner_that_left_gets_no_requests_in_time_though_a_feed_was_lost() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    let back = silence(&deployment, "servers", 1);
-    let leaving = SocketAddr::new(neighbour(gateway, 1), 8001);
+    let available_at = silence_store(&deployment, "servers", 1);
+    let leaving = SocketAddr::new(machine_address(gateway, 1), 8001);
     deployment.standin.change_runner(leaving, |it| it.draining = true);
-    std::thread::sleep(CONTACT.saturating_sub(back.elapsed()));
+    std::thread::sleep(CONTACT_BOUND.saturating_sub(available_at.elapsed()));
     for number in 0..20 {
         let id = format!("d{number}");
         assert_eq!(Caller::new(Method::GET, "/get/x", &id).call(gateway).status, 200);
@@ -76,10 +78,10 @@
     }
 }
 
-/// A gateway that does not hear the store cannot know that there is no such route or key. Callers take 404
-/// and 401 for final; another gateway may know better.
+/// A gateway without contact to the store cannot know that a route or key does not exist. Callers treat 404 and
+/// 401 as final, although another gateway may know of the route or key.
 #[test]
-fn what_an_unconfirmed_configuration_does_not_allow_is_not_refused_for_good() {
+fn a_gateway_without_store_contact_refuses_unknown_routes_and_keys_as_retryable() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -88,21 +90,23 @@
     no_key.key = "new".into();
     assert_eq!((no_route.call(gateway).status, no_key.call(gateway).status), (404, 401));
     deployment.standin.set_store_fault(StoreFault::Silent);
-    wait_until("the gateway misses the store", || no_route.call(gateway).status == 503);
+    wait_until("the gateway notices the outage", || no_route.call(gateway).status == 503);
     for caller in [&no_route, &no_key] {
         let answer = caller.call(gateway);
         assert_eq!(answer.status, 503);
         assert!(answer.headers.contains_key("retry-after"), "{answer:?}");
     }
     let known = Caller::new(Method::GET, "/get/x", "g1").call(gateway);
-    assert_eq!(known.status, 200, "what the configuration allows is served all the same");
+    assert_eq!(known.status, 200, "requests that the configuration allows are still served");
     deployment.standin.set_store_fault(StoreFault::None);
-    wait_until("the store is heard again", || no_route.call(gateway).status == 404);
+    wait_until("the gateway has contact to the store again", || {
+        no_route.call(gateway).status == 404
+    });
     assert_eq!(no_key.call(gateway).status, 401);
 }
 
 #[test]
-fn a_store_that_forgot_its_history_is_read_anew() {
+fn tables_are_read_again_after_the_store_lost_its_history() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
@@ -110,34 +114,35 @@
     deployment.standin.reconfigure(|it| it["routes"][1]["pathPrefix"] = serde_json::json!("/new/"));
     deployment.standin.forget_history();
     deployment.standin.set_store_fault(StoreFault::None);
-    wait_until("the new route holds", || {
+    wait_until("the new route is in force", || {
         Caller::new(Method::GET, "/new/x", "h1").call(gateway).status == 200
     });
     assert_eq!(Caller::new(Method::GET, "/get/x", "h2").call(gateway).status, 404);
 }
 
-/// When lines of a log on calls for a table tell this, in milliseconds.
-fn told_at(log: &str, table: &str, is_it: impl Fn(&Value) -> bool) -> Vec<u64> {
+/// Returns the times of the log lines on calls for a table that match, in milliseconds.
+fn log_times(log: &str, table: &str, matches: impl Fn(&Value) -> bool) -> Vec<u64> {
     let lines = log.lines().filter_map(|it| serde_json::from_str::<Value>(it).ok());
-    let lines = lines.filter(|it| it["table"] == table && is_it(it));
+    let lines = lines.filter(|it| it["table"] == table && matches(it));
     lines.filter_map(|it| it["ts_ms"].as_u64()).collect()
 }
 
-/// Callers were handled by a configuration that had been replaced (docs/incidents/mizani-tips-config.md).
+/// Guards against a failure in which requests were handled by a configuration that had been replaced.
 ///
-/// The store was away, and had forgotten its history when it was back. The first call that it answered was told so. That
-/// counted as one more call in a row that failed, so the gateway paused for up to 1.2 s and read the table only then. With
-/// the lost call and the pause before it a gateway could be deaf for longer than the contact time.
+/// The store came back from an outage without its history. The first answered call said so, and the gateway
+/// counted it as one more failed call in a row: it paused for up to 1.2 s before it read the table. Together
+/// with the lost call and the pause before it, a gateway could be without contact for longer than the contact
+/// bound.
 #[test]
-fn a_table_whose_history_is_gone_is_read_at_once_however_long_the_store_was_away() {
+fn a_table_whose_history_is_lost_is_read_immediately_after_a_long_outage() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     deployment.standin.set_store_fault(StoreFault::Busy);
-    let is_unheard = |it: &Value| it["message"] == "store not heard";
+    let is_failed_call = |it: &Value| it["message"] == "store not heard";
     for table in ["Operator", "Runners"] {
         wait_until("many calls in a row have failed", || {
-            told_at(&deployment.log(gateway.ip()), table, is_unheard).len() >= 6
+            log_times(&deployment.log(gateway.ip()), table, is_failed_call).len() >= 6
         });
     }
     deployment.standin.reconfigure(|it| it["routes"][1]["pathPrefix"] = json!("/new/"));
@@ -145,35 +150,36 @@
     deployment.standin.set_store_fault(StoreFault::None);
     wait_until("both tables are read", || {
         let log = deployment.log(gateway.ip());
-        let reads = |table| told_at(&log, table, |it| it["call"] == "list").len();
+        let reads = |table| log_times(&log, table, |it| it["call"] == "list").len();
         reads("Operator") >= 2 && reads("Runners") >= 2
     });
     let log = deployment.log(gateway.ip());
     for table in ["Operator", "Runners"] {
         let is_gone = |it: &Value| it["reason"].as_str().is_some_and(|it| it.contains("history"));
-        let gone_at = *told_at(&log, table, is_gone).last().expect("an answer that says so");
-        let read_at = *told_at(&log, table, |it| it["call"] == "list").last().unwrap();
-        assert!(read_at - gone_at <= READ_AT_ONCE_MS, "{table}: after {} ms", read_at - gone_at);
+        let gone_at = *log_times(&log, table, is_gone).last().expect("an answer that says so");
+        let read_at = *log_times(&log, table, |it| it["call"] == "list").last().unwrap();
+        assert!(read_at - gone_at <= MAX_READ_DELAY_MS, "{table}: after {} ms", read_at - gone_at);
     }
     assert_eq!(Caller::new(Method::GET, "/new/x", "n1").call(gateway).status, 200);
 }
 
-/// A gateway refused a request with 404 by a configuration that had been replaced
-/// (docs/incidents/mizani-tips-config.md).
+/// Guards against a failure in which a gateway refused a request with 404 by a configuration that had been
+/// replaced.
 ///
-/// The store made an answer without news and delivered it late; right after it had been made a new configuration was
-/// acknowledged, and the next call was lost. The gateway took the moment at which the answer arrived for the moment up to
-/// which it knew everything, and refused for good for as much longer as the answer had been late.
+/// The store made an answer without changes and delivered it late. A new configuration was acknowledged right
+/// after the answer was made, and the next call was lost. The gateway took the arrival of the answer for the
+/// time up to which it knew all changes, and so refused requests as final for longer, by the delay of the
+/// answer.
 #[test]
-fn an_answer_confirms_a_configuration_from_when_it_was_made() {
+fn an_answer_confirms_a_configuration_up_to_the_time_it_was_made() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     deployment.standin.set_store_fault(StoreFault::Late);
-    let made = || deployment.standin.late_answers("op");
-    // The first one may have been asked for before answers were late.
-    let before = made();
-    wait_until("an answer has been made", || made() > before + 1);
+    let late_answers = || deployment.standin.late_answers("op");
+    // The call of the first one may have been sent before answers were delayed.
+    let before = late_answers();
+    wait_until("an answer has been made", || late_answers() > before + 1);
     deployment.standin.set_store_fault(StoreFault::Silent);
     deployment.standin.reconfigure(|it| {
         let mut route = it["routes"][1].clone();
@@ -183,22 +189,22 @@
     });
     let replaced = Instant::now();
     let caller = Caller::new(Method::GET, "/new/x", "n1");
-    std::thread::sleep(DELIVERED.saturating_sub(replaced.elapsed()));
+    std::thread::sleep(DELIVERY_TIME.saturating_sub(replaced.elapsed()));
     assert_eq!(caller.call(gateway).status, 404, "the gateway cannot know yet");
-    std::thread::sleep(CONFIRMED.saturating_sub(replaced.elapsed()));
+    std::thread::sleep(CONFIRMATION_PERIOD.saturating_sub(replaced.elapsed()));
     assert_eq!(caller.call(gateway).status, 503);
 }
 
-/// Entries of runners lapse while they cannot reach the store, and those of the living are back soon after
-/// it is.
+/// Entries of runners expire while the runners cannot reach the store, and live runners write theirs again soon
+/// after it is back.
 #[test]
-fn runners_whose_entries_lapsed_in_an_outage_serve_on() {
+fn runners_whose_entries_expired_in_an_outage_still_serve() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    let machines = [1, 2].map(|it| SocketAddr::new(neighbour(gateway, it), 8001));
+    let machines = [1, 2].map(|it| SocketAddr::new(machine_address(gateway, it), 8001));
     deployment.standin.set_store_fault(StoreFault::Busy);
-    // The gateway's feed ends within five seconds, and then it knows.
+    // The gateway's feed ends within five seconds, and then the gateway knows of the outage.
     std::thread::sleep(Duration::from_millis(6000));
     machines.iter().for_each(|it| deployment.standin.unlist_runner(*it));
     deployment.standin.set_store_fault(StoreFault::None);
@@ -212,17 +218,21 @@
     for number in 0..10 {
         let id = format!("m{number}");
         assert_eq!(Caller::new(Method::GET, "/get/x", &id).call(gateway).status, 200);
-        assert_eq!(deployment.standin.runs(&id)[0].runner, "l1", "the other one is gone for good");
+        assert_eq!(
+            deployment.standin.runs(&id)[0].runner,
+            "l1",
+            "the other runner did not come back"
+        );
     }
 }
 
-/// Found by a hunt on obwwa-flood (trouble-1 under seed 851966277042): a gateway that had been cut off kept
-/// a runner that had left meanwhile, and sent it a request 2.9 s later.
+/// Guards against a failure in which a gateway kept a runner that had left while the gateway was disconnected,
+/// and sent it a request 2.9 s later.
 #[test]
 fn a_single_runner_that_left_during_an_outage_is_gone_at_once() {
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
-    let machine = |it: u8| SocketAddr::new(neighbour(gateway, it), 8001);
+    let machine = |it: u8| SocketAddr::new(machine_address(gateway, it), 8001);
     deployment.standin.add_runner(machine(3), platform_standin::Engine::plain("l3", "ledger", "a"));
     deployment.wait_until_ready(gateway);
     wait_until("the gateway knows all three", || {
@@ -241,10 +251,11 @@
     }
 }
 
-/// Found on a grown site: a configuration of 1,489 routes took longer than a listing might, was given up
-/// on and asked for again, and gateways that had started were not ready forty seconds later.
+/// Guards against a failure in which the transfer of a configuration of 1,489 routes took longer than the
+/// timeout of a listing and was repeated from the start, so that restarted gateways were not ready forty
+/// seconds later.
 #[test]
-fn a_configuration_that_arrives_slowly_is_read_all_the_same() {
+fn a_configuration_that_arrives_slowly_is_read_completely() {
     let mut deployment = Deployment::start();
     deployment.standin.set_store_fault(StoreFault::Narrow);
     let gateway = deployment.add_gateway();
--- a/daemon/tests/deployment/rests.rs
+++ b/daemon/tests/deployment/rests.rs
@@ -1,10 +1,10 @@
-//! Runners that turn requests away and ask for rest.
+//! Tests of runners that reject requests and ask for a rest period.
 //!
-//! Four of twelve runners shed load for eight seconds: they answered 503 and asked each gateway for three seconds of rest.
-//! The gateways went on sending them up to 37 requests a second, each, and one caller in ten was refused though the other
-//! eight had room. A runner that turns everything away is idle, so it looked like the best one; the pause after each refusal
-//! was 60 ms, whatever the runner asked for. What proved the cause: gateways' lines in which such a runner is chosen with no
-//! request there and fails 3 ms later, at an even rate, both attempts of a request in a row.
+//! The failure: four of twelve runners shed load for eight seconds. They answered 503 and asked each gateway
+//! for three seconds of rest, but each gateway went on sending them up to 37 requests a second, and one caller
+//! in ten was refused although the other eight runners had free slots. The cause: a runner that rejects all
+//! requests is idle and so ranked best, and gateways paused only 60 ms after a refusal, whatever the runner
+//! asked for. Both attempts of a request could fail in this way, each about 3 ms after its start.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,82 +12,94 @@
 use http::Method;
 use platform_standin::{Caller, TurnedAway};
 
-use crate::neighbour;
+use crate::machine_address;
 use crate::support::{stream, wait_until, Deployment};
 
-/// How long the runner wants to be left alone.
-const REST: Duration = Duration::from_millis(2000);
-/// How long after its answer requests may still be on their way.
-const TRANSIT: Duration = Duration::from_millis(500);
-/// How many requests may reach it in one such time.
-const MOST_DURING_REST: usize = 2;
-/// Requests that are served before, so that a gateway that has just started may repeat a few: 0.15 for each request.
+/// Rest period that the runner asks for.
+const REST_PERIOD: Duration = Duration::from_millis(2000);
+/// How long after a rejection requests may still be in transit and are not counted.
+const TRANSIT_PERIOD: Duration = Duration::from_millis(500);
+/// Maximum number of requests that may reach the runner in one rest period.
+const MAX_DURING_REST: usize = 2;
+/// Number of requests served first. Each one allows 0.15 retries, so that a gateway that has just started may
+/// retry some requests.
 const SERVED_BEFORE: usize = 30;
-/// How long it sheds.
-const SPAN: Duration = Duration::from_millis(5000);
-/// The pause between two calls.
-const PAUSE: Duration = Duration::from_millis(10);
-/// Within how long after its last rest it serves again.
-const BACK: Duration = Duration::from_millis(1500);
+/// How long the runner rejects requests.
+const SHEDDING_PERIOD: Duration = Duration::from_millis(5000);
+/// Pause between two calls.
+const CALL_PAUSE: Duration = Duration::from_millis(10);
+/// Within what time after its last rest period the runner serves again.
+const RECOVERY_BOUND: Duration = Duration::from_millis(1500);
 
-/// How many requests reached the runner within the rest that it asked for with one answer.
-fn arrivals_during(answer: &TurnedAway, all: &[TurnedAway]) -> usize {
-    let rest = answer.at + TRANSIT..answer.at + answer.rest;
+/// Counts the requests that reached the runner within the rest period of one rejection.
+fn count_during_rest(answer: &TurnedAway, all: &[TurnedAway]) -> usize {
+    let rest = answer.at + TRANSIT_PERIOD..answer.at + answer.rest;
     all.iter().filter(|it| it.runner == answer.runner && rest.contains(&it.at)).count()
 }
 
-/// Has a runner shed while callers go on, and checks that it is left alone, that callers are served, and that it is used
-/// again afterwards.
-fn expect_rest(deployment: &Deployment, runner: SocketAddr, call: impl Fn(&str) -> u16) {
+/// Makes a runner reject requests while callers go on. Checks that it receives almost no requests during rest
+/// periods, that callers are served, and that it is used again afterwards.
+fn expect_rest_is_respected(
+    deployment: &Deployment,
+    runner: SocketAddr,
+    call: impl Fn(&str) -> u16,
+) {
     let id = deployment.standin.runner(runner).expect("the runner is there").id;
     for number in 0..SERVED_BEFORE {
         call(&format!("{id}-{number}"));
     }
     wait_for_run(deployment, &id, "before", &call);
-    deployment.standin.change_runner(runner, |it| it.sheds = Some(REST));
+    deployment.standin.change_runner(runner, |it| it.sheds = Some(REST_PERIOD));
     let begun = Instant::now();
     let mut refused = 0;
     for number in 0.. {
         refused += usize::from(call(&format!("during-{number}")) != 200);
-        if begun.elapsed() > SPAN {
+        if begun.elapsed() > SHEDDING_PERIOD {
             break;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(CALL_PAUSE);
     }
     let all: Vec<_> =
         deployment.standin.turned_away().into_iter().filter(|it| it.runner == id).collect();
     assert!(!all.is_empty(), "{id} was asked");
-    let most = all.iter().map(|it| arrivals_during(it, &all)).max().unwrap_or(0);
-    assert!(most <= MOST_DURING_REST, "{most} requests reached {id} within {REST:?} of rest");
-    assert_eq!(refused, 0, "the others serve");
+    let max_requests = all.iter().map(|it| count_during_rest(it, &all)).max().unwrap_or(0);
+    assert!(
+        max_requests <= MAX_DURING_REST,
+        "{max_requests} requests reached {id} within {REST_PERIOD:?} of rest"
+    );
+    assert_eq!(refused, 0, "the other runners serve all requests");
     deployment.standin.change_runner(runner, |it| it.sheds = None);
-    std::thread::sleep(REST);
-    let rested = Instant::now();
+    std::thread::sleep(REST_PERIOD);
+    let rest_ended_at = Instant::now();
     wait_for_run(deployment, &id, "afterwards", &call);
-    assert!(rested.elapsed() < BACK, "{id} serves again after {:?}", rested.elapsed());
+    assert!(
+        rest_ended_at.elapsed() < RECOVERY_BOUND,
+        "{id} serves again after {:?}",
+        rest_ended_at.elapsed()
+    );
 }
 
-/// Calls until the runner runs one of the requests.
-fn wait_for_run(deployment: &Deployment, id: &str, word: &str, call: impl Fn(&str) -> u16) {
+/// Repeats calls until the runner runs one of the requests.
+fn wait_for_run(deployment: &Deployment, id: &str, phase: &str, call: impl Fn(&str) -> u16) {
     let mut number = 0;
     wait_until(&format!("{id} serves"), || {
         number += 1;
-        let request = format!("{id}-{word}-{number}");
+        let request = format!("{id}-{phase}-{number}");
         call(&request);
         deployment.standin.runs(&request).iter().any(|it| it.runner == id)
     });
 }
 
 #[test]
-fn a_runner_that_asks_for_rest_is_left_alone_until_it_is_over() {
+fn a_runner_gets_no_requests_during_the_rest_period_that_it_asks_for() {
     let mut deployment = Deployment::start();
     let model = deployment.add_model_runner("e1", Some(1));
     deployment.add_model_runner("e2", Some(1));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    expect_rest(&deployment, model, |id| stream(gateway, id).status);
-    let plain = SocketAddr::new(neighbour(gateway, 1), 8001);
-    expect_rest(&deployment, plain, |id| {
+    expect_rest_is_respected(&deployment, model, |id| stream(gateway, id).status);
+    let plain = SocketAddr::new(machine_address(gateway, 1), 8001);
+    expect_rest_is_respected(&deployment, plain, |id| {
         Caller::new(Method::GET, "/get/x", id).call(gateway).status
     });
 }
--- a/daemon/tests/deployment/lives.rs
+++ b/daemon/tests/deployment/runner_restarts.rs
@@ -1,9 +1,9 @@
-//! Runners that start again under the name that they had, before gateways and sidecars as processes.
+//! Test of runners that restart under the same id, with gateways and sidecars as processes.
 
 use crate::support::{is_whole_stream, stream, wait_until, Deployment};
 
 #[test]
-fn a_runner_that_starts_again_under_its_name_gets_its_weights_anew_and_serves() {
+fn a_runner_restarted_under_its_id_gets_its_weights_again_and_serves() {
     let mut deployment = Deployment::start();
     let first = deployment.add_model_runner("e1", Some(1));
     let second = deployment.add_model_runner("e2", Some(1));
@@ -13,13 +13,13 @@
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     wait_until("streams are served", || is_whole_stream(&stream(gateway, "w"), "w"));
-    // As many orders taken as before: none.
+    // The sequence of taken orders is the same as before the restart: zero.
     deployment.standin.change_runner(first, |it| it.restart("e1"));
     deployment.wait_for_version(first, 1);
-    let page = || deployment.metrics(first.ip());
-    wait_until("the sidecar has told of it", || page().contains("change=\"began\""));
+    let metrics = || deployment.metrics(first.ip());
+    wait_until("the sidecar has reported the restart", || metrics().contains("change=\"began\""));
     deployment.standin.change_runner(second, |it| it.draining = true);
-    wait_until("the new life serves", || {
+    wait_until("the restarted runner serves", || {
         is_whole_stream(&stream(gateway, "n"), "n")
             && deployment.standin.runs("n").last().is_some_and(|it| it.runner == "e1")
     });
--- a/daemon/tests/deployment/starts_between_versions.rs
+++ b/daemon/tests/deployment/starts_between_versions.rs
@@ -1,10 +1,10 @@
-//! Processes that start between two namings of versions.
+//! Tests of processes that start after two changes of the target version and before the bound of the first one.
 //!
-//! Two versions are named 2.5 s apart, and a sidecar and a gateway start anew behind the second naming. The store's row,
-//! the record of when a version was first heard of and what processes told each other spoke of the newest version alone,
-//! so neither knew that the one before binds earlier: a request began on the version before both behind the first bound.
-//! Found by looking for the cause of requests on old weights elsewhere: a process knows of a bound only what it has heard
-//! itself.
+//! The failure: the target version changed twice within 2.5 s, and a sidecar and a gateway restarted after the
+//! second change. The row in the store, the record of when a version was first seen, and the messages between
+//! processes mentioned only the newest version. A process knows only the bounds that it has learned of itself,
+//! so neither knew of the earlier bound of the first change, and a request began on the oldest version after
+//! that bound.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -15,61 +15,63 @@
 use crate::support::{stream, wait_until, Deployment};
 
 /// How long requests may begin on an older version, by the settings of the deployment.
-const VERSION: Duration = Duration::from_millis(8000);
-/// How long after the first version the second one is named.
-const APART: Duration = Duration::from_millis(2500);
-/// How long after that the processes lose power.
-const LOSS: Duration = Duration::from_millis(500);
-/// How long after its start a gateway has heard that nothing older is left.
-const CALM: Duration = Duration::from_millis(2500);
+const VERSION_BOUND: Duration = Duration::from_millis(8000);
+/// Time between the two changes of the target version.
+const VERSION_INTERVAL: Duration = Duration::from_millis(2500);
+/// Time between the second change and the power loss.
+const POWER_LOSS_DELAY: Duration = Duration::from_millis(500);
+/// How long after its start a gateway knows that no older version is left.
+const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
-/// A runner on version 1 that can get no other, with two gateways, of which one starts anew with the sidecar.
-fn lose_power_between(others_live: bool) -> (Deployment, SocketAddr, Instant) {
+/// Starts a runner on version 1 that cannot get another version, and two gateways, and changes the target
+/// version twice. Then one gateway and the sidecar lose power and restart, and the other gateway too unless
+/// `other_gateway_survives` is set. Returns the restarted gateway and the bound of version 1.
+fn lose_power_between_versions(other_gateway_survives: bool) -> (Deployment, SocketAddr, Instant) {
     let mut deployment = Deployment::start();
     let runner = deployment.add_model_runner("e1", Some(1));
-    let (steady, starting) = (deployment.add_gateway(), deployment.add_gateway());
-    deployment.wait_until_ready(steady);
-    deployment.wait_until_ready(starting);
-    wait_until("streams are served", || stream(starting, "first").whole);
+    let (other_gateway, restarted_gateway) = (deployment.add_gateway(), deployment.add_gateway());
+    deployment.wait_until_ready(other_gateway);
+    deployment.wait_until_ready(restarted_gateway);
+    wait_until("streams are served", || stream(restarted_gateway, "first").whole);
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
-    thread::sleep(CALM);
+    thread::sleep(SETTLE_TIME);
     deployment.standin.name_version(2);
-    let bound = Instant::now() + VERSION;
-    thread::sleep(APART);
+    let bound = Instant::now() + VERSION_BOUND;
+    thread::sleep(VERSION_INTERVAL);
     deployment.standin.name_version(3);
-    thread::sleep(LOSS);
-    let mut lost = vec![runner.ip(), starting.ip()];
-    if !others_live {
-        lost.push(steady.ip());
+    thread::sleep(POWER_LOSS_DELAY);
+    let mut lost_machines = vec![runner.ip(), restarted_gateway.ip()];
+    if !other_gateway_survives {
+        lost_machines.push(other_gateway.ip());
     }
-    deployment.lose_power(&lost);
-    deployment.wait_until_ready(starting);
-    (deployment, starting, bound)
+    deployment.kill_and_restart(&lost_machines);
+    deployment.wait_until_ready(restarted_gateway);
+    (deployment, restarted_gateway, bound)
 }
 
-/// Calls from shortly before the first bound until the second one, and expects that nothing begins on version 1 behind the
-/// first.
+/// Sends streams from the first bound until the second one, and checks that nothing began on version 1 after
+/// the first one.
 fn expect_bound(deployment: &Deployment, gateway: SocketAddr, bound: Instant) {
     thread::sleep(bound.saturating_duration_since(Instant::now()));
     let mut number = 0;
-    while Instant::now() < bound + APART {
+    while Instant::now() < bound + VERSION_INTERVAL {
         number += 1;
         stream(gateway, &format!("late-{number}"));
     }
     let runs = deployment.standin.all_runs().into_values().flatten();
     let late: Vec<Duration> = runs.filter_map(|it| it.at.checked_duration_since(bound)).collect();
-    assert!(late.is_empty(), "begun on version 1 {late:?} behind its bound");
+    assert!(late.is_empty(), "begun on version 1 {late:?} after its bound");
 }
 
 #[test]
-fn processes_that_start_between_two_versions_are_told_of_both() {
-    let (deployment, gateway, bound) = lose_power_between(true);
+fn processes_started_between_two_versions_learn_of_both_from_others() {
+    let (deployment, gateway, bound) = lose_power_between_versions(true);
     expect_bound(&deployment, gateway, bound);
 }
 
-/// The same where nobody is left who heard of the first version: only the record in the store outlasts them.
+/// No process that knew the first version is left, so only the record in the store has it.
 #[test]
-fn processes_that_all_start_between_two_versions_find_both_in_the_record() {
-    let (deployment, gateway, bound) = lose_power_between(false);
+fn processes_find_both_versions_in_the_record_if_all_of_them_restarted() {
+    let (deployment, gateway, bound) = lose_power_between_versions(false);
     expect_bound(&deployment, gateway, bound);
 }
--- a/examples/slopes/spread.rs
+++ b/examples/slopes/spread.rs
@@ -10,7 +10,7 @@
 use crate::table::{heap_bytes, micros, print_header, print_row};
 
 /// Numbers of chunks and receivers.
-const SIZES: [(u32, usize); 6] =
+const CHUNK_AND_RECEIVER_COUNTS: [(u32, usize); 6] =
     [(256, 270), (1024, 270), (4096, 270), (8192, 270), (1024, 50), (1024, 600)];
 /// Size of a chunk, in bytes.
 const CHUNK_BYTES: u32 = 64;
@@ -55,7 +55,7 @@
 /// Measures and prints the table.
 pub fn measure() {
     print_header("spread", &["chunks", "receivers", "state bytes", "chunk us", "review us"]);
-    for (chunks, receivers) in SIZES {
+    for (chunks, receivers) in CHUNK_AND_RECEIVER_COUNTS {
         let manifest = manifest(chunks);
         let state = heap_bytes(|| spread(&manifest, receivers));
         let mut distribution = spread(&manifest, receivers);
--- a/examples/soak/checker/quarantine.rs
+++ b/examples/soak/checker/quarantine.rs
@@ -7,7 +7,7 @@
 use crate::history::{History, Kind, Request};
 
 /// Number of crashes after which a request is not sent to runners any more.
-const QUARANTINE_AT: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 /// How long after its start such a request crashes its runner.
 const CRASH_AFTER: Duration = Duration::from_millis(30);
 /// Within what time every gateway must know of a crash.
@@ -29,7 +29,7 @@
     let late = runs.into_iter().filter_map(|(number, mut runs)| {
         runs.sort_by_key(|it| it.0);
         // Each run crashes its runner.
-        let known_from = runs.get(QUARANTINE_AT - 1)?.0 + CRASH_AFTER + CRASH_NOTICE_BOUND;
+        let known_from = runs.get(QUARANTINE_CRASHES - 1)?.0 + CRASH_AFTER + CRASH_NOTICE_BOUND;
         let is_late = |(at, request): &&(Duration, &Request)| {
             *at > known_from && request.sent > known_from && is_undisturbed(history, request)
         };
