--- a/examples/burst/report.rs
+++ b/examples/burst/report.rs
@@ -52,7 +52,7 @@
 }
 
 impl Report {
-    /// Counts one answer. `known` holds the digests of the complete versions.
+    /// Counts one answer. `known_digests` holds the digests of the complete versions.
     pub fn count(&mut self, answer: &ChatAnswer, known_digests: &[String]) {
         self.requests += 1;
         match answer.ending {
--- a/examples/http_cases/cases.rs
+++ b/examples/http_cases/cases.rs
@@ -12,7 +12,7 @@
 /// Bytes sent to a server.
 pub struct ServerCase {
     pub name: &'static str,
-    pub right: &'static str,
+    pub expected: &'static str,
     pub bytes: fn() -> String,
 }
 
@@ -20,7 +20,7 @@
 /// after them.
 pub struct ClientCase {
     pub name: &'static str,
-    pub right: &'static str,
+    pub expected: &'static str,
     pub script: Script,
 }
 
@@ -29,10 +29,10 @@
 pub type Script = &'static [(&'static str, bool)];
 
 pub const SERVER_CASES: &[ServerCase] = &[
-    ServerCase { name: "a head of 100 KB", right: "431 or closed", bytes: long_head },
+    ServerCase { name: "a head of 100 KB", expected: "431 or closed", bytes: long_head },
     ServerCase {
         name: "two lengths that differ",
-        right: "400",
+        expected: "400",
         bytes: || {
             "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 40\r\n\r\nabc"
                 .into()
@@ -40,31 +40,31 @@
     },
     ServerCase {
         name: "a length and chunks, a request behind",
-        right: "400, or chunks rule and close",
+        expected: "400, or chunks rule and close",
         bytes: || {
             "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n".into()
         },
     },
     ServerCase {
         name: "a header twice",
-        right: "both values",
+        expected: "both values",
         bytes: || {
             "GET / HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nX-A: 2\r\nContent-Length: 0\r\n\r\n".into()
         },
     },
     ServerCase {
         name: "two requests at once",
-        right: "two answers in order",
+        expected: "two answers in order",
         bytes: || "GET /one HTTP/1.1\r\nHost: h\r\n\r\nGET /two HTTP/1.1\r\nHost: h\r\n\r\n".into(),
     },
     ServerCase {
         name: "Connection: close",
-        right: "answer, then closed",
+        expected: "answer, then closed",
         bytes: || "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".into(),
     },
     ServerCase {
         name: "a bad chunk length",
-        right: "400 or closed",
+        expected: "400 or closed",
         bytes: || {
             "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n"
                 .into()
@@ -77,32 +77,32 @@
 pub const CLIENT_CASES: &[ClientCase] = &[
     ClientCase {
         name: "neither length nor chunks",
-        right: "the body up to the end",
+        expected: "the body up to the end",
         script: &[("HTTP/1.1 200 OK\r\n\r\nabcdef", true)],
     },
     ClientCase {
         name: "cut before its length",
-        right: "an error",
+        expected: "an error",
         script: &[("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", true)],
     },
     ClientCase {
         name: "cut within its chunks",
-        right: "an error",
+        expected: "an error",
         script: &[("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", true)],
     },
     ClientCase {
         name: "100 before the answer",
-        right: "the answer",
+        expected: "the answer",
         script: &[("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", true)],
     },
     ClientCase {
         name: "two requests",
-        right: "one connection",
+        expected: "one connection",
         script: &[(OK_RESPONSE, false), (OK_RESPONSE, false)],
     },
     ClientCase {
         name: "one answer too many, then a request",
-        right: "not the extra one",
+        expected: "not the extra one",
         script: &[
             ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra", false),
             (OK_RESPONSE, false),
@@ -110,7 +110,7 @@
     },
     ClientCase {
         name: "bytes that are no answer",
-        right: "an error",
+        expected: "an error",
         script: &[("\u{1}\u{2}nonsense\r\n\r\n", true)],
     },
 ];
--- a/examples/http_cases/main.rs
+++ b/examples/http_cases/main.rs
@@ -12,15 +12,15 @@
 fn main() {
     println!("| side | case | what is right | async-h1 | hyper |");
     println!("| --- | --- | --- | --- | --- |");
-    for ServerCase { name, right, bytes } in SERVER_CASES {
+    for ServerCase { name, expected, bytes } in SERVER_CASES {
         let bytes = bytes();
         let async_h1_result = cases::run_server_case(&bytes, async_h1_side::serve);
         let hyper_result = cases::run_server_case(&bytes, hyper_side::serve);
-        println!("| server | {name} | {right} | {async_h1_result} | {hyper_result} |");
+        println!("| server | {name} | {expected} | {async_h1_result} | {hyper_result} |");
     }
-    for ClientCase { name, right, script } in CLIENT_CASES {
+    for ClientCase { name, expected, script } in CLIENT_CASES {
         let async_h1_result = cases::run_client_case(script, async_h1_side::call);
         let hyper_result = cases::run_client_case(script, hyper_side::call);
-        println!("| client | {name} | {right} | {async_h1_result} | {hyper_result} |");
+        println!("| client | {name} | {expected} | {async_h1_result} | {hyper_result} |");
     }
 }
--- a/examples/requests/load.rs
+++ b/examples/requests/load.rs
@@ -15,8 +15,7 @@
 /// Number of distinct prompt prefixes, and the length of a prefix in bytes.
 const PREFIXES: u64 = 40;
 const PREFIX_BYTES: usize = 512;
-/// Percentage of requests that are completions, and that are `POST` calls to the till service. The rest are
-/// payslip queries.
+/// Percentage of completions and of till requests among all requests. The rest are payslip queries.
 const CHAT_PERCENT: u32 = 70;
 const POST_PERCENT: u32 = 20;
 /// Percentage of till requests that carry an idempotency key and are sent twice.
@@ -59,8 +58,8 @@
 
 /// A request before it is sent.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// Its kind.
+pub struct PlannedRequest {
+    /// The kind.
     pub kind: Kind,
     /// The prompt or the body, unique to the request.
     pub text: String,
@@ -68,7 +67,7 @@
     pub key: Option<String>,
 }
 
-impl Planned {
+impl PlannedRequest {
     /// Generates the next request at random.
     pub fn generate(random: &mut StdRng, number: usize) -> Self {
         let percentile = random.random_range(0..100);
@@ -91,7 +90,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The request.
-    pub planned: Planned,
+    pub planned: PlannedRequest,
     /// The ending of each attempt.
     pub endings: Vec<Ending>,
     /// Whether the first attempt was answered completely and in time.
@@ -104,7 +103,7 @@
 
 /// Sends a request. `late` is the delay between its intended and its real send time; it counts as waiting time.
 pub async fn send(
-    planned: Planned,
+    planned: PlannedRequest,
     entries: &[SocketAddr],
     number: usize,
     late: Duration,
@@ -138,7 +137,7 @@
     Outcome { planned, endings, on_time, first_token: None, longest_gap: Duration::ZERO }
 }
 
-async fn chat(planned: Planned, entry: SocketAddr, late: Duration) -> Outcome {
+async fn chat(planned: PlannedRequest, entry: SocketAddr, late: Duration) -> Outcome {
     let caller = ChatCaller {
         address: entry,
         model: MODEL.to_owned(),
--- a/examples/requests/run.rs
+++ b/examples/requests/run.rs
@@ -17,7 +17,7 @@
 
 use crate::args::Args;
 use crate::faults::inject_faults;
-use crate::load::{send, Kind, Outcome, Planned, ANSWER_TOKENS, MODEL};
+use crate::load::{send, Kind, Outcome, PlannedRequest, ANSWER_TOKENS, MODEL};
 use crate::overhead;
 use crate::report::Report;
 
@@ -136,7 +136,7 @@
     while next_send_s < args.seconds {
         Timer::at(start + Duration::from_secs_f64(next_send_s)).await;
         let late = start.elapsed().saturating_sub(Duration::from_secs_f64(next_send_s));
-        let planned = Planned::generate(&mut random, sent);
+        let planned = PlannedRequest::generate(&mut random, sent);
         let (outcomes, entries) = (outcomes.clone(), entries.clone());
         let call = async move {
             let outcome = send(planned, &entries, sent, late).await;
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -167,7 +167,7 @@
 
 /// The sizes of the fleet that a plan is made for.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
+pub struct FleetSizes {
     /// Number of gateways and sidecars.
     pub processes: usize,
     /// Number of model runners.
@@ -176,7 +176,7 @@
     pub runners: usize,
 }
 
-impl Sizes {
+impl FleetSizes {
     /// Number of gateways: the processes that are not the sidecar of a model runner.
     fn gateways(self) -> usize {
         self.processes - self.models
@@ -184,7 +184,7 @@
 }
 
 /// Plans the faults of a run.
-pub fn plan(seed: u64, span: Duration, sizes: Sizes, kinds: &[&str]) -> Vec<PlannedFault> {
+pub fn plan(seed: u64, span: Duration, sizes: FleetSizes, kinds: &[&str]) -> Vec<PlannedFault> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut planned = Vec::new();
     let mut at = Duration::from_millis(FIRST_FAULT_MS);
@@ -198,7 +198,7 @@
     planned
 }
 
-fn random_fault(random: &mut SmallRng, kind: &str, sizes: Sizes) -> Fault {
+fn random_fault(random: &mut SmallRng, kind: &str, sizes: FleetSizes) -> Fault {
     let process = random.random_range(0..sizes.processes);
     let runner = random.random_range(0..sizes.runners);
     let model = random.random_range(0..sizes.models);
--- a/examples/soak/run.rs
+++ b/examples/soak/run.rs
@@ -12,7 +12,7 @@
 use crate::callers::{self, Shared};
 use crate::checker::{check, Violation};
 use crate::fault_injector::FaultInjector;
-use crate::faults::{plan, Sizes, FAULT_KINDS};
+use crate::faults::{plan, FleetSizes, FAULT_KINDS};
 use crate::fleet::Fleet;
 use crate::history::{History, Leaving, LimitNotice, Run, TurnedAway};
 
@@ -63,7 +63,7 @@
 pub fn run(args: &Args, seed: u64) -> eyre::Result<Report> {
     let mut fleet = Fleet::start(args.processes, seed, args.program.clone(), args.old.clone())?;
     thread::sleep(WARM_UP);
-    let sizes = Sizes {
+    let sizes = FleetSizes {
         processes: fleet.gateways.len() + fleet.sidecars.len(),
         models: fleet.sidecars.len(),
         runners: fleet.runners.len(),
