--- a/examples/soak/checker/answers.rs
+++ b/examples/soak/checker/answers.rs
@@ -7,8 +7,8 @@
 
 /// Workspace to which the callers' key belongs.
 const WORKSPACE: &str = "t1";
-/// A request that has no run and gets no answer within this time may have crossed the regular close of its
-/// connection; it does not count as cut off.
+/// A request without a run that is lost within this time may have crossed the regular close of its connection;
+/// it does not count as cut off.
 const CLOSE_RACE_PERIOD: Duration = Duration::from_millis(200);
 /// How long a gateway continues requests after it has been asked to stop.
 const STOP_PERIOD: Duration = Duration::from_millis(8000);
--- a/examples/soak/checker/configuration.rs
+++ b/examples/soak/checker/configuration.rs
@@ -33,10 +33,10 @@
 /// Within one run of a process, an older configuration never replaces a newer one.
 pub(super) fn check_configuration(history: &History) -> Vec<Violation> {
     let mut newest: BTreeMap<(usize, u32), (u64, Duration)> = BTreeMap::new();
-    let mut probes: Vec<&Request> = history.requests.iter().collect();
-    probes.sort_by_key(|it| it.ended);
+    let mut requests: Vec<&Request> = history.requests.iter().collect();
+    requests.sort_by_key(|it| it.ended);
     let mut violations = Vec::new();
-    for request in probes {
+    for request in requests {
         let Kind::Probe(version) = request.kind else {
             continue;
         };
