--- a/components/edge/src/sidecar/fetches.rs
+++ b/components/edge/src/sidecar/fetches.rs
@@ -8,7 +8,7 @@
 use errors::{Code, Error, Result};
 use fleet::{InstanceId, Manifest};
 use platform::weights;
-use reducer::{Draw, DrawSource};
+use reducer::{Fetch, FetchSource};
 use rollout::{Event, ManifestSource};
 use uptime::Instant;
 
@@ -76,19 +76,19 @@
 }
 
 /// Fetches a chunk.
-pub async fn fetch_chunk(core: Core, version: u64, draw: Draw) {
-    let until = core.clock.instant(draw.deadline);
-    let fetched = match &draw.source {
-        DrawSource::Origin => chunk_from_origin(&core, version, draw.index, until).await,
-        DrawSource::Peer(id, address) => {
-            chunk_from_peer(&core, id, *address, version, draw.index, until).await
+pub async fn fetch_chunk(core: Core, version: u64, fetch: Fetch) {
+    let until = core.clock.instant(fetch.deadline);
+    let fetched = match &fetch.source {
+        FetchSource::Origin => chunk_from_origin(&core, version, fetch.index, until).await,
+        FetchSource::Peer(id, address) => {
+            chunk_from_peer(&core, id, *address, version, fetch.index, until).await
         }
     };
-    let Draw { index, source, .. } = draw;
+    let Fetch { index, source, .. } = fetch;
     match fetched {
         Ok(bytes) => {
             let verified = core.chunks.borrow_mut().insert(version, index, bytes);
-            let is_from_origin = source == DrawSource::Origin;
+            let is_from_origin = source == FetchSource::Origin;
             core.count_fetch(match (verified, is_from_origin) {
                 (false, _) => Code::ChunkCorrupt.name(),
                 (true, true) => "origin",
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -154,8 +154,8 @@
             Effect::FetchManifest(version, source) => {
                 spawner.detach(fetches::fetch_manifest(core.clone(), version, source));
             }
-            Effect::FetchChunk(version, draw) => {
-                spawner.detach(fetches::fetch_chunk(core.clone(), version, draw));
+            Effect::FetchChunk(version, fetch) => {
+                spawner.detach(fetches::fetch_chunk(core.clone(), version, fetch));
             }
             Effect::Summarize { to, version, have } => {
                 let (from, place) = (core.me.clone(), core.place.clone());
--- a/components/fleet/src/plan.rs
+++ b/components/fleet/src/plan.rs
@@ -12,7 +12,7 @@
 pub enum Source {
     /// The instance holds it already.
     Held,
-    /// The origin. The download is shared among the receivers in the hall.
+    /// The origin. The fetch is shared among the receivers in the hall.
     Origin,
     /// Replicas that hold the weights or are receiving them.
     Peers,
--- a/components/lab/src/options.rs
+++ b/components/lab/src/options.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use reducer::{AgentOptions, Choice, EntryOptions, Estimate, RouteChoice, SpreadOptions};
+use reducer::{
+    AgentOptions, EntryOptions, Estimate, FetchStrategy, RoutingStrategy, SpreadOptions,
+};
 use settings::Kind;
 use standins::EngineOptions;
 
@@ -36,9 +38,9 @@
     /// Bandwidth limit for messages between daemons, in bytes per second.
     pub control_bytes_per_s: u64,
     /// How agents choose chunks and sources.
-    pub choice: Choice,
+    pub choice: FetchStrategy,
     /// How entries choose upstreams.
-    pub route_choice: RouteChoice,
+    pub route_choice: RoutingStrategy,
 }
 
 impl Default for LabOptions {
@@ -57,8 +59,8 @@
             queue_limit: 256,
             kinds: Vec::new(),
             control_bytes_per_s: 3000,
-            choice: Choice::default(),
-            route_choice: RouteChoice::default(),
+            choice: FetchStrategy::default(),
+            route_choice: RoutingStrategy::default(),
         }
     }
 }
@@ -71,8 +73,8 @@
             memory_bytes: u64::MAX / 2,
             upload_bytes_per_s: self.link_bytes_per_s,
             spread: SpreadOptions {
-                patience_ms: None,
-                reach: reducer::Reach::default(),
+                timeout_ms: None,
+                reach: reducer::NeighbourLimits::default(),
                 copies: self.copies,
                 origin_bytes_per_s: self.origin_bytes_per_s,
                 download_bytes_per_s: self.link_bytes_per_s,
--- a/components/node/src/agent/downloads.rs
+++ b/components/node/src/agent/fetches.rs
@@ -1,4 +1,4 @@
-//! Downloads manifests and chunks from the platform and from peers.
+//! Fetches manifests and chunks from the platform and from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use errors::{Code, Error, Result};
 use fleet::{Bitmap, Manifest, VersionId};
 use net::Deadline;
-use reducer::{AgentEvent, Draw, DrawSource};
+use reducer::{AgentEvent, Fetch, FetchSource};
 use wire::{Frame, Message};
 
 use super::staging::PutResult;
@@ -49,27 +49,27 @@
     shared.inbox.send(event).await;
 }
 
-/// Downloads a chunk and reports the result to the reducer.
-pub(super) async fn download_chunk(shared: Arc<Shared>, draw: Draw, have: Bitmap) {
-    let deadline = Deadline::after(shared.context.clock.time_until(draw.deadline));
-    let result = match &draw.source {
-        DrawSource::Origin => {
-            let read = read_from_origin(&shared, &draw);
+/// Fetches a chunk and reports the result to the reducer.
+pub(super) async fn fetch_chunk(shared: Arc<Shared>, fetch: Fetch, have: Bitmap) {
+    let deadline = Deadline::after(shared.context.clock.time_until(fetch.deadline));
+    let result = match &fetch.source {
+        FetchSource::Origin => {
+            let read = read_from_origin(&shared, &fetch);
             deadline.limit(Code::PeerStalled, read).await
         }
-        DrawSource::Peer(_, address) => {
-            read_from_peer(&shared, &draw, *address, have, deadline).await
+        FetchSource::Peer(_, address) => {
+            read_from_peer(&shared, &fetch, *address, have, deadline).await
         }
     };
     let event = match result {
         Ok(SourceReply::Chunk { bytes, sender }) => {
             shared.downlink.pass(bytes.len()).await;
-            stage_chunk(&shared, draw, bytes, sender)
+            stage_chunk(&shared, fetch, bytes, sender)
         }
         Ok(SourceReply::Refused { code, retry_after_ms }) => {
-            chunk_failed(draw, code, retry_after_ms)
+            chunk_failed(fetch, code, retry_after_ms)
         }
-        Err(error) => chunk_failed(draw, error.code, 0),
+        Err(error) => chunk_failed(fetch, error.code, 0),
     };
     shared.inbox.send(event).await;
 }
@@ -80,28 +80,28 @@
     Refused { code: Code, retry_after_ms: u64 },
 }
 
-async fn read_from_origin(shared: &Shared, draw: &Draw) -> Result<SourceReply> {
-    let manifest = shared.staging.manifest(draw.version);
+async fn read_from_origin(shared: &Shared, fetch: &Fetch) -> Result<SourceReply> {
+    let manifest = shared.staging.manifest(fetch.version);
     let manifest =
         manifest.ok_or_else(|| Error::new(Code::Replaced, "the version is no longer wanted"))?;
-    let (offset, len) = manifest.range(draw.index);
+    let (offset, len) = manifest.range(fetch.index);
     let weights = &shared.context.host.platform.weights;
-    let bytes = weights.read(draw.version, offset, len).await?;
+    let bytes = weights.read(fetch.version, offset, len).await?;
     Ok(SourceReply::Chunk { bytes, sender: None })
 }
 
 async fn read_from_peer(
     shared: &Shared,
-    draw: &Draw,
+    fetch: &Fetch,
     address: SocketAddr,
     have: Bitmap,
     deadline: Deadline,
 ) -> Result<SourceReply> {
-    let request = Message::GetChunk { version: draw.version, index: draw.index, have };
+    let request = Message::GetChunk { version: fetch.version, index: fetch.index, have };
     let Frame { message, payload } =
         shared.context.peers.request(address, &request, deadline).await?;
     match message {
-        Message::Chunk { index, have, uploads } if index == draw.index => {
+        Message::Chunk { index, have, uploads } if index == fetch.index => {
             Ok(SourceReply::Chunk { bytes: payload, sender: Some((have, uploads)) })
         }
         Message::Refused { code, retry_after_ms, .. } => {
@@ -113,22 +113,22 @@
 
 fn stage_chunk(
     shared: &Shared,
-    draw: Draw,
+    fetch: Fetch,
     bytes: Vec<u8>,
     sender: Option<(Bitmap, u32)>,
 ) -> AgentEvent {
-    let result = shared.staging.put(draw.version, draw.index, bytes);
+    let result = shared.staging.put(fetch.version, fetch.index, bytes);
     if result == PutResult::UnknownVersion {
-        return chunk_failed(draw, Code::Replaced, 0);
+        return chunk_failed(fetch, Code::Replaced, 0);
     }
-    let outcome = match (&draw.source, result, draw.last_resort) {
+    let outcome = match (&fetch.source, result, fetch.last_resort) {
         (_, PutResult::Corrupt | PutResult::UnknownVersion, _) => Code::ChunkCorrupt.name(),
-        (DrawSource::Origin, PutResult::Staged, true) => "origin_last_resort",
-        (DrawSource::Origin, PutResult::Staged, false) => "origin",
-        (DrawSource::Peer(..), PutResult::Staged, _) => "peer",
+        (FetchSource::Origin, PutResult::Staged, true) => "origin_last_resort",
+        (FetchSource::Origin, PutResult::Staged, false) => "origin",
+        (FetchSource::Peer(..), PutResult::Staged, _) => "peer",
     };
     shared.context.host.metrics.count_chunk(outcome);
-    let Draw { version, index, source, .. } = draw;
+    let Fetch { version, index, source, .. } = fetch;
     AgentEvent::ChunkArrived {
         version,
         index,
@@ -138,7 +138,7 @@
     }
 }
 
-fn chunk_failed(draw: Draw, code: Code, retry_after_ms: u64) -> AgentEvent {
-    let Draw { version, index, source, .. } = draw;
+fn chunk_failed(fetch: Fetch, code: Code, retry_after_ms: u64) -> AgentEvent {
+    let Fetch { version, index, source, .. } = fetch;
     AgentEvent::ChunkFailed { version, index, source, code, retry_after_ms }
 }
--- a/components/node/src/agent/mod.rs
+++ b/components/node/src/agent/mod.rs
@@ -1,7 +1,7 @@
 //! The driver of an agent: executes the effects of the agent reducer.
 
 mod calls;
-mod downloads;
+mod fetches;
 mod messages;
 mod staging;
 mod weights;
@@ -230,10 +230,10 @@
     match effect {
         AgentEffect::Control(effect) => control.execute(effect),
         AgentEffect::ReadManifest { version, peers } => {
-            host.tasks.spawn(downloads::read_manifest(shared.clone(), version, peers));
+            host.tasks.spawn(fetches::read_manifest(shared.clone(), version, peers));
         }
-        AgentEffect::Draw { draw, have } => {
-            host.tasks.spawn(downloads::download_chunk(shared.clone(), draw, have));
+        AgentEffect::FetchChunk { fetch, have } => {
+            host.tasks.spawn(fetches::fetch_chunk(shared.clone(), fetch, have));
         }
         AgentEffect::Drop(version) => shared.staging.drop_version(version),
         AgentEffect::Upload { upload, .. } => shared.deliver(upload, effect),
--- a/components/node/src/entry/attempts.rs
+++ b/components/node/src/entry/attempts.rs
@@ -87,7 +87,7 @@
         }
     };
     shared.context.peers.put_idle(session);
-    shared.inbox.send(EntryEvent::Ended { attempt: attempt.id, load }).await;
+    shared.inbox.send(EntryEvent::AttemptCompleted { attempt: attempt.id, load }).await;
     if let Some(key) = attempt.call.idempotency_key.clone() {
         let answer = SavedAnswer {
             status: head.status,
@@ -149,11 +149,11 @@
             Ok(Some(load)) => {
                 self.sender.finish();
                 shared.context.peers.put_idle(self.session);
-                shared.inbox.send(EntryEvent::Ended { attempt: self.id, load }).await;
+                shared.inbox.send(EntryEvent::AttemptCompleted { attempt: self.id, load }).await;
             }
             Ok(None) => {
                 let request = self.id.request;
-                shared.inbox.send(EntryEvent::CallerGone(request)).await;
+                shared.inbox.send(EntryEvent::CallerDisconnected(request)).await;
             }
             Err(failure) => {
                 // The caller receives an event with the code, no `[DONE]`, and a body without its end.
--- a/components/node/src/entry/callers.rs
+++ b/components/node/src/entry/callers.rs
@@ -70,7 +70,7 @@
         let serving = async { Reply::Answer(with_request_id(serve(shared, parsed).await, id)) };
         let disconnected = async {
             caller.disconnected().await;
-            shared.inbox.send(EntryEvent::CallerGone(id)).await;
+            shared.inbox.send(EntryEvent::CallerDisconnected(id)).await;
             Reply::HangUp
         };
         let reply = serving.or(disconnected).await;
@@ -109,7 +109,7 @@
         workspace,
         prefix,
         deadline: shared.now().plus(budget.as_millis() as u64),
-        max_wait: kind.map_or(Kind::USUAL_WAIT_MS, |it| it.max_wait_ms),
+        max_wait_ms: kind.map_or(Kind::USUAL_WAIT_MS, |it| it.max_wait_ms),
         // A completion has no side effects, so it may run twice unless its kind is configured otherwise.
         repeatable: kind.is_none_or(|it| it.repeatable),
         priority: kind.map_or(CHAT_PRIORITY, |it| it.priority),
--- a/components/node/src/entry/changes.rs
+++ b/components/node/src/entry/changes.rs
@@ -8,7 +8,7 @@
 use errors::{Code, Error, Result};
 use externals::Expected;
 use fleet::{Configuration, Plan};
-use reducer::{ChangeEffect, ChangeEvent, EntryEvent, Head, Outcome};
+use reducer::{ChangeEffect, ChangeEvent, ConfigurationRow, EntryEvent, Outcome};
 
 use super::Shared;
 use crate::control::{decode_configuration, encode_configuration, CONFIGURATION_ROW};
@@ -69,7 +69,7 @@
     shared.inbox.send(EntryEvent::Change(event)).await;
 }
 
-async fn read_configuration_row(shared: &Shared) -> Result<Head> {
+async fn read_configuration_row(shared: &Shared) -> Result<ConfigurationRow> {
     let row = shared.context.host.platform.table.read(CONFIGURATION_ROW).await?;
     row.map(|row| Ok((Box::new(decode_configuration(&row.value)?), row.tag))).transpose()
 }
--- a/components/node/src/entry/intents.rs
+++ b/components/node/src/entry/intents.rs
@@ -17,9 +17,9 @@
 
 /// The time limit for a call of an operator.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// The time limit for a replica to report its download progress.
+/// The time limit for a replica to report its fetch progress.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest number of replicas that are asked for their download progress.
+/// The largest number of replicas that are asked for their fetch progress.
 const MAX_PROGRESS_REPLICAS: usize = 8;
 
 /// The HTTP handler for operators of an entry.
@@ -91,7 +91,7 @@
         _ => None,
     };
     let (call, outcome) = shared.calls.register();
-    let event = ChangeEvent::Ask { call, intent: Box::new(intent), release };
+    let event = ChangeEvent::RequestPlan { call, intent: Box::new(intent), release };
     shared.inbox.send(EntryEvent::Change(event)).await;
     wait_for_outcome(outcome).await
 }
@@ -131,7 +131,7 @@
     Ok(Release { version, label: manifest.label, bytes: manifest.bytes })
 }
 
-/// The progress of a rollout: the number of replicas that serve the version, and the mean download progress of some of
+/// The progress of a rollout: the number of replicas that serve the version, and the mean fetch progress of some of
 /// the others.
 async fn rollout_status(shared: &Arc<Shared>, model: &ModelName) -> Result<RolloutStatus> {
     let status = shared.with_entry(|entry| daemon_status(&entry.control));
--- a/components/reducer/src/agent/engine.rs
+++ b/components/reducer/src/agent/engine.rs
@@ -66,8 +66,8 @@
         }
         match self.spreads.get(&version).map(Spread::phase) {
             None => self.request_manifest(now, required),
-            Some(SpreadPhase::Drawing) => Vec::new(),
-            Some(SpreadPhase::Whole) => {
+            Some(SpreadPhase::Fetching) => Vec::new(),
+            Some(SpreadPhase::Complete) => {
                 let order = Order {
                     epoch: self.control.configuration().revision,
                     model: required.model.clone(),
--- a/components/reducer/src/agent/event.rs
+++ b/components/reducer/src/agent/event.rs
@@ -10,7 +10,7 @@
 use wire::{Call, Load};
 
 use crate::control::{ControlEffect, ControlEvent};
-use crate::spread::{Draw, DrawSource, SpreadOptions};
+use crate::spread::{Fetch, FetchSource, SpreadOptions};
 
 /// Settings of an agent.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
         /// The chunk.
         index: u32,
         /// The source of the chunk.
-        source: DrawSource,
+        source: FetchSource,
         /// Whether the digest of the chunk matches the manifest.
         verified: bool,
         /// The chunks that the sender holds, and the length of its upload queue.
@@ -54,7 +54,7 @@
         /// The chunk.
         index: u32,
         /// The source that was asked.
-        source: DrawSource,
+        source: FetchSource,
         /// The reason.
         code: Code,
         /// When the source may be asked again, in milliseconds.
@@ -119,9 +119,9 @@
         peers: Vec<SocketAddr>,
     },
     /// Fetch a chunk.
-    Draw {
+    FetchChunk {
         /// The chunk and its source.
-        draw: Draw,
+        fetch: Fetch,
         /// The chunks that this agent holds.
         have: Bitmap,
     },
--- a/components/reducer/src/agent/mod.rs
+++ b/components/reducer/src/agent/mod.rs
@@ -89,7 +89,7 @@
                     spread.fail_chunk(now, index, &source, code, retry_after_ms);
                 }
                 let mut effects = vec![AgentEffect::CountRetry(code)];
-                effects.extend(self.draw(now));
+                effects.extend(self.fetch(now));
                 effects
             }
             AgentEvent::ChunkAsked { upload, from, version, index, have } => {
@@ -147,7 +147,7 @@
             self.refresh_participants(now);
             effects.extend(self.reconcile(now));
         }
-        effects.extend(self.draw(now));
+        effects.extend(self.fetch(now));
         effects.extend(self.summarize(now));
         effects
     }
--- a/components/reducer/src/agent/tests.rs
+++ b/components/reducer/src/agent/tests.rs
@@ -8,8 +8,8 @@
 
 use super::weights::{FETCH_WINDOW, UPLOAD_QUEUE_LIMIT};
 use super::*;
-use crate::spread::{Draw, DrawSource, SpreadOptions};
-use crate::Choice;
+use crate::spread::{Fetch, FetchSource, SpreadOptions};
+use crate::FetchStrategy;
 use errors::Code;
 use fleet::{
     Bitmap, Change, Configuration, Deployment, Hall, Incarnation, InstanceId, Manifest, Place,
@@ -95,7 +95,7 @@
     now: Millis,
     manifests: [Arc<Manifest>; 2],
     table: Configuration,
-    draws: Vec<Draw>,
+    fetches: Vec<Fetch>,
     manifest_reads: VecDeque<VersionId>,
     orders: VecDeque<Order>,
     /// Verified chunks delivered since the version was last dropped.
@@ -138,13 +138,13 @@
             memory_bytes: 1 << 30,
             upload_bytes_per_s: 1 << 20,
             spread: SpreadOptions {
-                patience_ms: None,
-                reach: crate::Reach::default(),
+                timeout_ms: None,
+                reach: crate::NeighbourLimits::default(),
                 copies: 1,
                 origin_bytes_per_s: 1 << 20,
                 download_bytes_per_s: 1 << 20,
                 control_bytes_per_s: 3000,
-                choice: Choice::Rarest,
+                choice: FetchStrategy::Rarest,
             },
         };
         let mut world = Self {
@@ -152,7 +152,7 @@
             now: Millis(1000),
             manifests: [describe(0), describe(100)],
             table: Configuration::default(),
-            draws: Vec::new(),
+            fetches: Vec::new(),
             manifest_reads: VecDeque::new(),
             orders: VecDeque::new(),
             delivered: BTreeMap::new(),
@@ -168,18 +168,18 @@
         for effect in effects {
             self.check_effect(effect);
         }
-        let from_peers = self.draws.iter().filter(|it| it.source != DrawSource::Origin).count();
+        let from_peers = self.fetches.iter().filter(|it| it.source != FetchSource::Origin).count();
         assert!(from_peers <= FETCH_WINDOW, "more chunks in flight than the window");
-        assert!(self.draws.len() - from_peers <= 2, "more chunks from the origin than allowed");
+        assert!(self.fetches.len() - from_peers <= 2, "more chunks from the origin than allowed");
     }
 
     fn check_effect(&mut self, effect: AgentEffect) {
         match effect {
-            AgentEffect::Draw { draw, .. } => self.check_fetch(draw),
+            AgentEffect::FetchChunk { fetch, .. } => self.check_fetch(fetch),
             AgentEffect::ReadManifest { version, .. } => self.manifest_reads.push_back(version),
             AgentEffect::Drop(version) => {
                 self.delivered.remove(&version);
-                self.draws.retain(|it| it.version != version);
+                self.fetches.retain(|it| it.version != version);
             }
             AgentEffect::Order(order) => self.check_order(order),
             AgentEffect::Upload { version, index, .. } => {
@@ -191,19 +191,19 @@
         }
     }
 
-    fn check_fetch(&mut self, draw: Draw) {
+    fn check_fetch(&mut self, fetch: Fetch) {
         assert_eq!(
-            Some(draw.version),
+            Some(fetch.version),
             self.required(),
             "a chunk of a version that is not required is downloaded"
         );
         let is_duplicate =
-            self.draws.iter().any(|it| (it.version, it.index) == (draw.version, draw.index));
+            self.fetches.iter().any(|it| (it.version, it.index) == (fetch.version, fetch.index));
         assert!(!is_duplicate, "a chunk is downloaded twice at the same time");
-        let held = self.delivered.get(&draw.version).is_some_and(|it| it.contains(&draw.index));
+        let held = self.delivered.get(&fetch.version).is_some_and(|it| it.contains(&fetch.index));
         assert!(!held, "a chunk is downloaded that the agent holds");
-        assert!(draw.deadline > self.now, "the deadline of a download has passed");
-        self.draws.push(draw);
+        assert!(fetch.deadline > self.now, "the deadline of a download has passed");
+        self.fetches.push(fetch);
     }
 
     fn check_order(&mut self, order: Order) {
@@ -251,10 +251,10 @@
     }
 
     fn end_fetch(&mut self, which: usize, outcome: FetchOutcome) {
-        if self.draws.is_empty() {
+        if self.fetches.is_empty() {
             return;
         }
-        let Draw { version, index, source, .. } = self.draws.remove(which % self.draws.len());
+        let Fetch { version, index, source, .. } = self.fetches.remove(which % self.fetches.len());
         let event = match outcome {
             FetchOutcome::Verified | FetchOutcome::Corrupt => {
                 let verified = matches!(outcome, FetchOutcome::Verified);
--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -11,7 +11,7 @@
 
 use super::{Agent, AgentEffect};
 use crate::control::ControlEffect;
-use crate::spread::{DrawSource, Participant, Spread, SpreadEffect, SpreadPhase};
+use crate::spread::{FetchSource, Participant, Spread, SpreadEffect, SpreadPhase};
 
 /// Most chunks in flight to this instance over all spreads.
 pub(super) const FETCH_WINDOW: usize = 8;
@@ -33,8 +33,8 @@
         let Some(spread) = self.spreads.get_mut(&version) else {
             return Vec::new();
         };
-        spread.take_summary(now, from, address, &place, have.clone());
-        self.draw(now)
+        spread.handle_summary(now, from, address, &place, have.clone());
+        self.fetch(now)
     }
 
     fn place_of(&self, id: &InstanceId) -> Place {
@@ -66,7 +66,7 @@
         let spread = Spread::new(now, &me.id, &me.place, manifest, &receivers, options);
         self.spreads.insert(version, spread);
         self.refresh_participants(now);
-        self.draw(now)
+        self.fetch(now)
     }
 
     /// Informs each spread which daemons receive or hold its version.
@@ -107,13 +107,13 @@
         now: Millis,
         version: VersionId,
         index: u32,
-        source: DrawSource,
+        source: FetchSource,
         verified: bool,
         sender: Option<(Bitmap, u32)>,
     ) -> Vec<AgentEffect> {
         let place = match &source {
-            DrawSource::Peer(id, _) => self.place_of(id),
-            DrawSource::Origin => Place::default(),
+            FetchSource::Peer(id, _) => self.place_of(id),
+            FetchSource::Origin => Place::default(),
         };
         let Some(spread) = self.spreads.get_mut(&version) else {
             // The version was replaced while the chunk was in flight; the chunk that was just staged is
@@ -124,22 +124,22 @@
         if !verified {
             effects.push(AgentEffect::CountRetry(Code::ChunkCorrupt));
         }
-        spread.take_chunk(now, index, &source, verified);
-        if let (DrawSource::Peer(id, address), Some((have, uploads))) = (&source, sender) {
-            spread.take_summary(now, id, *address, &place, have);
+        spread.handle_chunk(now, index, &source, verified);
+        if let (FetchSource::Peer(id, address), Some((have, uploads))) = (&source, sender) {
+            spread.handle_summary(now, id, *address, &place, have);
             spread.set_upload_queue(now, id, uploads);
         }
-        if spread.phase() == SpreadPhase::Whole {
+        if spread.phase() == SpreadPhase::Complete {
             effects.extend(self.summarize(now));
             effects.extend(self.reconcile(now));
         }
-        effects.extend(self.draw(now));
+        effects.extend(self.fetch(now));
         effects
     }
 
     /// Starts fetches for every spread in order of priority. Each spread has a minimum window, so that an
     /// adapter does not wait behind a large model.
-    pub(super) fn draw(&mut self, now: Millis) -> Vec<AgentEffect> {
+    pub(super) fn fetch(&mut self, now: Millis) -> Vec<AgentEffect> {
         let ordered = self.spreads_by_priority();
         let active = ordered.len();
         let mut remaining = FETCH_WINDOW.saturating_sub(MIN_SPREAD_WINDOW * active);
@@ -148,11 +148,11 @@
             let Some(spread) = self.spreads.get_mut(&version) else {
                 continue;
             };
-            let drawn = spread.draw(now, MIN_SPREAD_WINDOW + remaining);
+            let fetches = spread.fetch(now, MIN_SPREAD_WINDOW + remaining);
             remaining =
                 remaining.saturating_sub(spread.in_flight().saturating_sub(MIN_SPREAD_WINDOW));
             let have = spread.have().clone();
-            effects.extend(drawn.into_iter().map(|it| self.agent_effect_of(it, &have, version)));
+            effects.extend(fetches.into_iter().map(|it| self.agent_effect_of(it, &have, version)));
         }
         effects
     }
@@ -163,9 +163,9 @@
             let matching = deployments.filter(|it| &it.release.version == version);
             matching.map(|it| it.priority).max().unwrap_or(0)
         };
-        let drawing = self.spreads.values().filter(|it| it.phase() == SpreadPhase::Drawing);
+        let fetching = self.spreads.values().filter(|it| it.phase() == SpreadPhase::Fetching);
         let mut order: Vec<(&VersionId, u64)> =
-            drawing.map(|it| (&it.version, it.manifest.bytes)).collect();
+            fetching.map(|it| (&it.version, it.manifest.bytes)).collect();
         order.sort_by_key(|(version, bytes)| (std::cmp::Reverse(priority(version)), *bytes));
         order.into_iter().map(|(version, _)| *version).collect()
     }
@@ -191,7 +191,7 @@
         version: VersionId,
     ) -> AgentEffect {
         match effect {
-            SpreadEffect::Draw(draw) => AgentEffect::Draw { draw, have: have.clone() },
+            SpreadEffect::Fetch(fetch) => AgentEffect::FetchChunk { fetch, have: have.clone() },
             SpreadEffect::Summarize { to, have } => {
                 let revision = self.control.configuration().revision;
                 let body = DatagramBody::Summary { version, have };
@@ -216,7 +216,7 @@
             return vec![refuse_upload(upload, Code::ChunkMissing, 0, load)];
         };
         if let Some(record) = known {
-            spread.take_summary(now, from, record.address, &record.place, have);
+            spread.handle_summary(now, from, record.address, &record.place, have);
         }
         if !spread.have().contains(index) {
             return vec![refuse_upload(upload, Code::ChunkMissing, 0, load)];
@@ -227,11 +227,11 @@
             return vec![refuse_upload(upload, Code::PeerBusy, retry_after_ms, load)];
         }
         self.uploads += 1;
-        spread.note_told(now, from);
+        spread.record_summary(now, from);
         let have = spread.have().clone();
         let uploads = self.uploads;
         let mut effects = vec![AgentEffect::Upload { upload, version, index, have, uploads }];
-        effects.extend(self.draw(now));
+        effects.extend(self.fetch(now));
         effects
     }
 }
--- a/components/reducer/src/changes.rs
+++ b/components/reducer/src/changes.rs
@@ -11,13 +11,13 @@
 const MAX_CONFIRM_ATTEMPTS: u32 = 5;
 
 /// The head row: the configuration, and the tag that the next write must name.
-pub type Head = Option<(Box<Configuration>, String)>;
+pub type ConfigurationRow = Option<(Box<Configuration>, String)>;
 
 /// An event concerning a change.
 #[derive(Clone, Debug)]
 pub enum ChangeEvent {
     /// An operator declares an intent.
-    Ask {
+    RequestPlan {
         /// Identifies the operator's call.
         call: u64,
         /// The intent.
@@ -44,7 +44,7 @@
         /// The call.
         call: u64,
         /// The result from the table.
-        result: Result<Head, Error>,
+        result: Result<ConfigurationRow, Error>,
     },
     /// The table answered the write of the head row.
     HeadWritten {
@@ -129,7 +129,7 @@
     /// Handles an event.
     pub fn reduce(&mut self, now: Millis, event: ChangeEvent) -> Vec<ChangeEffect> {
         match event {
-            ChangeEvent::Ask { call, intent, release } => {
+            ChangeEvent::RequestPlan { call, intent, release } => {
                 self.pending.insert(call, Pending::Planning { intent, release });
                 vec![ChangeEffect::ReadHead { call }]
             }
@@ -170,7 +170,7 @@
         &mut self,
         now: Millis,
         call: u64,
-        result: Result<Head, Error>,
+        result: Result<ConfigurationRow, Error>,
     ) -> Vec<ChangeEffect> {
         match (self.pending.remove(&call), result) {
             (Some(Pending::Planning { intent, release }), Ok(head)) => {
@@ -206,7 +206,7 @@
         plan: Box<Plan>,
         written: Option<Box<Configuration>>,
         attempts: u32,
-        head: Head,
+        head: ConfigurationRow,
     ) -> Vec<ChangeEffect> {
         let (current, tag) = match head {
             Some((configuration, tag)) => (configuration, Some(tag)),
--- a/components/reducer/src/changes/tests.rs
+++ b/components/reducer/src/changes/tests.rs
@@ -40,7 +40,7 @@
 }
 
 impl Table {
-    fn read(&self) -> Head {
+    fn read(&self) -> ConfigurationRow {
         let (configuration, tag) = self.row.clone()?;
         Some((Box::new(configuration), tag.to_string()))
     }
--- a/components/reducer/src/entry/event.rs
+++ b/components/reducer/src/entry/event.rs
@@ -11,7 +11,7 @@
 use crate::claims::{ClaimState, SavedAnswer};
 use crate::control::{ControlEffect, ControlEvent};
 use crate::planner::Estimate;
-use crate::routing::RouteChoice;
+use crate::routing::RoutingStrategy;
 
 /// Settings of an entry.
 #[derive(Clone, Copy, Debug)]
@@ -25,7 +25,7 @@
     /// Link rates for the estimates of plans.
     pub estimate: Estimate,
     /// How upstreams are selected.
-    pub choice: RouteChoice,
+    pub choice: RoutingStrategy,
 }
 
 /// The model or service that a request addresses.
@@ -54,7 +54,7 @@
     pub deadline: Millis,
     /// How long the request may wait for an upstream, in milliseconds. After that its first token would be
     /// late, and its slot goes to a request that can still be on time.
-    pub max_wait: u64,
+    pub max_wait_ms: u64,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Requests with a higher priority are sent first.
@@ -102,7 +102,7 @@
     /// The upstream began to answer and the answer is being sent to the caller.
     Started(AttemptId),
     /// The answer is complete.
-    Ended {
+    AttemptCompleted {
         /// The attempt.
         attempt: AttemptId,
         /// The load that the agent reported with the answer.
@@ -116,7 +116,7 @@
         failure: Failure,
     },
     /// The caller disconnected.
-    CallerGone(RequestId),
+    CallerDisconnected(RequestId),
     /// The process is asked to stop.
     Stop,
     /// The periodic timer fired.
--- a/components/reducer/src/entry/mod.rs
+++ b/components/reducer/src/entry/mod.rs
@@ -75,9 +75,11 @@
                 self.record_answer_start(attempt);
                 Vec::new()
             }
-            EntryEvent::Ended { attempt, load } => self.complete_attempt(now, attempt, load),
+            EntryEvent::AttemptCompleted { attempt, load } => {
+                self.complete_attempt(now, attempt, load)
+            }
             EntryEvent::Failed { attempt, failure } => self.fail_attempt(now, attempt, failure),
-            EntryEvent::CallerGone(request) => self.handle_disconnect(now, request),
+            EntryEvent::CallerDisconnected(request) => self.handle_disconnect(now, request),
             EntryEvent::Stop => self.stop(&mut seed),
             EntryEvent::Tick => {
                 let mut effects = self.handle_control(now, &mut seed, ControlEvent::Tick);
--- a/components/reducer/src/entry/requests.rs
+++ b/components/reducer/src/entry/requests.rs
@@ -42,7 +42,7 @@
         }
         self.retries.record_first_attempt();
         let request = arrival.request;
-        let waits_until = now.plus(arrival.max_wait);
+        let waits_until = now.plus(arrival.max_wait_ms);
         let claim = arrival.key.clone().map(|key| EntryEffect::Claim {
             request,
             workspace: arrival.workspace.clone(),
--- a/components/reducer/src/entry/tests.rs
+++ b/components/reducer/src/entry/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::control::ControlEffect;
 use crate::planner::Estimate;
-use crate::routing::RouteChoice;
+use crate::routing::RoutingStrategy;
 use errors::{Code, Ran};
 use fleet::{Incarnation, Instance, InstanceId, ListedState, Place, Process};
 use quarantine::RequestDigest;
@@ -36,7 +36,7 @@
         retry_share: 0.1,
         control_bytes_per_s: 1000,
         estimate,
-        choice: RouteChoice::Weighed,
+        choice: RoutingStrategy::Weighted,
     };
     let mut entry = Entry::new(record("entry", Process::Entry), options);
     let list = (0..count).map(|number| Instance {
@@ -60,7 +60,7 @@
         workspace: "w".into(),
         prefix: 0,
         deadline: NOW.plus(10_000),
-        max_wait: 10_000,
+        max_wait_ms: 10_000,
         repeatable,
         priority: 1,
         key: None,
@@ -129,9 +129,9 @@
     let first = attempt_of(&sent);
     let second = attempt_of(&fail(&mut entry, first, Code::Leaving));
     let load = Load { running: 0, limit: 4, uploads: 0 };
-    entry.reduce(NOW, 0, EntryEvent::Ended { attempt: first, load });
+    entry.reduce(NOW, 0, EntryEvent::AttemptCompleted { attempt: first, load });
     assert_eq!(entry.load().0, 1);
-    entry.reduce(NOW, 0, EntryEvent::Ended { attempt: second, load });
+    entry.reduce(NOW, 0, EntryEvent::AttemptCompleted { attempt: second, load });
     assert_eq!(entry.load().0, 0);
 }
 
@@ -157,7 +157,7 @@
     let mut entry = entry(1, 100);
     for serial in 0..9 {
         let mut arrival = arrival(serial, true);
-        arrival.max_wait = 200;
+        arrival.max_wait_ms = 200;
         arrive(&mut entry, arrival);
     }
     assert!(entry.reduce(NOW.plus(199), 0, EntryEvent::Tick).is_empty() || entry.load().1 == 1);
@@ -192,7 +192,7 @@
     }
     arrive(&mut entry, arrival_of("small", 100));
     let load = Load { running: 7, limit: 8, uploads: 0 };
-    let ended = EntryEvent::Ended { attempt: attempt_of(&first), load };
+    let ended = EntryEvent::AttemptCompleted { attempt: attempt_of(&first), load };
     let next = attempt_of(&entry.reduce(NOW, 0, ended));
     assert_eq!(next.request.serial, 100);
 }
@@ -282,7 +282,7 @@
         let code = match attempt_outcome {
             AttemptOutcome::Complete => {
                 self.replies.entry(serial).or_default().push(None);
-                self.record(entry.reduce(now, 0, EntryEvent::Ended { attempt, load }));
+                self.record(entry.reduce(now, 0, EntryEvent::AttemptCompleted { attempt, load }));
                 return;
             }
             AttemptOutcome::Truncated => Code::CutShort,
@@ -373,7 +373,7 @@
     let sent = fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
     let sent = fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
     let load = Load { running: 0, limit: 4, uploads: 0 };
-    entry.reduce(NOW, 0, EntryEvent::Ended { attempt: attempt_of(&sent), load });
+    entry.reduce(NOW, 0, EntryEvent::AttemptCompleted { attempt: attempt_of(&sent), load });
     let sent = arrive(&mut entry, repeated(2));
     fail(&mut entry, attempt_of(&sent), Code::ConnectionLost);
     attempt_of(&arrive(&mut entry, repeated(3)));
--- a/components/reducer/src/lib.rs
+++ b/components/reducer/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use admission::Admission;
 pub use agent::{Agent, AgentEffect, AgentEvent, AgentOptions, Order};
-pub use changes::{ChangeEffect, ChangeEvent, Changes, Head, Outcome};
+pub use changes::{ChangeEffect, ChangeEvent, Changes, ConfigurationRow, Outcome};
 pub use claims::{Claim, ClaimState, SavedAnswer};
 pub use control::{Control, ControlEffect, ControlEvent};
 pub use entry::{
@@ -27,10 +27,10 @@
 pub use members::{Member, Members};
 pub use planner::{plan, Candidate, Estimate, Fleet};
 pub use retry::RetryBudget;
-pub use routing::{RouteChoice, Router, Upstream};
+pub use routing::{Router, RoutingStrategy, Upstream};
 pub use seed::shared_hash;
 pub use seed::Seed;
 pub use spread::{
-    Choice, Draw, DrawSource, Gate, Neighbour, OriginShare, Participant, Reach, Spread,
-    SpreadEffect, SpreadOptions, SpreadPhase,
+    Fetch, FetchSource, FetchStrategy, Gate, Neighbour, NeighbourLimits, OriginShare, Participant,
+    Spread, SpreadEffect, SpreadOptions, SpreadPhase,
 };
--- a/components/reducer/src/routing.rs
+++ b/components/reducer/src/routing.rs
@@ -43,13 +43,13 @@
     excluded_until: Millis,
 }
 
-/// How an upstream is selected. Only `Weighed` is meant for production; the others are baselines for
+/// How an upstream is selected. Only `Weighted` is meant for production; the others are baselines for
 /// comparison and ignore limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RouteChoice {
+pub enum RoutingStrategy {
     /// By load, distance and prompt cache. Upstreams at their limit are excluded.
     #[default]
-    Weighed,
+    Weighted,
     /// In turn.
     RoundRobin,
     /// The upstream with the fewest requests of this entry.
@@ -58,7 +58,7 @@
 
 /// Selects upstreams for the requests of an entry.
 pub struct Router {
-    choice: RouteChoice,
+    choice: RoutingStrategy,
     upstreams: BTreeMap<InstanceId, Upstream>,
     /// Number of selections, for `RoundRobin`.
     selections: usize,
@@ -76,7 +76,7 @@
 
 impl Router {
     /// Creates a router without any load reports.
-    pub fn new(choice: RouteChoice) -> Self {
+    pub fn new(choice: RoutingStrategy) -> Self {
         Self {
             choice,
             upstreams: BTreeMap::new(),
@@ -97,7 +97,7 @@
         tried: &[InstanceId],
     ) -> Option<(InstanceId, SocketAddr)> {
         let candidates = self.candidates(control, target).to_vec();
-        if self.choice != RouteChoice::Weighed {
+        if self.choice != RoutingStrategy::Weighted {
             return self.choose_baseline(candidates, tried);
         }
         let cache_holder =
@@ -127,7 +127,7 @@
         let index = self.selections % usable.len().max(1);
         let in_flight = |id: &InstanceId| self.upstreams.get(id).map_or(0, |it| it.in_flight);
         let (id, address, _) = match self.choice {
-            RouteChoice::RoundRobin => usable.into_iter().nth(index)?,
+            RoutingStrategy::RoundRobin => usable.into_iter().nth(index)?,
             _ => usable.into_iter().min_by_key(|it| in_flight(&it.0))?,
         };
         self.upstreams.entry(id.clone()).or_default().in_flight += 1;
--- a/components/reducer/src/spread/mod.rs
+++ b/components/reducer/src/spread/mod.rs
@@ -10,6 +10,6 @@
 pub use gate::Gate;
 pub use neighbour::Neighbour;
 pub use version::{
-    Choice, Draw, DrawSource, OriginShare, Participant, Reach, Spread, SpreadEffect, SpreadOptions,
-    SpreadPhase,
+    Fetch, FetchSource, FetchStrategy, NeighbourLimits, OriginShare, Participant, Spread,
+    SpreadEffect, SpreadOptions, SpreadPhase,
 };
--- a/components/reducer/src/spread/tests.rs
+++ b/components/reducer/src/spread/tests.rs
@@ -44,15 +44,15 @@
     usize::from(address.port() - 1000)
 }
 
-fn start(replicas: usize, chunks: u32, choice: Choice, copies: u32) -> Vec<Spread> {
+fn start(replicas: usize, chunks: u32, choice: FetchStrategy, copies: u32) -> Vec<Spread> {
     let content: Vec<u8> = (0..chunks * CHUNK_BYTES).map(|n| (n / CHUNK_BYTES) as u8).collect();
     let manifest = Arc::new(Manifest::describe_with("m", &content, CHUNK_BYTES).unwrap());
     let receivers: Vec<(InstanceId, Hall)> =
         (0..replicas).map(|n| (id(n), place(n).hall)).collect();
     let rate = |chunks: usize| chunks as u64 * u64::from(CHUNK_BYTES) * 1000 / ROUND_MS;
     let options = SpreadOptions {
-        patience_ms: None,
-        reach: crate::Reach::default(),
+        timeout_ms: None,
+        reach: crate::NeighbourLimits::default(),
         copies,
         origin_bytes_per_s: rate(ORIGIN_CHUNKS),
         download_bytes_per_s: rate(LINK_CHUNKS),
@@ -80,7 +80,7 @@
 /// A request that is queued at its source.
 struct QueuedRequest {
     receiver: usize,
-    draw: Draw,
+    fetch: Fetch,
 }
 
 /// The simulated network.
@@ -92,13 +92,13 @@
 }
 
 /// Runs rounds until every spread is complete.
-fn run(replicas: usize, chunks: u32, choice: Choice, copies: u32) -> Cost {
+fn run(replicas: usize, chunks: u32, choice: FetchStrategy, copies: u32) -> Cost {
     let mut network = Network {
         spreads: start(replicas, chunks, choice, copies),
         queues: (0..=replicas).map(|_| Vec::new()).collect(),
         cost: Cost { rounds: 0, origin_draws: 0 },
     };
-    while network.spreads.iter().any(|it| it.phase() == SpreadPhase::Drawing) {
+    while network.spreads.iter().any(|it| it.phase() == SpreadPhase::Fetching) {
         network.cost.rounds += 1;
         assert!(network.cost.rounds < 5000, "the spread does not end");
         network.run_round();
@@ -114,9 +114,9 @@
     fn run_round(&mut self) {
         let now = self.now();
         for number in 0..self.spreads.len() {
-            let drawn = self.spreads[number].draw(now, MAX_IN_FLIGHT);
+            let fetches = self.spreads[number].fetch(now, MAX_IN_FLIGHT);
             let summaries = self.spreads[number].summarize(now);
-            for effect in drawn.into_iter().chain(summaries) {
+            for effect in fetches.into_iter().chain(summaries) {
                 self.perform(number, effect);
             }
         }
@@ -131,20 +131,20 @@
         match effect {
             SpreadEffect::Summarize { to, have } => {
                 let (id, from, place) = (id(receiver), address(receiver), place(receiver));
-                self.spreads[number_of(to)].take_summary(now, &id, from, &place, have);
+                self.spreads[number_of(to)].handle_summary(now, &id, from, &place, have);
             }
-            SpreadEffect::Draw(draw) => {
+            SpreadEffect::Fetch(fetch) => {
                 let origin = self.queues.len() - 1;
-                let source = match &draw.source {
-                    DrawSource::Origin => origin,
-                    DrawSource::Peer(_, at) => number_of(*at),
+                let source = match &fetch.source {
+                    FetchSource::Origin => origin,
+                    FetchSource::Peer(_, at) => number_of(*at),
                 };
                 if source != origin && self.queues[source].len() >= MAX_QUEUED {
                     let spread = &mut self.spreads[receiver];
-                    spread.fail_chunk(now, draw.index, &draw.source, Code::PeerBusy, ROUND_MS);
+                    spread.fail_chunk(now, fetch.index, &fetch.source, Code::PeerBusy, ROUND_MS);
                     return;
                 }
-                self.queues[source].push(QueuedRequest { receiver, draw });
+                self.queues[source].push(QueuedRequest { receiver, fetch });
             }
         }
     }
@@ -167,18 +167,18 @@
     }
 
     fn deliver(&mut self, source: usize, is_origin: bool, request: QueuedRequest) {
-        let QueuedRequest { receiver, draw } = request;
+        let QueuedRequest { receiver, fetch } = request;
         let now = self.now();
         let have = (!is_origin).then(|| self.spreads[source].have().clone());
         let queue = self.queues[source].len() as u32;
         let spread = &mut self.spreads[receiver];
-        assert!(spread.take_chunk(now, draw.index, &draw.source, true));
+        assert!(spread.handle_chunk(now, fetch.index, &fetch.source, true));
         if let Some(have) = have {
             assert!(
-                have.contains(draw.index),
+                have.contains(fetch.index),
                 "a source is asked only for chunks that it reported to hold"
             );
-            spread.take_summary(now, &id(source), address(source), &place(source), have);
+            spread.handle_summary(now, &id(source), address(source), &place(source), have);
             spread.set_upload_queue(now, &id(source), queue);
         }
     }
@@ -187,9 +187,9 @@
 #[test]
 fn is_not_slower_than_the_baselines() {
     for replicas in [12, 24] {
-        let rarest = run(replicas, 128, Choice::Rarest, 1);
-        let random = run(replicas, 128, Choice::Random, 1);
-        let origin = run(replicas, 128, Choice::OriginOnly, 1);
+        let rarest = run(replicas, 128, FetchStrategy::Rarest, 1);
+        let random = run(replicas, 128, FetchStrategy::Random, 1);
+        let origin = run(replicas, 128, FetchStrategy::OriginOnly, 1);
         assert!(rarest.rounds <= random.rounds + 2, "{replicas}: {rarest:?}, random {random:?}");
         assert!(rarest.rounds * 3 < origin.rounds, "{replicas}: {rarest:?}, origin {origin:?}");
         assert_eq!(origin.origin_draws, replicas * 128);
@@ -198,15 +198,15 @@
 
 #[test]
 fn fetches_one_copy_if_one_is_allowed_and_at_most_one_per_hall_otherwise() {
-    let one = run(24, 128, Choice::Rarest, 1);
+    let one = run(24, 128, FetchStrategy::Rarest, 1);
     assert!(one.origin_draws <= 128 * 105 / 100, "{one:?}");
-    let three = run(24, 128, Choice::Rarest, 4);
+    let three = run(24, 128, FetchStrategy::Rarest, 4);
     assert!(three.origin_draws <= 3 * 128, "{three:?}");
 }
 
 #[test]
 fn takes_at_most_40_percent_more_than_the_minimum_time() {
     // Each receiver takes at most two chunks a round, so 128 chunks take at least 64 rounds.
-    let rarest = run(24, 128, Choice::Rarest, 1);
+    let rarest = run(24, 128, FetchStrategy::Rarest, 1);
     assert!(rarest.rounds <= 64 * 140 / 100, "{rarest:?}");
 }
--- a/components/reducer/src/spread/version/arrivals.rs
+++ b/components/reducer/src/spread/version/arrivals.rs
@@ -3,7 +3,7 @@
 use errors::Code;
 use fleet::Millis;
 
-use super::{DrawSource, PendingFetch, Spread};
+use super::{FetchSource, PendingFetch, Spread};
 
 /// Weight of a new measurement in the moving average of chunk times.
 const CHUNK_SMOOTHING_FACTOR: f64 = 0.25;
@@ -11,11 +11,11 @@
 impl Spread {
     /// Handles a chunk that was received; `verified` tells whether its digest matches. Returns `false` if it
     /// had not been requested from this source.
-    pub fn take_chunk(
+    pub fn handle_chunk(
         &mut self,
         now: Millis,
         index: u32,
-        source: &DrawSource,
+        source: &FetchSource,
         verified: bool,
     ) -> bool {
         let Some(fetch) = self.remove_fetch(index, source) else {
@@ -23,14 +23,14 @@
         };
         let took = now.since(fetch.sent).0 as f64;
         self.chunk_ms += CHUNK_SMOOTHING_FACTOR * (took - self.chunk_ms);
-        if source == &DrawSource::Origin {
+        if source == &FetchSource::Origin {
             self.origin_failures = 0;
             self.last_new_chunk_at = now;
         }
         if verified {
             self.announce(index, source);
         }
-        if let DrawSource::Peer(id, _) = source {
+        if let FetchSource::Peer(id, _) = source {
             self.record_message(id);
             match self.neighbours.get_mut(id) {
                 Some(neighbour) if verified => neighbour.record_good_chunk(now.since(fetch.sent)),
@@ -51,7 +51,7 @@
         &mut self,
         now: Millis,
         index: u32,
-        source: &DrawSource,
+        source: &FetchSource,
         code: Code,
         retry_after: u64,
     ) {
@@ -59,7 +59,7 @@
             return;
         }
         self.second_copies.handle_failure(now, index);
-        let DrawSource::Peer(id, _) = source else {
+        let FetchSource::Peer(id, _) = source else {
             self.record_origin_failure(now);
             return;
         };
@@ -81,11 +81,11 @@
 
     /// Removes a fetch that is no longer in flight. Returns `None` if the chunk had not been requested
     /// from this source.
-    fn remove_fetch(&mut self, index: u32, source: &DrawSource) -> Option<PendingFetch> {
+    fn remove_fetch(&mut self, index: u32, source: &FetchSource) -> Option<PendingFetch> {
         if self.in_flight.get(&index).is_none_or(|it| &it.source != source) {
             return None;
         }
-        if let DrawSource::Peer(id, _) = source {
+        if let FetchSource::Peer(id, _) = source {
             if let Some(neighbour) = self.neighbours.get_mut(id) {
                 neighbour.outstanding = neighbour.outstanding.saturating_sub(1);
             }
--- a/components/reducer/src/spread/version/mod.rs
+++ b/components/reducer/src/spread/version/mod.rs
@@ -1,11 +1,11 @@
 //! The spread of one version at one receiver.
 
 mod arrivals;
-mod choice;
 mod neighbours;
 mod origin;
 mod second_copies;
 mod silence;
+mod strategy;
 mod summaries;
 mod types;
 
@@ -19,8 +19,8 @@
 use self::silence::SilentHalls;
 use self::summaries::MAX_SUMMARY_BUDGET_BYTES;
 pub use self::types::{
-    Choice, Draw, DrawSource, OriginShare, Participant, Reach, SpreadEffect, SpreadOptions,
-    SpreadPhase,
+    Fetch, FetchSource, FetchStrategy, NeighbourLimits, OriginShare, Participant, SpreadEffect,
+    SpreadOptions, SpreadPhase,
 };
 use super::gate::{Gate, GateOptions};
 use super::neighbour::Neighbour;
@@ -28,7 +28,7 @@
 /// A chunk that is being fetched.
 #[derive(Clone, Debug)]
 struct PendingFetch {
-    source: DrawSource,
+    source: FetchSource,
     sent: Millis,
 }
 
@@ -93,7 +93,7 @@
             copies: options.copies,
             chunk_ms: millis_for(u64::from(manifest.chunk_bytes), options.origin_bytes_per_s),
             version_ms: millis_for(manifest.bytes, options.download_bytes_per_s),
-            patience_ms: options.patience_ms,
+            patience_ms: options.timeout_ms,
         };
         let hall_gate = hall_gate_options(&options, &gate_options).map(|it| {
             let near = in_hall(receivers, &place.hall);
@@ -114,7 +114,7 @@
             neighbours: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             origin_not_before: Millis(0),
-            origin_share: OriginShare::Whole,
+            origin_share: OriginShare::Full,
             last_new_chunk_at: now,
             origin_failures: 0,
             chunk_ms: 0.0,
@@ -158,9 +158,9 @@
     /// Whether chunks are missing.
     pub fn phase(&self) -> SpreadPhase {
         if self.have.is_full() {
-            SpreadPhase::Whole
+            SpreadPhase::Complete
         } else {
-            SpreadPhase::Drawing
+            SpreadPhase::Fetching
         }
     }
 
@@ -195,7 +195,7 @@
 
     /// The number of chunks in flight from the origin.
     fn count_from_origin(&self) -> usize {
-        self.in_flight.values().filter(|it| it.source == DrawSource::Origin).count()
+        self.in_flight.values().filter(|it| it.source == FetchSource::Origin).count()
     }
 
     /// Whether a chunk is held here or by a neighbour.
--- a/components/reducer/src/spread/version/neighbours.rs
+++ b/components/reducer/src/spread/version/neighbours.rs
@@ -51,7 +51,7 @@
     }
 
     /// Handles a report of the chunks that a daemon holds. The daemon becomes a neighbour if there is room.
-    pub fn take_summary(
+    pub fn handle_summary(
         &mut self,
         now: Millis,
         id: &InstanceId,
@@ -76,7 +76,7 @@
     }
 
     /// Handles a report of the chunks that a known neighbour holds.
-    pub fn take_holdings(&mut self, now: Millis, id: &InstanceId, have: Bitmap) {
+    pub fn set_holdings(&mut self, now: Millis, id: &InstanceId, have: Bitmap) {
         if !have.is_well_formed(self.manifest.chunks()) {
             return;
         }
@@ -103,7 +103,7 @@
             known.address = address;
             return;
         }
-        if self.neighbours.len() < self.options.reach.most {
+        if self.neighbours.len() < self.options.reach.max {
             let distance = distance(&self.place, place);
             let in_group = self.gate.is_in_group(id);
             let neighbour = Neighbour::new(address, distance, in_group, self.manifest.chunks());
--- a/components/reducer/src/spread/version/origin.rs
+++ b/components/reducer/src/spread/version/origin.rs
@@ -3,7 +3,7 @@
 
 use fleet::{Bitmap, Millis};
 
-use super::{Choice, Draw, DrawSource, OriginShare, Spread, SpreadEffect};
+use super::{Fetch, FetchSource, FetchStrategy, OriginShare, Spread, SpreadEffect};
 
 /// Most chunks in flight from the origin.
 const MAX_IN_FLIGHT_FROM_ORIGIN: usize = 2;
@@ -31,8 +31,8 @@
 
 impl Spread {
     /// Sets the part of the origin that may be used. The schedule starts when the whole origin may be used.
-    pub fn use_origin(&mut self, now: Millis, share: OriginShare) {
-        let is_released = share == OriginShare::Whole && self.origin_share != share;
+    pub fn set_origin_share(&mut self, now: Millis, share: OriginShare) {
+        let is_released = share == OriginShare::Full && self.origin_share != share;
         self.origin_share = share;
         if is_released {
             self.last_new_chunk_at = now;
@@ -43,12 +43,12 @@
     /// Restarts the origin's schedule with the chunks that nobody is known to hold.
     pub(super) fn restart_schedule(&mut self, at: Millis) {
         self.started = at;
-        let unheld = self.held_nowhere();
+        let unheld = self.unheld_chunks();
         self.gate.reschedule(&unheld);
     }
 
     /// The chunks that are held neither here nor by a neighbour.
-    pub fn held_nowhere(&self) -> Vec<u32> {
+    pub fn unheld_chunks(&self) -> Vec<u32> {
         (0..self.manifest.chunks()).filter(|it| !self.is_held(*it)).collect()
     }
 
@@ -66,7 +66,7 @@
 
     /// When a chunk that nobody had held before was last received or reported, or the start if there was
     /// none.
-    pub fn news_at(&self) -> Millis {
+    pub fn last_new_chunk_at(&self) -> Millis {
         self.last_new_chunk_at
     }
 
@@ -107,16 +107,16 @@
 
     /// Returns the fetches from the origin of the chunks that this receiver owns. Receivers that need no
     /// chunks hold their share this way, so that later receivers need not ask the origin.
-    pub fn draw_own(&mut self, now: Millis) -> Vec<SpreadEffect> {
+    pub fn fetch_own_share(&mut self, now: Millis) -> Vec<SpreadEffect> {
         let mut effects = Vec::new();
         while self.may_use_origin(now) {
             let Some(index) = self.next_own_chunk(now) else {
                 break;
             };
-            effects.push(SpreadEffect::Draw(self.start_fetch(
+            effects.push(SpreadEffect::Fetch(self.start_fetch(
                 now,
                 index,
-                DrawSource::Origin,
+                FetchSource::Origin,
                 false,
             )));
         }
@@ -134,7 +134,7 @@
     }
 
     /// Starts the next fetch from the origin, if one is due.
-    pub(super) fn fetch_from_origin(&mut self, now: Millis) -> Option<Draw> {
+    pub(super) fn fetch_from_origin(&mut self, now: Millis) -> Option<Fetch> {
         if !self.may_use_origin(now) {
             return None;
         }
@@ -146,7 +146,7 @@
         // missing chunk, they would all fetch the same one.
         let due = missing.filter_map(|index| self.may_ask_origin(now, index));
         let (index, last_resort) = due.min_by_key(|(index, _)| self.gate.rank(*index))?;
-        Some(self.start_fetch(now, index, DrawSource::Origin, last_resort))
+        Some(self.start_fetch(now, index, FetchSource::Origin, last_resort))
     }
 
     /// Whether another chunk may be requested from the origin now.
@@ -157,15 +157,15 @@
     /// Whether a chunk belongs to the part of the origin that may be used.
     fn is_in_share(&self, index: u32) -> bool {
         match self.origin_share {
-            OriginShare::Whole => true,
-            OriginShare::Probes => index < PROBED_CHUNKS,
-            OriginShare::Nothing => false,
+            OriginShare::Full => true,
+            OriginShare::ProbesOnly => index < PROBED_CHUNKS,
+            OriginShare::None => false,
         }
     }
 
     /// Whether a chunk may be requested from the origin. Returns its index and whether it is a last resort.
     fn may_ask_origin(&self, now: Millis, index: u32) -> Option<(u32, bool)> {
-        if self.options.choice == Choice::OriginOnly {
+        if self.options.choice == FetchStrategy::OriginOnly {
             return Some((index, false));
         }
         if now >= self.gate.last_resort(self.started, index) {
--- a/components/reducer/src/spread/version/second_copies.rs
+++ b/components/reducer/src/spread/version/second_copies.rs
@@ -6,7 +6,7 @@
 
 use fleet::{InstanceId, Millis};
 
-use super::{DrawSource, Spread, SpreadEffect};
+use super::{FetchSource, Spread, SpreadEffect};
 use crate::spread::gate::second_copies_of;
 
 /// Delay after the first failed fetch of a second copy; it doubles with each further failure. The owner
@@ -58,20 +58,20 @@
     /// Returns the fetches of the chunks to hold for others: this receiver's share from the origin and, one
     /// at a time, second copies from their owners. Second copies are not fetched from the origin, which
     /// sends one copy.
-    pub fn draw_kept(&mut self, now: Millis) -> Vec<SpreadEffect> {
-        let mut effects = self.draw_own(now);
+    pub fn fetch_for_others(&mut self, now: Millis) -> Vec<SpreadEffect> {
+        let mut effects = self.fetch_own_share(now);
         if self.in_flight() > 0 || now < self.second_copies.not_before {
             return effects;
         }
         if let Some((index, source)) = self.missing_second_copy() {
-            effects.push(SpreadEffect::Draw(self.start_fetch(now, index, source, false)));
+            effects.push(SpreadEffect::Fetch(self.start_fetch(now, index, source, false)));
         }
         effects
     }
 
     /// A second copy that is missing here, and its owner. Owners fetch their chunks at different times and
     /// refuse a request for one that they do not have yet, so each failure moves on to the next missing copy.
-    fn missing_second_copy(&mut self) -> Option<(u32, DrawSource)> {
+    fn missing_second_copy(&mut self) -> Option<(u32, FetchSource)> {
         self.compute_second_copies();
         let owners = self.second_copies.owners.as_ref()?;
         let missing = owners.iter().filter(|(index, _)| {
@@ -79,9 +79,9 @@
         });
         let known = missing.filter_map(|(index, owner)| {
             let address = self.addresses.get(owner)?;
-            Some((*index, DrawSource::Peer(owner.clone(), *address)))
+            Some((*index, FetchSource::Peer(owner.clone(), *address)))
         });
-        let known: Vec<(u32, DrawSource)> = known.collect();
+        let known: Vec<(u32, FetchSource)> = known.collect();
         let position = self.second_copies.failures as usize % known.len().max(1);
         known.into_iter().nth(position)
     }
--- a/components/reducer/src/spread/version/silence.rs
+++ b/components/reducer/src/spread/version/silence.rs
@@ -9,7 +9,7 @@
 use errors::Code;
 use fleet::{Hall, InstanceId, Millis};
 
-use super::{Draw, DrawSource, Spread, SpreadEffect};
+use super::{Fetch, FetchSource, Spread, SpreadEffect};
 
 /// Number of instances that must not answer for their hall to count as silent. A single one may have crashed.
 const MIN_SILENT_INSTANCES: usize = 2;
@@ -126,7 +126,7 @@
         }
         let is_stalled = self.is_stalled(now);
         if is_stalled {
-            self.fail_late_downloads(now);
+            self.fail_late_fetches(now);
         }
         if now < self.silent_halls.next_probe_at
             || !(is_stalled || self.silent_halls.has_unanswered())
@@ -137,8 +137,9 @@
         let answer_by = now.plus(self.answer_timeout_ms());
         let probes = self.select_probes(now);
         let start_probe = |(index, source)| {
-            let draw = Draw { deadline: answer_by, ..self.start_fetch(now, index, source, false) };
-            SpreadEffect::Draw(draw)
+            let fetch =
+                Fetch { deadline: answer_by, ..self.start_fetch(now, index, source, false) };
+            SpreadEffect::Fetch(fetch)
         };
         probes.into_iter().map(start_probe).collect()
     }
@@ -155,13 +156,13 @@
         ANSWER_TIMEOUT_MS.max((self.chunk_ms * ANSWER_TIMEOUT_CHUNKS) as u64)
     }
 
-    fn fail_late_downloads(&mut self, now: Millis) {
+    fn fail_late_fetches(&mut self, now: Millis) {
         let timeout_ms = self.answer_timeout_ms();
         let late = self.in_flight.iter().filter(|(_, it)| {
-            let is_far = matches!(&it.source, DrawSource::Peer(id, _) if !self.is_in_my_hall(id));
+            let is_far = matches!(&it.source, FetchSource::Peer(id, _) if !self.is_in_my_hall(id));
             is_far && now.since(it.sent).0 > timeout_ms
         });
-        let late: Vec<(u32, DrawSource)> =
+        let late: Vec<(u32, FetchSource)> =
             late.map(|(index, it)| (*index, it.source.clone())).collect();
         for (index, source) in late {
             self.fail_chunk(now, index, &source, Code::PeerStalled, 0);
@@ -175,7 +176,7 @@
     /// The instances to probe, and the chunks to request from them. Of the hall with the most instances that
     /// hold a missing chunk or own one that nobody holds, two that have not failed to answer, those first
     /// that are expected to hold a chunk. Halls with instances that did not answer come first.
-    fn select_probes(&self, now: Millis) -> Vec<(u32, DrawSource)> {
+    fn select_probes(&self, now: Millis) -> Vec<(u32, FetchSource)> {
         let missing = || self.have.missing().filter(|it| !self.in_flight.contains_key(it));
         let mut by_hall: BTreeMap<&Hall, BTreeSet<&InstanceId>> = BTreeMap::new();
         for id in missing().flat_map(|it| self.likely_holders(now, it)) {
@@ -198,7 +199,7 @@
         let responsive = all.filter(|id| !self.silent_halls.is_unanswered(hall, id));
         let known = responsive.filter_map(|id| {
             let address = self.addresses.get(id)?;
-            Some(DrawSource::Peer(id.clone(), *address))
+            Some(FetchSource::Peer(id.clone(), *address))
         });
         missing().zip(known).take(MIN_SILENT_INSTANCES).collect()
     }
@@ -220,8 +221,8 @@
         let silent_halls = &self.silent_halls;
         self.neighbours.retain(|id, _| !silent_halls.contains(id));
         self.in_flight.retain(|_, it| match &it.source {
-            DrawSource::Peer(id, _) => !silent_halls.contains(id),
-            DrawSource::Origin => true,
+            FetchSource::Peer(id, _) => !silent_halls.contains(id),
+            FetchSource::Origin => true,
         });
         self.update_ranks();
         // That no new chunk arrived does not show that the origin is unavailable, because nobody asked it.
--- a/components/reducer/src/spread/version/choice.rs
+++ b/components/reducer/src/spread/version/strategy.rs
@@ -2,7 +2,7 @@
 
 use fleet::{InstanceId, Millis};
 
-use super::{millis_for, Choice, Draw, DrawSource, PendingFetch, Spread, SpreadEffect};
+use super::{millis_for, Fetch, FetchSource, FetchStrategy, PendingFetch, Spread, SpreadEffect};
 use crate::seed::shared_hash;
 use crate::spread::neighbour::Neighbour;
 
@@ -20,21 +20,21 @@
 impl Spread {
     /// Returns the fetches to start now, up to `window` chunks in flight from peers. Fetches from the
     /// origin are not limited by it, because all receivers wait for a chunk whose owner is late.
-    pub fn draw(&mut self, now: Millis, window: usize) -> Vec<SpreadEffect> {
+    pub fn fetch(&mut self, now: Millis, window: usize) -> Vec<SpreadEffect> {
         let mut effects = Vec::new();
-        while let Some(draw) = self.fetch_from_origin(now) {
-            effects.push(SpreadEffect::Draw(draw));
+        while let Some(fetch) = self.fetch_from_origin(now) {
+            effects.push(SpreadEffect::Fetch(fetch));
         }
         let mut counts = None;
         while self.in_flight() < window {
             let counts = counts.get_or_insert_with(|| self.count_holders());
             let next = match self.options.choice {
-                Choice::Rarest => self.fetch_from_peer(now, counts),
-                Choice::Random => self.fetch_random_chunk(now),
-                Choice::OriginOnly => None,
+                FetchStrategy::Rarest => self.fetch_from_peer(now, counts),
+                FetchStrategy::Random => self.fetch_random_chunk(now),
+                FetchStrategy::OriginOnly => None,
             };
             match next {
-                Some(draw) => effects.push(SpreadEffect::Draw(draw)),
+                Some(fetch) => effects.push(SpreadEffect::Fetch(fetch)),
                 None => break,
             }
         }
@@ -55,7 +55,7 @@
 
     /// Selects the least busy source, then the rarest of its chunks. Using an idle link is worth more than a
     /// rare chunk behind a queue.
-    fn fetch_from_peer(&mut self, now: Millis, counts: &[u32]) -> Option<Draw> {
+    fn fetch_from_peer(&mut self, now: Millis, counts: &[u32]) -> Option<Fetch> {
         let chunk_ms =
             millis_for(u64::from(self.manifest.chunk_bytes), self.options.download_bytes_per_s);
         let mut sources: Vec<(&InstanceId, &Neighbour)> = self.neighbours.iter().collect();
@@ -66,25 +66,25 @@
         });
         let (index, source) = sources.into_iter().find_map(|(id, neighbour)| {
             let index = self.rarest(now, neighbour, counts)?;
-            Some((index, DrawSource::Peer(id.clone(), neighbour.address)))
+            Some((index, FetchSource::Peer(id.clone(), neighbour.address)))
         })?;
         Some(self.start_fetch(now, index, source, false))
     }
 
-    /// The baseline `Choice::Random`: any missing chunk from any neighbour that holds it.
-    fn fetch_random_chunk(&mut self, now: Millis) -> Option<Draw> {
+    /// The baseline `FetchStrategy::Random`: any missing chunk from any neighbour that holds it.
+    fn fetch_random_chunk(&mut self, now: Millis) -> Option<Fetch> {
         let pseudorandom = |salt: u32| {
             shared_hash(&[self.me.0.as_bytes(), &now.0.to_le_bytes(), &salt.to_le_bytes()])
         };
         let wanted: Vec<u32> =
             self.have.missing().filter(|index| !self.in_flight.contains_key(index)).collect();
-        let mut offers: Vec<(u32, DrawSource)> = Vec::new();
+        let mut offers: Vec<(u32, FetchSource)> = Vec::new();
         for (id, neighbour) in &self.neighbours {
             if neighbour.outstanding >= MAX_IN_FLIGHT_PER_SOURCE || now < neighbour.not_before {
                 continue;
             }
             let held = wanted.iter().filter(|index| neighbour.have.contains(**index));
-            let source = DrawSource::Peer(id.clone(), neighbour.address);
+            let source = FetchSource::Peer(id.clone(), neighbour.address);
             offers.extend(held.map(|index| (*index, source.clone())));
         }
         let pick = pseudorandom(self.in_flight.len() as u32) as usize % offers.len().max(1);
@@ -120,13 +120,13 @@
         &mut self,
         now: Millis,
         index: u32,
-        source: DrawSource,
+        source: FetchSource,
         last_resort: bool,
-    ) -> Draw {
+    ) -> Fetch {
         let held = self.have.count();
         let mut expected_ms = ASSUMED_QUEUE_CHUNKS
             * millis_for(u64::from(self.manifest.chunk_bytes), self.options.download_bytes_per_s);
-        if let DrawSource::Peer(id, _) = &source {
+        if let FetchSource::Peer(id, _) = &source {
             if let Some(neighbour) = self.neighbours.get_mut(id) {
                 neighbour.outstanding += 1;
                 neighbour.record_summary(now, held);
@@ -136,6 +136,6 @@
         let span = (expected_ms * DEADLINE_FACTOR).clamp(MIN_DEADLINE_MS, MAX_DEADLINE_MS) as u64;
         self.in_flight.insert(index, PendingFetch { source: source.clone(), sent: now });
         let deadline = now.plus(span);
-        Draw { version: self.version, index, source, deadline, last_resort }
+        Fetch { version: self.version, index, source, deadline, last_resort }
     }
 }
--- a/components/reducer/src/spread/version/summaries.rs
+++ b/components/reducer/src/spread/version/summaries.rs
@@ -3,7 +3,7 @@
 
 use fleet::{InstanceId, Millis};
 
-use super::{DrawSource, Spread, SpreadEffect};
+use super::{FetchSource, Spread, SpreadEffect};
 use crate::spread::gate::first_ranked_in_halls;
 use crate::spread::neighbour::Neighbour;
 
@@ -24,16 +24,16 @@
     /// can inform them. For a chunk from the origin, these are the first two receivers of each hall: they
     /// fetch it into their hall next, or would fetch it from the origin again. For a chunk from the
     /// origin or another hall, these are also the neighbours in this hall.
-    pub(super) fn announce(&mut self, index: u32, source: &DrawSource) {
+    pub(super) fn announce(&mut self, index: u32, source: &FetchSource) {
         let is_new_here = match source {
-            DrawSource::Origin => {
+            FetchSource::Origin => {
                 let first =
                     first_ranked_in_halls(self.version, index, &self.receivers, ANNOUNCED_PER_HALL);
                 let known = first.iter().filter(|id| **id != self.me);
                 self.announce_to.extend(known.filter_map(|id| self.addresses.get(id)));
                 true
             }
-            DrawSource::Peer(id, _) => self.neighbours.get(id).is_some_and(|it| it.distance > 0),
+            FetchSource::Peer(id, _) => self.neighbours.get(id).is_some_and(|it| it.distance > 0),
         };
         if is_new_here {
             let near = self.neighbours.values().filter(|it| it.distance == 0 && !it.have.is_full());
@@ -80,7 +80,7 @@
     }
 
     /// Records that a neighbour was informed along with a chunk.
-    pub fn note_told(&mut self, now: Millis, id: &InstanceId) {
+    pub fn record_summary(&mut self, now: Millis, id: &InstanceId) {
         let held = self.have.count();
         if let Some(neighbour) = self.neighbours.get_mut(id) {
             neighbour.record_summary(now, held);
--- a/components/reducer/src/spread/version/types.rs
+++ b/components/reducer/src/spread/version/types.rs
@@ -7,7 +7,7 @@
 /// How chunks and sources are selected. Only `Rarest` is meant for production; the others are baselines for
 /// comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Choice {
+pub enum FetchStrategy {
     /// The least busy source, then the rarest of its chunks; the origin according to its schedule.
     #[default]
     Rarest,
@@ -20,22 +20,22 @@
 
 /// Limits on the neighbours that chunks are exchanged with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reach {
+pub struct NeighbourLimits {
     /// Number of neighbours that a receiver selects itself.
     pub chosen: usize,
     /// Number of the selected ones that are in the same hall, if there are as many.
     pub near: usize,
     /// Most neighbours, including those that selected this receiver.
-    pub most: usize,
+    pub max: usize,
     /// How long a receiver waits for the one ranked before it in its hall before it fetches a chunk from
     /// another hall, in milliseconds. A chunk then enters a hall about once, which suits links between halls
     /// that are narrow or expensive. `None` allows all fetches from other halls.
     pub hall_patience_ms: Option<u64>,
 }
 
-impl Default for Reach {
+impl Default for NeighbourLimits {
     fn default() -> Self {
-        Self { chosen: 6, near: 4, most: 12, hall_patience_ms: None }
+        Self { chosen: 6, near: 4, max: 12, hall_patience_ms: None }
     }
 }
 
@@ -52,27 +52,27 @@
     pub control_bytes_per_s: u64,
     /// How long a receiver waits for the one ranked before it to fetch from the origin, in milliseconds.
     /// `None` derives it from the time that the whole version takes.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// Limits on the neighbours.
-    pub reach: Reach,
+    pub reach: NeighbourLimits,
     /// How chunks and sources are selected.
-    pub choice: Choice,
+    pub choice: FetchStrategy,
 }
 
 /// The part of the origin that the spread of a version may use while another version is being distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OriginShare {
     /// The whole origin.
-    Whole,
+    Full,
     /// A few chunks, to test whether the origin responds.
-    Probes,
+    ProbesOnly,
     /// Nothing, because its link carries the other version.
-    Nothing,
+    None,
 }
 
 /// The source of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum DrawSource {
+pub enum FetchSource {
     /// The origin.
     Origin,
     /// Another daemon.
@@ -81,13 +81,13 @@
 
 /// A fetch of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Draw {
+pub struct Fetch {
     /// The version.
     pub version: VersionId,
     /// The chunk.
     pub index: u32,
     /// The source.
-    pub source: DrawSource,
+    pub source: FetchSource,
     /// When the fetch fails, in the time of the reducer.
     pub deadline: Millis,
     /// Whether the origin is asked although peers report to hold the chunk.
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadEffect {
     /// Fetch a chunk.
-    Draw(Draw),
+    Fetch(Fetch),
     /// Send a neighbour a summary of the chunks held.
     Summarize {
         /// The address of the neighbour.
@@ -112,9 +112,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpreadPhase {
     /// Chunks are missing.
-    Drawing,
+    Fetching,
     /// Every chunk is here and verified.
-    Whole,
+    Complete,
 }
 
 /// A daemon that receives or holds the version.
--- a/components/rollout/src/event.rs
+++ b/components/rollout/src/event.rs
@@ -8,7 +8,7 @@
     Ablation, AdvertisedLimit, Bitmap, EvacuationChange, EvacuationList, IncarnationChange,
     IncarnationReport, InstanceId, Manifest, Millis, ModelName, Place, Rate, ReportedLimit,
 };
-use reducer::{Draw, DrawSource};
+use reducer::{Fetch, FetchSource};
 use serde::{Deserialize, Serialize};
 
 use crate::cold::{ColdLimit, ColdPlan};
@@ -148,7 +148,7 @@
         /// The index of the chunk.
         index: u32,
         /// The source of the chunk.
-        source: DrawSource,
+        source: FetchSource,
         /// Whether its digest matches the manifest.
         verified: bool,
     },
@@ -159,7 +159,7 @@
         /// The index of the chunk.
         index: u32,
         /// The source of the chunk.
-        source: DrawSource,
+        source: FetchSource,
         /// The error.
         code: Code,
     },
@@ -220,7 +220,7 @@
     /// Read and verify the chunks stored at the runner.
     ReadStoredChunks(u64),
     /// Fetch a chunk of a version.
-    FetchChunk(u64, Draw),
+    FetchChunk(u64, Fetch),
     /// Send a summary of the held chunks of a version to another sidecar.
     Summarize {
         /// The address of the sidecar.
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -23,7 +23,7 @@
     AnnouncedVersion, Announcement, Announcements, Bitmap, Evacuations, IncarnationReport,
     InstanceId, Mechanism, Millis,
 };
-use reducer::DrawSource;
+use reducer::FetchSource;
 
 /// The version that runners hold before any version is announced.
 const FIRST_VERSION: u64 = 1;
@@ -252,7 +252,7 @@
             }
             Event::StoredChunksRead(version, found) => self.apply_found(version, &found),
             Event::Arrived { version, index, source, verified } => {
-                let mut effects = self.take_chunk(now, version, index, &source, verified);
+                let mut effects = self.handle_chunk(now, version, index, &source, verified);
                 effects.extend(self.advance(now));
                 return effects;
             }
@@ -265,12 +265,12 @@
             Event::Summary { from, address, place, version, have } => {
                 self.manifest_searches.note_holder(now, version, address);
                 if let Some(spread) = self.target(version).and_then(Target::spread_mut) {
-                    spread.take_summary(now, &from, address, &place, have);
+                    spread.handle_summary(now, &from, address, &place, have);
                 }
             }
             Event::SourceChunks { of, version, have } => {
                 if let Some(spread) = self.target(version).and_then(Target::spread_mut) {
-                    spread.take_holdings(now, &of, have);
+                    spread.set_holdings(now, &of, have);
                 }
             }
             Event::Staged(version, is_complete) => {
@@ -299,19 +299,19 @@
     }
 
     /// Applies a received chunk. If a chunk never has the right digest, the manifest itself may be wrong.
-    fn take_chunk(
+    fn handle_chunk(
         &mut self,
         now: Millis,
         version: u64,
         index: u32,
-        source: &DrawSource,
+        source: &FetchSource,
         verified: bool,
     ) -> Vec<Effect> {
         let Some(target) = self.target(version) else {
             return Vec::new();
         };
         if let Some(spread) = target.spread_mut() {
-            spread.take_chunk(now, index, source, verified);
+            spread.handle_chunk(now, index, source, verified);
         }
         if !verified && target.note_digest_mismatch(index) {
             return vec![Effect::FetchManifest(version, ManifestSource::Origin)];
--- a/components/rollout/src/reducer/moves.rs
+++ b/components/rollout/src/reducer/moves.rs
@@ -106,11 +106,11 @@
         };
         let abandons = older.is_fetching() && (is_useless || newer.progresses_alone(now, older));
         let share = match older.is_fetching() && older.needs_origin() && !abandons {
-            false => OriginShare::Whole,
-            true if older.is_stalled(now) => OriginShare::Probes,
-            true => OriginShare::Nothing,
+            false => OriginShare::Full,
+            true if older.is_stalled(now) => OriginShare::ProbesOnly,
+            true => OriginShare::None,
         };
-        newer.use_origin(now, share);
+        newer.set_origin_share(now, share);
         if abandons {
             self.current = self.next.take();
         }
--- a/components/rollout/src/target.rs
+++ b/components/rollout/src/target.rs
@@ -5,7 +5,8 @@
 
 use fleet::{Announcement, Bitmap, Hall, InstanceId, Manifest, Mechanism, Millis};
 use reducer::{
-    Choice, OriginShare, Participant, Reach, Spread, SpreadEffect, SpreadOptions, SpreadPhase,
+    FetchStrategy, NeighbourLimits, OriginShare, Participant, Spread, SpreadEffect, SpreadOptions,
+    SpreadPhase,
 };
 
 use crate::event::{Effect, Peer, RolloutOptions, WeightsPlan};
@@ -123,7 +124,7 @@
 
     /// Returns whether all chunks are here.
     pub(crate) fn is_complete(&self) -> bool {
-        self.spread.as_ref().is_some_and(|it| it.phase() == SpreadPhase::Whole)
+        self.spread.as_ref().is_some_and(|it| it.phase() == SpreadPhase::Complete)
     }
 
     /// Returns whether all chunks are here and the runner has not loaded them yet.
@@ -140,7 +141,7 @@
     /// manifest.
     pub(crate) fn origin_ms(&self) -> Option<u64> {
         let spread = self.spread.as_ref()?;
-        Some((spread.held_nowhere().len() as f64 * spread.origin_chunk_ms()) as u64)
+        Some((spread.unheld_chunks().len() as f64 * spread.origin_chunk_ms()) as u64)
     }
 
     /// Like `origin_ms`, but assumes that the origin has not failed: then its link needs at most the rest of
@@ -160,19 +161,20 @@
     /// Returns whether more than the last few chunks have to come from the origin.
     pub(crate) fn needs_origin(&self) -> bool {
         let spread = self.spread.as_ref();
-        spread.is_some_and(|it| it.held_nowhere().len() > MAX_LAST_CHUNKS)
+        spread.is_some_and(|it| it.unheld_chunks().len() > MAX_LAST_CHUNKS)
     }
 
     /// Returns whether no chunk has arrived for a while, at this or any other sidecar.
     pub(crate) fn is_stalled(&self, now: Millis) -> bool {
-        let progress = self.spread.as_ref().map(|it| it.news_at().max(it.last_chunk_at()));
+        let progress =
+            self.spread.as_ref().map(|it| it.last_new_chunk_at().max(it.last_chunk_at()));
         progress.is_some_and(|it| now.since(it).0 > STALL_MS)
     }
 
     /// Sets the share of the origin that this version may use.
-    pub(crate) fn use_origin(&mut self, now: Millis, share: OriginShare) {
+    pub(crate) fn set_origin_share(&mut self, now: Millis, share: OriginShare) {
         if let Some(spread) = &mut self.spread {
-            spread.use_origin(now, share);
+            spread.set_origin_share(now, share);
         }
     }
 
@@ -193,9 +195,9 @@
         let (Some(newer), Some(older)) = (&self.spread, &older.spread) else {
             return false;
         };
-        let stalled_at = older.last_chunk_at().max(older.news_at()).plus(STALL_MS);
-        newer.held_nowhere().len() < newer.have().capacity() as usize
-            && newer.news_at() > stalled_at
+        let stalled_at = older.last_chunk_at().max(older.last_new_chunk_at()).plus(STALL_MS);
+        newer.unheld_chunks().len() < newer.have().capacity() as usize
+            && newer.last_new_chunk_at() > stalled_at
     }
 
     /// The chunks that this sidecar holds.
@@ -302,10 +304,10 @@
     ) {
         self.pace = if is_serving { PACE_WHILE_SERVING } else { PACE_WHILE_IDLE };
         let has_hall_limit = options.ablation.keeps(Mechanism::HallGates);
-        let reach = Reach {
+        let reach = NeighbourLimits {
             chosen: SELECTED_NEIGHBOURS,
             near: SELECTED_NEAR_NEIGHBOURS,
-            most: MAX_NEIGHBOURS,
+            max: MAX_NEIGHBOURS,
             hall_patience_ms: has_hall_limit.then_some(self.pace.hall_rank_delay_ms),
         };
         let keeps_share = self.step == Step::Served;
@@ -315,9 +317,9 @@
             origin_bytes_per_s: plan.origin_bytes_per_s,
             download_bytes_per_s: (options.link_bytes_per_s as f64 * LINK_FRACTION) as u64,
             control_bytes_per_s: options.control_bytes_per_s,
-            patience_ms: Some(self.pace.rank_delay_ms),
+            timeout_ms: Some(self.pace.rank_delay_ms),
             reach,
-            choice: Choice::Rarest,
+            choice: FetchStrategy::Rarest,
         };
         let mut spread =
             Spread::new(now, &options.me, &options.place, manifest, &receivers, spread_options);
@@ -364,13 +366,13 @@
         };
         let mut effects = Vec::new();
         match self.step {
-            Step::Fetching if other_is_fetched => effects.extend(spread.draw_own(now)),
+            Step::Fetching if other_is_fetched => effects.extend(spread.fetch_own_share(now)),
             Step::Fetching => {
                 let is_slow = spread.usual_chunk_ms() > SLOW_CHUNK_MS;
                 let window = if is_slow { 1 } else { self.pace.window };
-                effects.extend(spread.draw(now, window));
+                effects.extend(spread.fetch(now, window));
             }
-            Step::Served => effects.extend(spread.draw_kept(now)),
+            Step::Served => effects.extend(spread.fetch_for_others(now)),
             _ => {}
         }
         effects.extend(spread.summarize(now));
@@ -392,7 +394,7 @@
 
 fn to_effect(version: u64, effect: SpreadEffect) -> Effect {
     match effect {
-        SpreadEffect::Draw(draw) => Effect::FetchChunk(version, draw),
+        SpreadEffect::Fetch(fetch) => Effect::FetchChunk(version, fetch),
         SpreadEffect::Summarize { to, have } => Effect::Summarize { to, version, have },
     }
 }
--- a/components/rollout/tests/fleet.rs
+++ b/components/rollout/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use fleet::Millis;
 use proptest::prelude::*;
-use reducer::DrawSource;
+use reducer::FetchSource;
 use rollout::*;
 use support::*;
 
@@ -157,7 +157,7 @@
     fleet.run(300);
     let asked = fleet.origin_manifests;
     for _ in 0..3 {
-        let source = DrawSource::Origin;
+        let source = FetchSource::Origin;
         fleet.deliver(0, Event::Arrived { version: 2, index: 7, source, verified: false });
     }
     assert_eq!(fleet.origin_manifests, asked + 1);
--- a/components/rollout/tests/support/effects.rs
+++ b/components/rollout/tests/support/effects.rs
@@ -4,7 +4,7 @@
 
 use errors::Code;
 use fleet::{Bitmap, Millis};
-use reducer::{Draw, DrawSource};
+use reducer::{Fetch, FetchSource};
 use rollout::*;
 
 use super::{address, id, manifest, place, Fleet, CHUNKS};
@@ -19,7 +19,7 @@
                 let none = Bitmap::new(CHUNKS);
                 self.schedule(10, index, Event::StoredChunksRead(version, none));
             }
-            Effect::FetchChunk(version, draw) => self.deliver_chunk(index, version, draw),
+            Effect::FetchChunk(version, fetch) => self.deliver_chunk(index, version, fetch),
             Effect::Summarize { to, version, have } => {
                 self.deliver_summary(index, to, version, have)
             }
@@ -100,8 +100,8 @@
     }
 
     /// Delivers a chunk to a sidecar, or an error.
-    pub fn deliver_chunk(&mut self, index: usize, version: u64, draw: Draw) {
-        let Draw { index: chunk, source, deadline, .. } = draw;
+    pub fn deliver_chunk(&mut self, index: usize, version: u64, fetch: Fetch) {
+        let Fetch { index: chunk, source, deadline, .. } = fetch;
         self.fetches += 1;
         let is_lost = self.lose_every > 0 && self.fetches.is_multiple_of(self.lose_every);
         if !self.can_fetch_from(index, &source) {
@@ -113,9 +113,9 @@
         let holds = self.holds(&source, version, chunk);
         self.count_hall_crossing(index, &source);
         let is_unavailable =
-            source == DrawSource::Origin && self.now < self.origin_unavailable_until;
+            source == FetchSource::Origin && self.now < self.origin_unavailable_until;
         let mut delay = self.chunk_ms;
-        if source == DrawSource::Origin && !is_unavailable {
+        if source == FetchSource::Origin && !is_unavailable {
             self.origin_chunks += 1;
             self.origin_busy_until = self.origin_busy_until.max(self.now) + self.origin_chunk_ms;
             delay += self.origin_busy_until - self.now;
@@ -131,10 +131,10 @@
     }
 
     /// Returns whether a sidecar can reach a source.
-    fn can_fetch_from(&self, index: usize, source: &DrawSource) -> bool {
+    fn can_fetch_from(&self, index: usize, source: &FetchSource) -> bool {
         match source {
-            DrawSource::Origin => !self.disconnected.contains(&index),
-            DrawSource::Peer(peer, _) => {
+            FetchSource::Origin => !self.disconnected.contains(&index),
+            FetchSource::Peer(peer, _) => {
                 let is_reachable =
                     |it: usize| !self.stopped_sidecars.contains(&it) && self.can_reach(it, index);
                 self.index_of(peer).is_some_and(is_reachable)
@@ -143,8 +143,8 @@
     }
 
     /// Returns whether a source holds a chunk of a version.
-    fn holds(&self, source: &DrawSource, version: u64, chunk: u32) -> bool {
-        let DrawSource::Peer(peer, _) = source else {
+    fn holds(&self, source: &FetchSource, version: u64, chunk: u32) -> bool {
+        let FetchSource::Peer(peer, _) = source else {
             return true;
         };
         let have = self.index_of(peer).and_then(|it| self.sidecars[it].held_chunks(version));
@@ -152,8 +152,8 @@
     }
 
     /// Counts a fetch from another hall.
-    fn count_hall_crossing(&mut self, index: usize, source: &DrawSource) {
-        if let DrawSource::Peer(peer, _) = source {
+    fn count_hall_crossing(&mut self, index: usize, source: &FetchSource) {
+        if let FetchSource::Peer(peer, _) = source {
             let is_in_other_hall = |it: usize| place(it).hall != place(index).hall;
             self.fetches_between_halls +=
                 u32::from(self.index_of(peer).is_some_and(is_in_other_hall));
@@ -163,11 +163,11 @@
     /// Records that a chunk has left the origin, or replaces its arrival by an error if the origin has become
     /// unavailable.
     pub(super) fn record_origin_departure(&mut self, event: Event) -> Event {
-        let Event::Arrived { version, index, source: DrawSource::Origin, .. } = event else {
+        let Event::Arrived { version, index, source: FetchSource::Origin, .. } = event else {
             return event;
         };
         if self.now < self.origin_unavailable_until {
-            let (source, code) = (DrawSource::Origin, Code::Unreachable);
+            let (source, code) = (FetchSource::Origin, Code::Unreachable);
             self.origin_busy_until = 0;
             return Event::FetchFailed { version, index, source, code };
         }
--- a/components/rollout/tests/support/mod.rs
+++ b/components/rollout/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 use errors::Code;
 use fleet::{Ablation, InstanceId, Manifest, Millis, Place, VersionId};
-use reducer::DrawSource;
+use reducer::FetchSource;
 use rollout::*;
 
 pub const CHUNKS: u32 = 64;
@@ -263,7 +263,7 @@
             let Event::Arrived { version, index: chunk, source, .. } = &pending.event else {
                 continue;
             };
-            if matches!(source, DrawSource::Peer(peer, _) if peer == &id(index)) {
+            if matches!(source, FetchSource::Peer(peer, _) if peer == &id(index)) {
                 let (version, index, source) = (*version, *chunk, source.clone());
                 pending.event =
                     Event::FetchFailed { version, index, source, code: Code::Unreachable };
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -70,12 +70,12 @@
     },
     /// A manifest, in the payload.
     Manifest,
-    /// Requests the download progress of a version.
+    /// Requests the fetch progress of a version.
     GetProgress {
         /// The version.
         version: VersionId,
     },
-    /// The download progress of a version.
+    /// The fetch progress of a version.
     Progress {
         /// The number of chunks that the sender holds.
         held: u32,
--- a/daemon/src/setup.rs
+++ b/daemon/src/setup.rs
@@ -7,7 +7,9 @@
 use externals::{HttpInstances, HttpObjects, HttpTable, HttpUpstream, HttpWeights, Platform};
 use net::Tasks;
 use node::{AgentNode, AgentSetup, EntryNode, EntrySetup, Host, Identity, Upstream};
-use reducer::{AgentOptions, Choice, EntryOptions, Estimate, RouteChoice, SpreadOptions};
+use reducer::{
+    AgentOptions, EntryOptions, Estimate, FetchStrategy, RoutingStrategy, SpreadOptions,
+};
 use settings::{AgentSettings, EntrySettings, RoleSettings, Settings};
 use telemetry::Metrics;
 
@@ -100,7 +102,7 @@
                 link_bytes_per_s: settings.profile.link_bytes_per_s as f64,
                 copies: settings.profile.origin_copies(),
             },
-            choice: RouteChoice::default(),
+            choice: RoutingStrategy::default(),
         },
     }
 }
@@ -127,13 +129,13 @@
             memory_bytes: agent.memory_bytes,
             upload_bytes_per_s: agent.link.for_weights(agent.link.upload_bytes_per_s),
             spread: SpreadOptions {
-                patience_ms: None,
-                reach: reducer::Reach::default(),
+                timeout_ms: None,
+                reach: reducer::NeighbourLimits::default(),
                 copies: settings.profile.origin_copies(),
                 origin_bytes_per_s: settings.profile.origin_bytes_per_s,
                 download_bytes_per_s: agent.link.for_weights(agent.link.download_bytes_per_s),
                 control_bytes_per_s: settings.node.control_bytes_per_s,
-                choice: Choice::default(),
+                choice: FetchStrategy::default(),
             },
         },
         interference: None,
--- a/examples/burst/main.rs
+++ b/examples/burst/main.rs
@@ -14,7 +14,7 @@
 use args::Baseline;
 use async_executor::Executor;
 use lab::Lab;
-use reducer::Choice;
+use reducer::FetchStrategy;
 
 fn main() -> eyre::Result<()> {
     let args: args::Args = argh::from_env();
@@ -22,13 +22,13 @@
     Lab::run_threads(&executor);
     let baseline = match args.baseline {
         None => None,
-        Some(Baseline::Origin) => Some(Choice::OriginOnly),
-        Some(Baseline::Random) => Some(Choice::Random),
+        Some(Baseline::Origin) => Some(FetchStrategy::OriginOnly),
+        Some(Baseline::Random) => Some(FetchStrategy::Random),
     };
     let mut reports = Vec::new();
-    for choice in baseline.into_iter().chain([Choice::Rarest]) {
+    for choice in baseline.into_iter().chain([FetchStrategy::Rarest]) {
         let run = async_io::block_on(run::run(&executor, &args, choice))?;
-        if let (Some(path), Choice::Rarest) = (&args.plot, choice) {
+        if let (Some(path), FetchStrategy::Rarest) = (&args.plot, choice) {
             plot::draw(path, &run.timeline, &run.report)?;
         }
         reports.push(run.report);
--- a/examples/burst/run.rs
+++ b/examples/burst/run.rs
@@ -11,7 +11,7 @@
 use lab::{Lab, LabOptions};
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
-use reducer::Choice;
+use reducer::FetchStrategy;
 
 use crate::args::{Args, Fault, Weights};
 use crate::callers::Callers;
@@ -49,7 +49,7 @@
 pub async fn run(
     executor: &Arc<Executor<'static>>,
     args: &Args,
-    choice: Choice,
+    choice: FetchStrategy,
 ) -> eyre::Result<Run> {
     let contents = [load_weights(args, args.seed)?, load_weights(args, args.seed + 1)?];
     let options = LabOptions { choice, ..options(args, contents[0].len()) };
--- a/examples/requests/args.rs
+++ b/examples/requests/args.rs
@@ -1,7 +1,7 @@
 //! Command line options of the example.
 
 use argh::FromArgs;
-use reducer::RouteChoice;
+use reducer::RoutingStrategy;
 
 /// Send requests to a fleet at a fixed rate, independent of the answers, and check every answer.
 #[derive(FromArgs)]
@@ -17,7 +17,7 @@
     pub faults: String,
     /// round-robin or least-inflight: run this baseline strategy first
     #[argh(option, from_str_fn(parse_choice))]
-    pub baseline: Option<RouteChoice>,
+    pub baseline: Option<RoutingStrategy>,
     /// seed of the arrivals and prompts (default 1)
     #[argh(option, default = "1")]
     pub seed: u64,
@@ -33,10 +33,10 @@
     }
 }
 
-fn parse_choice(text: &str) -> Result<RouteChoice, String> {
+fn parse_choice(text: &str) -> Result<RoutingStrategy, String> {
     match text {
-        "round-robin" => Ok(RouteChoice::RoundRobin),
-        "least-inflight" => Ok(RouteChoice::LeastInFlight),
+        "round-robin" => Ok(RoutingStrategy::RoundRobin),
+        "least-inflight" => Ok(RoutingStrategy::LeastInFlight),
         _ => Err("expected round-robin or least-inflight".to_owned()),
     }
 }
--- a/examples/requests/main.rs
+++ b/examples/requests/main.rs
@@ -19,7 +19,7 @@
     let args: Args = argh::from_env();
     let executor = Arc::new(Executor::new());
     Lab::run_threads(&executor);
-    let choices = args.baseline.into_iter().chain([reducer::RouteChoice::Weighed]);
+    let choices = args.baseline.into_iter().chain([reducer::RoutingStrategy::Weighted]);
     for choice in choices {
         let report = async_io::block_on(run::run(&executor, &args, choice))?;
         if args.json {
--- a/examples/requests/run.rs
+++ b/examples/requests/run.rs
@@ -12,7 +12,7 @@
 use lab::{Lab, LabOptions};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use reducer::RouteChoice;
+use reducer::RoutingStrategy;
 use standins::EngineOptions;
 
 use crate::args::Args;
@@ -45,7 +45,7 @@
 pub async fn run(
     executor: &Arc<Executor<'static>>,
     args: &Args,
-    choice: RouteChoice,
+    choice: RoutingStrategy,
 ) -> eyre::Result<Report> {
     let lab = Lab::start(executor, options(choice)).await?;
     let manifest = lab.publish("assistant", &vec![1; WEIGHTS_BYTES]).await?;
@@ -78,7 +78,7 @@
     Ok(report)
 }
 
-fn options(choice: RouteChoice) -> LabOptions {
+fn options(choice: RoutingStrategy) -> LabOptions {
     LabOptions {
         engines: ENGINE_COUNT,
         services: vec![("ledger".to_owned(), LEDGER_COUNT)],
--- a/examples/slopes/entry.rs
+++ b/examples/slopes/entry.rs
@@ -3,7 +3,7 @@
 use fleet::{Incarnation, Instance, Millis, Process, RequestId, ServiceName};
 use quarantine::RequestDigest;
 use reducer::{
-    Arrival, AttemptId, ControlEvent, Entry, EntryEvent, EntryOptions, Estimate, RouteChoice,
+    Arrival, AttemptId, ControlEvent, Entry, EntryEvent, EntryOptions, Estimate, RoutingStrategy,
     Target,
 };
 use wire::Load;
@@ -21,7 +21,7 @@
         retry_share: 0.1,
         control_bytes_per_s: 3000,
         estimate,
-        choice: RouteChoice::Weighed,
+        choice: RoutingStrategy::Weighted,
     };
     let mut entry = Entry::new(record(&instance(0, Process::Entry)), options);
     let process = Process::Service(ServiceName("till".into()));
@@ -45,7 +45,7 @@
                 workspace: "w".into(),
                 prefix: u64::from(n),
                 deadline: Millis(1_000_000),
-                max_wait: 250,
+                max_wait_ms: 250,
                 repeatable: true,
                 priority: 1,
                 key: None,
@@ -53,7 +53,7 @@
             entry.reduce(Millis(10), 1, EntryEvent::Arrived(Box::new(arrival)));
             let attempt = AttemptId { request, number: 1 };
             let load = Load { running: 1, limit: 16, uploads: 0 };
-            entry.reduce(Millis(10), 1, EntryEvent::Ended { attempt, load });
+            entry.reduce(Millis(10), 1, EntryEvent::AttemptCompleted { attempt, load });
         });
         let tick = micros(2000, |n| {
             entry.reduce(Millis(20 + u64::from(n) * 50), 1, EntryEvent::Tick);
--- a/examples/slopes/spread.rs
+++ b/examples/slopes/spread.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fleet::{Bitmap, Hall, InstanceId, Manifest, Millis, Process};
-use reducer::{Choice, DrawSource, Participant, Spread, SpreadEffect, SpreadOptions};
+use reducer::{FetchSource, FetchStrategy, Participant, Spread, SpreadEffect, SpreadOptions};
 
 use crate::control::instance;
 use crate::table::{heap_bytes, micros, print_header, print_row};
@@ -28,13 +28,13 @@
         .map(|it| (it.id, it.place.hall))
         .collect();
     let options = SpreadOptions {
-        patience_ms: None,
-        reach: reducer::Reach::default(),
+        timeout_ms: None,
+        reach: reducer::NeighbourLimits::default(),
         copies: 1,
         origin_bytes_per_s: 1 << 30,
         download_bytes_per_s: 1 << 29,
         control_bytes_per_s: 3000,
-        choice: Choice::Rarest,
+        choice: FetchStrategy::Rarest,
     };
     let own_instance = instance(0, Process::Engine);
     let (now, manifest) = (Millis(1000), manifest.clone());
@@ -62,17 +62,17 @@
         let full = Bitmap::full(chunks);
         for n in 1..receivers {
             let it = instance(n, Process::Engine);
-            distribution.take_summary(Millis(0), &it.id, it.address, &it.place, full.clone());
+            distribution.handle_summary(Millis(0), &it.id, it.address, &it.place, full.clone());
         }
-        let mut in_flight: Vec<(u32, DrawSource)> = Vec::new();
+        let mut in_flight: Vec<(u32, FetchSource)> = Vec::new();
         let chunk_micros = micros(chunks.min(1000), |_| {
-            for effect in distribution.draw(Millis(1000), MAX_IN_FLIGHT) {
-                if let SpreadEffect::Draw(draw) = effect {
-                    in_flight.push((draw.index, draw.source));
+            for effect in distribution.fetch(Millis(1000), MAX_IN_FLIGHT) {
+                if let SpreadEffect::Fetch(fetch) = effect {
+                    in_flight.push((fetch.index, fetch.source));
                 }
             }
             if let Some((index, source)) = in_flight.pop() {
-                distribution.take_chunk(Millis(1001), index, &source, true);
+                distribution.handle_chunk(Millis(1001), index, &source, true);
             }
         });
         let all_participants = participants(receivers);
