--- a/components/edge/src/evacuated/tests.rs
+++ b/components/edge/src/evacuated/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use fleet::{Ablation, InstanceId, Millis, Place};
+use fleet::{Ablation, InstanceId, Location, Millis};
 use gateway::{Gateway, GatewayOptions};
 use rollout::{Rollout, RolloutOptions};
 
@@ -73,7 +73,7 @@
 fn sidecar() -> Rollout {
     Rollout::new(RolloutOptions {
         me: InstanceId("10.0.0.1".into()),
-        place: Place { region: "r".into(), hall: "a".into() },
+        place: Location { region: "r".into(), hall: "a".into() },
         link_bytes_per_s: 950_000,
         control_bytes_per_s: 6000,
         version_ms: 8000,
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -121,7 +121,7 @@
                 }
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
                 Effect::ReportHomeFaults(faults) => home_fault_log::log_home_faults(&faults),
-                Effect::Life(news) => log_incarnation_change(&self.metrics, &news),
+                Effect::LogIncarnationChange(news) => log_incarnation_change(&self.metrics, &news),
                 Effect::Notice(news) => log_notice(&news),
                 Effect::Crash(news) => {
                     note_crash(&self.metrics, &news);
--- a/components/edge/src/message.rs
+++ b/components/edge/src/message.rs
@@ -4,7 +4,7 @@
 
 use errors::{Code, Error, Result};
 use fleet::{
-    AnnouncedVersion, Bitmap, EvacuationList, Hall, InstanceId, Manifest, Place, ReportedLimit,
+    AnnouncedVersion, Bitmap, EvacuationList, Hall, InstanceId, Location, Manifest, ReportedLimit,
     ServiceName,
 };
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -127,7 +127,7 @@
         /// The sender.
         from: InstanceId,
         /// Its location.
-        place: Place,
+        place: Location,
         /// The version.
         version: u64,
         /// The chunks.
@@ -374,7 +374,7 @@
     /// The sender.
     pub from: InstanceId,
     /// Its location.
-    pub place: Place,
+    pub place: Location,
     /// The chunks that it holds, so that the receiver need not be sent a `Summary` as well.
     pub have: Bitmap,
 }
--- a/components/edge/src/message/samples.rs
+++ b/components/edge/src/message/samples.rs
@@ -45,8 +45,8 @@
     stored_chunks
 }
 
-fn place() -> Place {
-    Place { region: "nairobi".into(), hall: "nbo-hall-a".into() }
+fn place() -> Location {
+    Location { region: "nairobi".into(), hall: "nbo-hall-a".into() }
 }
 
 fn load() -> RunnerLoad {
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -8,8 +8,8 @@
 
 use async_channel::{Receiver, Sender};
 use fleet::{
-    AnnouncedVersion, Announcement, Announcements, Bitmap, EvacuationList, InstanceId, Millis,
-    ModelName, Place,
+    AnnouncedVersion, Announcement, Announcements, Bitmap, EvacuationList, InstanceId, Location,
+    Millis, ModelName,
 };
 use gateway::{KnownGateways, KnownLimits, RunnerLoad};
 use quarantine::{CrashLedger, CrashList, ListScope};
@@ -79,7 +79,7 @@
     /// The name of this process in logs.
     pub name: String,
     /// The location of this sidecar.
-    pub place: Place,
+    pub place: Location,
     /// The settings of the sidecar and its runner.
     pub settings: SidecarSettings,
     /// Whether no gateway of this data hall answers, so that the store has to be read.
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -7,7 +7,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use errors::{Code, Error, Result};
-use fleet::{Hall, InstanceId, Place, Region};
+use fleet::{Hall, InstanceId, Location, Region};
 use futures_lite::future;
 use gateway::readers::{ReadersAnswer, ReadersCall};
 use gateway::RunnerState;
@@ -108,7 +108,7 @@
         let region = self.halls.get(hall).cloned().unwrap_or_default();
         Peer {
             id: InstanceId(machine.to_string()),
-            place: Place { region, hall: hall.clone() },
+            place: Location { region, hall: hall.clone() },
             address: SocketAddr::new(machine, self.port),
             version,
         }
--- a/components/externals/src/http_upstream.rs
+++ b/components/externals/src/http_upstream.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use errors::{Code, Error, Result};
-use fleet::{RequestId, UNREADABLE_REST_MS};
+use fleet::{RequestId, UNREADABLE_BACKOFF_MS};
 use http_types::{Method, Request, Response, StatusCode};
 use net::{read_body, send, Deadline, HttpBody};
 
@@ -101,15 +101,15 @@
 }
 
 /// Returns the pause that an upstream requests with a 503 response, in milliseconds. A `Retry-After` value that
-/// cannot be parsed still requests a pause, of `UNREADABLE_REST_MS`.
+/// cannot be parsed still requests a pause, of `UNREADABLE_BACKOFF_MS`.
 fn retry_after_ms(response: &Response) -> Option<u64> {
     let text = response.header("retry-after")?.last().as_str();
     if response.status() != StatusCode::ServiceUnavailable {
         return None;
     }
-    Some(fleet::rest_ms(text).unwrap_or_else(|| {
-        log::warn!(text = text, taken_ms = UNREADABLE_REST_MS; "cannot parse the Retry-After header of an upstream; using the default pause");
-        UNREADABLE_REST_MS
+    Some(fleet::backoff_ms(text).unwrap_or_else(|| {
+        log::warn!(text = text, taken_ms = UNREADABLE_BACKOFF_MS; "cannot parse the Retry-After header of an upstream; using the default pause");
+        UNREADABLE_BACKOFF_MS
     }))
 }
 
--- a/components/fleet/src/ablation.rs
+++ b/components/fleet/src/ablation.rs
@@ -115,7 +115,7 @@
     }
 
     /// Returns whether a mechanism is enabled.
-    pub fn keeps(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
 
--- a/components/fleet/src/backoff.rs
+++ b/components/fleet/src/backoff.rs
@@ -4,13 +4,13 @@
 
 /// The backoff to use if `Retry-After` cannot be parsed, in milliseconds: a third of what overloaded upstreams
 /// usually request.
-pub const UNREADABLE_REST_MS: u64 = 1000;
+pub const UNREADABLE_BACKOFF_MS: u64 = 1000;
 /// The longest backoff, in milliseconds: one hour. Longer values are an error of the upstream.
 const MAX_BACKOFF_MS: u64 = 3_600_000;
 
 /// Parses the value of `Retry-After`, a decimal number of seconds, as milliseconds. `None` for any other
 /// value.
-pub fn rest_ms(text: &str) -> Option<u64> {
+pub fn backoff_ms(text: &str) -> Option<u64> {
     let seconds = text.trim().parse::<f64>().ok()?;
     let is_duration = seconds.is_finite() && seconds >= 0.0;
     is_duration.then(|| ((seconds * 1000.0).ceil() as u64).min(MAX_BACKOFF_MS))
--- a/components/fleet/src/evacuation.rs
+++ b/components/fleet/src/evacuation.rs
@@ -9,7 +9,7 @@
 use crate::store_position::StorePosition;
 use crate::Millis;
 
-/// The fraction of the evacuation time, less `NEWS_MARGIN`, during which requests are still sent to the hall.
+/// The fraction of the evacuation time, less `PROPAGATION_MARGIN_MS`, during which requests are still sent to the hall.
 /// Stopping at once would overload the other halls, and fewer requests would be answered in time.
 const GRADUAL_FRACTION: f64 = 0.75;
 
@@ -74,7 +74,7 @@
     /// Part of the evacuation deadline that is reserved, in milliseconds: for the propagation of the change
     /// from the store to a gateway, for connecting to a runner, and for a machine that is short of processor
     /// time.
-    pub const NEWS_MARGIN: u64 = 1000;
+    pub const PROPAGATION_MARGIN_MS: u64 = 1000;
 
     /// How long a hall still counts as evacuated if its row is missing after the store was restored from a
     /// copy, in milliseconds. The row may be among the lost ones, and operators write those again. The time
@@ -95,8 +95,8 @@
 
     /// Changes the evacuation deadline, also for evacuations in progress.
     pub fn set_deadline(&mut self, evacuate_ms: Option<u64>, ablation: &Ablation) {
-        let deadline_ms = evacuate_ms.filter(|_| ablation.keeps(Mechanism::EvenLeaving));
-        let remaining_ms = deadline_ms.unwrap_or(0).saturating_sub(Self::NEWS_MARGIN);
+        let deadline_ms = evacuate_ms.filter(|_| ablation.is_enabled(Mechanism::EvenLeaving));
+        let remaining_ms = deadline_ms.unwrap_or(0).saturating_sub(Self::PROPAGATION_MARGIN_MS);
         self.gradual_ms = (remaining_ms as f64 * GRADUAL_FRACTION) as u64;
     }
 
--- a/components/fleet/src/instance.rs
+++ b/components/fleet/src/instance.rs
@@ -8,7 +8,7 @@
 
 /// The location of an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct Location {
     /// The region.
     pub region: Region,
     /// The hall within the region.
@@ -43,7 +43,7 @@
     /// The unique name.
     pub id: InstanceId,
     /// The location.
-    pub place: Place,
+    pub place: Location,
     /// The silverdock process on the instance.
     pub process: Process,
     /// The address of its daemon for other daemons, over TCP and UDP.
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use ablation::{Ablation, Mechanism, UnknownMechanism};
 pub use announced_versions::{AnnouncedVersion, Announcement, Announcements};
-pub use backoff::{rest_ms, Backoff, UNREADABLE_REST_MS};
+pub use backoff::{backoff_ms, Backoff, UNREADABLE_BACKOFF_MS};
 pub use bitmap::Bitmap;
 pub use bucket::Bucket;
 pub use configuration::{
@@ -33,7 +33,7 @@
     ServiceName, VersionId, WorkspaceId,
 };
 pub use incarnation::{IncarnationChange, IncarnationReport};
-pub use instance::{Instance, ListedState, Place, Process};
+pub use instance::{Instance, ListedState, Location, Process};
 pub use intent::Intent;
 pub use manifest::{Manifest, MAX_CHUNKS, MAX_CHUNK_BYTES, MIN_CHUNK_BYTES};
 pub use plan::{Plan, Source, Step};
--- a/components/fleet/tests/ablation.rs
+++ b/components/fleet/tests/ablation.rs
@@ -7,7 +7,7 @@
     for mechanism in Mechanism::ALL {
         let ablation: Ablation = mechanism.name().parse().unwrap();
         let disabled: Vec<_> =
-            Mechanism::ALL.into_iter().filter(|it| !ablation.keeps(*it)).collect();
+            Mechanism::ALL.into_iter().filter(|it| !ablation.is_enabled(*it)).collect();
         assert_eq!(disabled, [mechanism]);
     }
 }
@@ -16,7 +16,7 @@
 fn empty_string_disables_nothing() {
     let ablation: Ablation = " ".parse().unwrap();
     assert!(ablation.is_empty());
-    assert!(Mechanism::ALL.into_iter().all(|it| ablation.keeps(it)));
+    assert!(Mechanism::ALL.into_iter().all(|it| ablation.is_enabled(it)));
 }
 
 #[test]
--- a/components/gateway/src/choice.rs
+++ b/components/gateway/src/choice.rs
@@ -273,11 +273,11 @@
         let pace = runner.load(now).map_or(1.0, |load| load.pace.max(1.0));
         let mut cost = f64::from(runner.occupancy(now) + 1) * pace;
         cost += self.expected_first_byte_ms(now, runner) / FIRST_BYTE_MS_PER_SLOT;
-        if self.options.ablation.keeps(Mechanism::ReadingCredit) {
+        if self.options.ablation.is_enabled(Mechanism::ReadingCredit) {
             cost += runner.reading_ms(now) / PROMPT_MS_PER_SLOT;
         }
         let is_other_hall = runner.record.hall != self.options.hall;
-        if is_other_hall && self.options.ablation.keeps(Mechanism::HallPenalty) {
+        if is_other_hall && self.options.ablation.is_enabled(Mechanism::HallPenalty) {
             cost += OTHER_HALL_PENALTY_SLOTS;
         }
         cost += EVACUATION_PENALTY_SLOTS * self.pool.evacuations.progress(now, &runner.record.hall);
@@ -300,7 +300,7 @@
     }
 
     fn expected_first_byte_ms(&self, now: Millis, runner: &Runner) -> f64 {
-        if !self.options.ablation.keeps(Mechanism::SlowStarts) {
+        if !self.options.ablation.is_enabled(Mechanism::SlowStarts) {
             return 0.0;
         }
         runner.expected_first_byte_ms(now)
@@ -309,7 +309,7 @@
     /// In how many milliseconds a request may be sent to a runner under its rate limit. If a
     /// sidecar grants reservations, the sidecar's answer is used because it may know more.
     fn rate_allows_in_ms(&self, now: Millis, runner: &Runner, arrival: &Arrival) -> u64 {
-        if arrival.model.is_some() && self.options.ablation.keeps(Mechanism::Reservations) {
+        if arrival.model.is_some() && self.options.ablation.is_enabled(Mechanism::Reservations) {
             runner.rate_allows_in_ms(now)
         } else {
             self.limits.rate_allows_in_ms(now, runner)
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -357,7 +357,7 @@
     Evacuation(EvacuationChange),
     /// Log that a runner has restarted, or that a report about it is not from its known
     /// incarnation.
-    Life(IncarnationEvent),
+    LogIncarnationChange(IncarnationEvent),
     /// Log that a runner is draining, asks for a backoff or changed its rate limit, according to
     /// its own response.
     Notice(NoticeChange),
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -115,7 +115,7 @@
     /// other processes.
     pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
         let mut named = self.pool.announced_versions(now);
-        if !self.options.ablation.keeps(Mechanism::VersionAges) {
+        if !self.options.ablation.is_enabled(Mechanism::VersionAges) {
             named.iter_mut().for_each(|it| (it.age_ms, it.after_ms) = (None, None));
         }
         named
@@ -342,7 +342,7 @@
             if it.change == IncarnationChange::Restarted {
                 self.cold.close(&it.runner);
             }
-            Effect::Life(it)
+            Effect::LogIncarnationChange(it)
         };
         news.into_iter().map(note).collect()
     }
@@ -388,7 +388,7 @@
 
     /// Whether a mechanism is enabled.
     fn is_enabled(&self, mechanism: Mechanism) -> bool {
-        self.options.ablation.keeps(mechanism)
+        self.options.ablation.is_enabled(mechanism)
     }
 
     fn budget(&mut self, now: Millis, service: &ServiceName) -> &mut RetryBudget {
@@ -400,8 +400,11 @@
     /// gateways.
     fn budget_limits(&self, now: Millis) -> BudgetLimits {
         let options = &self.options;
-        let share =
-            if options.ablation.keeps(Mechanism::BudgetReserve) { RETRY_RATIO_SHARE } else { 1.0 };
+        let share = if options.ablation.is_enabled(Mechanism::BudgetReserve) {
+            RETRY_RATIO_SHARE
+        } else {
+            1.0
+        };
         BudgetLimits {
             window_ms: options.budget_window_ms,
             ratio: options.budget_ratio * share,
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -233,11 +233,12 @@
         progress.queries += 1;
         // While other runners may have a slot at once, the query does not wait at this one.
         let others_available = progress.queries < FIRST_WAITING_QUERY && selection.candidates > 1;
-        let others_available = others_available || !ablation.keeps(Mechanism::QueuedReservations);
+        let others_available =
+            others_available || !ablation.is_enabled(Mechanism::QueuedReservations);
         let wait_ms = if others_available { 0 } else { progress.wait_until.since(now).0 };
         let left_ms = progress.left_ms(now);
         // A request that may have run already has precedence over new ones.
-        let ignores_priority = progress.may_have_run || !ablation.keeps(Mechanism::Ranks);
+        let ignores_priority = progress.may_have_run || !ablation.is_enabled(Mechanism::Ranks);
         let rank = if ignores_priority { 0 } else { progress.arrival.priority };
         Some(RunnerTarget { id, address, reserve, rank, left_ms, wait_ms, limit, selection })
     }
--- a/components/gateway/tests/runner_incarnations.rs
+++ b/components/gateway/tests/runner_incarnations.rs
@@ -76,7 +76,7 @@
     let mut fixture = fixture(0);
     fixture.feed(load_report(life_at(8, 0), 0));
     let effects = fixture.feed(load_report(life_at(5, 9), 4));
-    assert!(matches!(effects[..], [Effect::Life(_)]), "{effects:?}");
+    assert!(matches!(effects[..], [Effect::LogIncarnationChange(_)]), "{effects:?}");
     let leaving = RunnerRecord { state: RunnerState::Draining, ..entry(life_at(5, 9)) };
     fixture.feed(Event::Listed(leaving));
     assert_eq!(occupancy(&mut fixture, 9), 0);
@@ -88,7 +88,7 @@
     let without_birth = IncarnationReport { born: None, sequence: 9 };
     let leaving = RunnerRecord { state: RunnerState::Draining, ..entry(without_birth) };
     let effects = fixture.feed(Event::Listed(leaving));
-    let fault = |it: &Effect| matches!(it, Effect::Life(news) if news.runner == "r1".into());
+    let fault = |it: &Effect| matches!(it, Effect::LogIncarnationChange(news) if news.runner == "r1".into());
     assert!(effects.iter().any(fault), "{effects:?}");
     assert_eq!(occupancy(&mut fixture, 9), 0, "the entry has not changed");
 }
@@ -126,7 +126,10 @@
     fixture.feed(load_report(without_birth(0), 0));
     assert_eq!(occupancy(&mut fixture, 3), 0);
     let late = fixture.feed(Event::Listed(entry(life_at(5, 4))));
-    assert!(matches!(late[..], [Effect::Life(_)]), "an entry of the previous life: {late:?}");
+    assert!(
+        matches!(late[..], [Effect::LogIncarnationChange(_)]),
+        "an entry of the previous life: {late:?}"
+    );
     fixture.feed(Event::Listed(entry(life_at(8, 0))));
     fixture.feed(load_report(without_birth(0), 1));
     assert_eq!(occupancy(&mut fixture, 4), 1);
@@ -136,7 +139,7 @@
 fn a_report_that_omits_a_start_time_reported_before_is_ignored() {
     let mut fixture = fixture(0);
     let effects = fixture.feed(load_report(IncarnationReport { born: None, sequence: 2 }, 4));
-    assert!(matches!(effects[..], [Effect::Life(_)]), "{effects:?}");
+    assert!(matches!(effects[..], [Effect::LogIncarnationChange(_)]), "{effects:?}");
     assert_eq!(occupancy(&mut fixture, 9), 0);
 }
 
--- a/components/gateway/tests/shortage.rs
+++ b/components/gateway/tests/shortage.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use fleet::{Ablation, Mechanism, Millis, Place};
+use fleet::{Ablation, Location, Mechanism, Millis};
 use gateway::*;
 use rollout::{
     ReservationReply, ReservationRequest, Rollout, RolloutOptions, RunnerStatus, WeightsPlan,
@@ -87,7 +87,7 @@
 }
 
 fn sidecar(ablation: &Ablation) -> Rollout {
-    let place = Place { region: "north".into(), hall: "a".into() };
+    let place = Location { region: "north".into(), hall: "a".into() };
     let mut sidecar = Rollout::new(RolloutOptions {
         me: "s".into(),
         place,
--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -10,8 +10,8 @@
 use errors::{Code, Error, Result};
 use externals::{HttpUpstream, Platform};
 use fleet::{
-    Hall, Instance, InstanceId, Intent, ListedState, Manifest, ModelName, Place, Process, Region,
-    Revision, Role, ServiceName, VersionId,
+    Hall, Instance, InstanceId, Intent, ListedState, Location, Manifest, ModelName, Process,
+    Region, Revision, Role, ServiceName, VersionId,
 };
 use net::{Bounds, Handler, Server, Tasks};
 use node::{AgentNode, AgentSetup, EntryNode, EntrySetup, Host, Identity, TokenRing, Upstream};
@@ -292,14 +292,14 @@
 
     fn identity(&self, id: &InstanceId, number: usize) -> Identity {
         let hall = Hall(format!("hall-{}", number % self.options.halls));
-        let place = Place { region: Region("region-0".to_owned()), hall };
+        let place = Location { region: Region("region-0".to_owned()), hall };
         Identity { id: id.clone(), place, listen: loopback(), operators: loopback() }
     }
 
     fn add_to_instance_list(
         &self,
         id: &InstanceId,
-        place: Place,
+        place: Location,
         process: Process,
         address: SocketAddr,
     ) {
--- a/components/node/src/agent/calls.rs
+++ b/components/node/src/agent/calls.rs
@@ -103,8 +103,8 @@
     let mut answer = call_upstream(&shared.upstream, call, body).await?;
     // The reducer is informed before the answer is relayed, so that it takes the pause into account for every call that
     // the entry sends after the answer.
-    let upstream_pause_ms = answer.rest_ms.unwrap_or(0);
-    let answered = AgentEvent::UpstreamAnswered { request, rest_ms: upstream_pause_ms };
+    let upstream_backoff_ms = answer.rest_ms.unwrap_or(0);
+    let answered = AgentEvent::UpstreamAnswered { request, backoff_ms: upstream_backoff_ms };
     shared.inbox.send(answered).await;
     let (status, content_type) = (answer.status, answer.content_type.clone());
     writer.send(&Message::AnswerHead { request, status, content_type, version }).await?;
--- a/components/node/src/host.rs
+++ b/components/node/src/host.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use externals::Platform;
-use fleet::{InstanceId, Place, Process};
+use fleet::{InstanceId, Location, Process};
 use net::Tasks;
 use telemetry::Metrics;
 use wire::{KeyRing, MemberRecord, MemberState};
@@ -19,7 +19,7 @@
     /// The name of the instance.
     pub id: InstanceId,
     /// The region and data hall of the instance.
-    pub place: Place,
+    pub place: Location,
     /// The address for other daemons; port 0 selects a free port.
     pub listen: SocketAddr,
     /// The address for operators; port 0 selects a free port.
--- a/components/reducer/src/admission.rs
+++ b/components/reducer/src/admission.rs
@@ -83,7 +83,7 @@
     }
 
     /// The remaining backoff that the upstream has requested, in milliseconds.
-    pub fn rest_left_ms(&self, now: Millis) -> u64 {
+    pub fn backoff_left_ms(&self, now: Millis) -> u64 {
         self.backoff.left_ms(now)
     }
 
--- a/components/reducer/src/agent/event.rs
+++ b/components/reducer/src/agent/event.rs
@@ -95,8 +95,8 @@
     UpstreamAnswered {
         /// The request.
         request: RequestId,
-        /// The pause that the upstream requests, in milliseconds; zero if it accepted the request.
-        rest_ms: u64,
+        /// The backoff that the upstream requests, in milliseconds; zero if it accepted the request.
+        backoff_ms: u64,
     },
     /// An admitted request has ended.
     CallEnded(RequestId),
--- a/components/reducer/src/agent/mod.rs
+++ b/components/reducer/src/agent/mod.rs
@@ -105,8 +105,8 @@
             AgentEvent::CallArrived { call, arrived, request } => {
                 vec![self.admit(now, call, arrived, &request)]
             }
-            AgentEvent::UpstreamAnswered { request, rest_ms } => {
-                self.admission.handle_answer(now, request, rest_ms);
+            AgentEvent::UpstreamAnswered { request, backoff_ms } => {
+                self.admission.handle_answer(now, request, backoff_ms);
                 Vec::new()
             }
             AgentEvent::CallEnded(request) => {
@@ -166,7 +166,7 @@
                 AgentEffect::Admit { call, version: version.filter(|_| !switching) }
             }
             Err(code) => {
-                let retry_after_ms = self.admission.rest_left_ms(now);
+                let retry_after_ms = self.admission.backoff_left_ms(now);
                 AgentEffect::Refuse { call, code, retry_after_ms, load: self.load() }
             }
         }
--- a/components/reducer/src/agent/tests.rs
+++ b/components/reducer/src/agent/tests.rs
@@ -12,7 +12,7 @@
 use crate::FetchStrategy;
 use errors::Code;
 use fleet::{
-    Bitmap, Change, Configuration, Deployment, Hall, Incarnation, InstanceId, Manifest, Place,
+    Bitmap, Change, Configuration, Deployment, Hall, Incarnation, InstanceId, Location, Manifest,
     Placement, PlanId, Process, Release, Revision, Role,
 };
 use proptest::prelude::*;
@@ -119,7 +119,7 @@
         incarnation: Incarnation(1),
         serial: 0,
         state: MemberState::Alive,
-        place: Place::default(),
+        place: Location::default(),
         process: Process::Engine,
         address: at,
         serving: Vec::new(),
--- a/components/reducer/src/agent/weights.rs
+++ b/components/reducer/src/agent/weights.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use errors::Code;
-use fleet::{Bitmap, Hall, InstanceId, Manifest, Millis, Place, VersionId};
+use fleet::{Bitmap, Hall, InstanceId, Location, Manifest, Millis, VersionId};
 use wire::{Datagram, DatagramBody, Load};
 
 use super::{Agent, AgentEffect};
@@ -37,7 +37,7 @@
         self.fetch(now)
     }
 
-    fn place_of(&self, id: &InstanceId) -> Place {
+    fn place_of(&self, id: &InstanceId) -> Location {
         self.control.members.get(id).map(|it| it.record.place.clone()).unwrap_or_default()
     }
 
@@ -113,7 +113,7 @@
     ) -> Vec<AgentEffect> {
         let place = match &source {
             FetchSource::Peer(id, _) => self.place_of(id),
-            FetchSource::Origin => Place::default(),
+            FetchSource::Origin => Location::default(),
         };
         let Some(spread) = self.spreads.get_mut(&version) else {
             // The version was replaced while the chunk was in flight; the chunk that was just staged is
--- a/components/reducer/src/entry/tests.rs
+++ b/components/reducer/src/entry/tests.rs
@@ -5,7 +5,7 @@
 use crate::planner::Estimate;
 use crate::routing::RoutingStrategy;
 use errors::{Code, Ran};
-use fleet::{Incarnation, Instance, InstanceId, ListedState, Place, Process};
+use fleet::{Incarnation, Instance, InstanceId, ListedState, Location, Process};
 use quarantine::RequestDigest;
 use wire::{DatagramBody, Load, MemberState};
 
@@ -21,7 +21,7 @@
         incarnation: Incarnation(1),
         serial: 0,
         state: MemberState::Alive,
-        place: Place::default(),
+        place: Location::default(),
         process,
         address: address(1),
         serving: Vec::new(),
@@ -41,7 +41,7 @@
     let mut entry = Entry::new(record("entry", Process::Entry), options);
     let list = (0..count).map(|number| Instance {
         id: InstanceId(format!("till-{number}")),
-        place: Place::default(),
+        place: Location::default(),
         process: Process::Service("till".into()),
         address: address(100 + number),
         memory_bytes: 0,
@@ -384,7 +384,7 @@
     let mut first = entry(6, 10);
     let other = Instance {
         id: "entry-2".into(),
-        place: Place::default(),
+        place: Location::default(),
         process: Process::Entry,
         address: address(50),
         memory_bytes: 0,
--- a/components/reducer/src/members/tests.rs
+++ b/components/reducer/src/members/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::control::{Control, ControlEffect, ControlEvent};
-use fleet::{Configuration, Place, PlanId, Process};
+use fleet::{Configuration, Location, PlanId, Process};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -71,7 +71,7 @@
 fn list() -> Vec<Instance> {
     let describe = |number| Instance {
         id: id(number),
-        place: Place::default(),
+        place: Location::default(),
         process: Process::Engine,
         address: address(number),
         memory_bytes: 0,
@@ -86,7 +86,7 @@
         incarnation: Incarnation(now.0 + 1),
         serial: 0,
         state: MemberState::Alive,
-        place: Place::default(),
+        place: Location::default(),
         process: Process::Engine,
         address: address(number),
         serving: Vec::new(),
--- a/components/reducer/src/planner.rs
+++ b/components/reducer/src/planner.rs
@@ -10,7 +10,7 @@
 
 use errors::{Code, Error, Result};
 use fleet::{
-    Configuration, InstanceId, Intent, Millis, ModelName, Place, Plan, Release, VersionId,
+    Configuration, InstanceId, Intent, Location, Millis, ModelName, Plan, Release, VersionId,
 };
 
 use self::deploy::{deploy, DeployRequest};
@@ -25,7 +25,7 @@
     /// The instance.
     pub id: InstanceId,
     /// The region and hall of the instance.
-    pub place: Place,
+    pub place: Location,
     /// Whether its agent responds.
     pub up: bool,
     /// Whether it is leaving.
--- a/components/reducer/src/planner/tests.rs
+++ b/components/reducer/src/planner/tests.rs
@@ -13,7 +13,7 @@
     let hall = Hall(format!("hall-{}", number % halls));
     Candidate {
         id: InstanceId(format!("i{number:02}")),
-        place: Place { region: Region("r".into()), hall },
+        place: Location { region: Region("r".into()), hall },
         up: true,
         leaving: false,
         memory_bytes,
--- a/components/reducer/src/routing.rs
+++ b/components/reducer/src/routing.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use errors::Code;
-use fleet::{InstanceId, Millis, Place, Process, Revision};
+use fleet::{InstanceId, Location, Millis, Process, Revision};
 use wire::Load;
 
 use crate::control::Control;
@@ -214,7 +214,7 @@
     }
 }
 
-type Candidate = (InstanceId, SocketAddr, Place);
+type Candidate = (InstanceId, SocketAddr, Location);
 
 /// The upstreams that serve a target and take new work, or this entry's subset of them.
 fn candidates(control: &Control, target: &Target) -> Vec<Candidate> {
@@ -239,7 +239,7 @@
     shared_hash(&[&prefix.to_le_bytes(), id.0.as_bytes()])
 }
 
-fn distance(a: &Place, b: &Place) -> f64 {
+fn distance(a: &Location, b: &Location) -> f64 {
     if a == b {
         0.0
     } else if a.region == b.region {
--- a/components/reducer/src/spread/tests.rs
+++ b/components/reducer/src/spread/tests.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use errors::Code;
-use fleet::{Hall, InstanceId, Manifest, Millis, Place, Region};
+use fleet::{Hall, InstanceId, Location, Manifest, Millis, Region};
 
 use super::*;
 
@@ -32,8 +32,8 @@
     InstanceId(format!("i{number:02}"))
 }
 
-fn place(number: usize) -> Place {
-    Place { region: Region("r".into()), hall: Hall(format!("h{}", number % 3)) }
+fn place(number: usize) -> Location {
+    Location { region: Region("r".into()), hall: Hall(format!("h{}", number % 3)) }
 }
 
 fn address(number: usize) -> SocketAddr {
--- a/components/reducer/src/spread/version/mod.rs
+++ b/components/reducer/src/spread/version/mod.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fleet::{Bitmap, Hall, InstanceId, Manifest, Millis, Place, VersionId};
+use fleet::{Bitmap, Hall, InstanceId, Location, Manifest, Millis, VersionId};
 
 use self::second_copies::SecondCopies;
 use self::silence::SilentHalls;
@@ -39,7 +39,7 @@
     /// Its manifest.
     pub manifest: Arc<Manifest>,
     me: InstanceId,
-    place: Place,
+    place: Location,
     options: SpreadOptions,
     /// The receivers of the version, as far as known.
     receivers: Vec<(InstanceId, Hall)>,
@@ -82,7 +82,7 @@
     pub fn new(
         now: Millis,
         me: &InstanceId,
-        place: &Place,
+        place: &Location,
         manifest: Arc<Manifest>,
         receivers: &[(InstanceId, Hall)],
         options: SpreadOptions,
--- a/components/reducer/src/spread/version/neighbours.rs
+++ b/components/reducer/src/spread/version/neighbours.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use fleet::{Bitmap, InstanceId, Millis, Place};
+use fleet::{Bitmap, InstanceId, Location, Millis};
 
 use super::{Participant, Spread};
 use crate::seed::shared_hash;
@@ -56,7 +56,7 @@
         now: Millis,
         id: &InstanceId,
         address: SocketAddr,
-        place: &Place,
+        place: &Location,
         have: Bitmap,
     ) {
         if !have.is_well_formed(self.manifest.chunks()) {
@@ -95,7 +95,7 @@
     }
 
     /// Adds a participant as a neighbour, or updates its address.
-    fn add_neighbour(&mut self, id: &InstanceId, address: SocketAddr, place: &Place) {
+    fn add_neighbour(&mut self, id: &InstanceId, address: SocketAddr, place: &Location) {
         if id == &self.me {
             return;
         }
@@ -127,7 +127,7 @@
 }
 
 /// 0 in the same hall, 1 in the same region, 2 elsewhere.
-fn distance(a: &Place, b: &Place) -> u32 {
+fn distance(a: &Location, b: &Location) -> u32 {
     if a == b {
         0
     } else if a.region == b.region {
--- a/components/reducer/src/spread/version/types.rs
+++ b/components/reducer/src/spread/version/types.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use fleet::{Bitmap, InstanceId, Millis, Place, VersionId};
+use fleet::{Bitmap, InstanceId, Location, Millis, VersionId};
 
 /// How chunks and sources are selected. Only `Rarest` is meant for production; the others are baselines for
 /// comparison.
@@ -123,7 +123,7 @@
     /// Its id.
     pub id: InstanceId,
     /// The region and hall.
-    pub place: Place,
+    pub place: Location,
     /// The address that it listens on.
     pub address: SocketAddr,
     /// Whether it is up.
--- a/components/rollout/src/event.rs
+++ b/components/rollout/src/event.rs
@@ -6,7 +6,7 @@
 use errors::Code;
 use fleet::{
     Ablation, AdvertisedLimit, Bitmap, EvacuationChange, EvacuationList, IncarnationChange,
-    IncarnationReport, InstanceId, Manifest, Millis, ModelName, Place, Rate, ReportedLimit,
+    IncarnationReport, InstanceId, Location, Manifest, Millis, ModelName, Rate, ReportedLimit,
 };
 use reducer::{Fetch, FetchSource};
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
     /// The ID of this sidecar.
     pub me: InstanceId,
     /// The location of this sidecar.
-    pub place: Place,
+    pub place: Location,
     /// The bandwidth of its link, in bytes per second.
     pub link_bytes_per_s: u64,
     /// The bandwidth for control messages, in bytes per second.
@@ -59,7 +59,7 @@
     /// The ID of the sidecar.
     pub id: InstanceId,
     /// The location.
-    pub place: Place,
+    pub place: Location,
     /// The address it listens on.
     pub address: SocketAddr,
     /// The version that its runner serves, according to the list of runners.
@@ -185,7 +185,7 @@
         /// The address it listens on.
         address: SocketAddr,
         /// The location.
-        place: Place,
+        place: Location,
         /// The version.
         version: u64,
         /// The chunks.
--- a/components/rollout/src/reducer.rs
+++ b/components/rollout/src/reducer.rs
@@ -100,7 +100,7 @@
     /// Creates the state of a sidecar that knows nothing yet.
     pub fn new(options: RolloutOptions) -> Self {
         let mut slots = RunnerSlots::default();
-        if !options.ablation.keeps(Mechanism::ReadingCredit) {
+        if !options.ablation.is_enabled(Mechanism::ReadingCredit) {
             slots.disable_pacing();
         }
         Self {
@@ -363,16 +363,16 @@
             AnnouncedVersion {
                 model: plan.model.clone(),
                 version: it.version,
-                age_ms: self.keeps(Mechanism::VersionAges).then(|| now.since(it.at).0),
-                after_ms: it.after_ms.filter(|_| self.keeps(Mechanism::VersionAges)),
+                age_ms: self.is_enabled(Mechanism::VersionAges).then(|| now.since(it.at).0),
+                after_ms: it.after_ms.filter(|_| self.is_enabled(Mechanism::VersionAges)),
             }
         });
         reports.collect()
     }
 
     /// Returns whether a mechanism is enabled.
-    fn keeps(&self, mechanism: Mechanism) -> bool {
-        self.options.ablation.keeps(mechanism)
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        self.options.ablation.is_enabled(mechanism)
     }
 
     /// Starts to fetch the newest announced version, or completes the previous one first.
--- a/components/rollout/src/reducer/admission.rs
+++ b/components/rollout/src/reducer/admission.rs
@@ -58,7 +58,7 @@
 
     /// Returns whether a repeated attempt must yield to first attempts.
     fn must_yield(&self, now: Millis, rank: u8) -> bool {
-        self.keeps(Mechanism::FirstTries)
+        self.is_enabled(Mechanism::FirstTries)
             && self.first_attempts.take_precedence(now, rank)
             && !self.slots.has_spare_slot(now)
     }
@@ -222,7 +222,7 @@
     /// later on an outdated version.
     pub(super) fn holds_old_version_after_last_order(&self) -> bool {
         let held_version = self.status.as_ref().and_then(|it| it.version).unwrap_or(0);
-        self.keeps(Mechanism::LastOrder)
+        self.is_enabled(Mechanism::LastOrder)
             && self.ordered_at.is_some()
             && held_version < self.newest_announced()
     }
--- a/components/rollout/src/reducer/moves.rs
+++ b/components/rollout/src/reducer/moves.rs
@@ -34,7 +34,7 @@
         let peers_known_ms = now.since(self.peers_grown_at).0;
         let held_version = self.status.as_ref().and_then(|it| it.version);
         let peers = self.peers.as_deref().unwrap_or_default();
-        let keeps_shares = self.options.ablation.keeps(Mechanism::KeptShares);
+        let keeps_shares = self.options.ablation.is_enabled(Mechanism::KeptShares);
         for target in self.current.iter_mut().chain(&mut self.next) {
             if target.step == Step::Served && !keeps_shares {
                 continue;
@@ -57,7 +57,7 @@
 
     /// Returns whether the current version is completed before a newer one that was just announced.
     pub(super) fn is_completed_before(&self, now: Millis, newer: &Target) -> bool {
-        if !self.keeps(Mechanism::FinishedVersions) {
+        if !self.is_enabled(Mechanism::FinishedVersions) {
             return false;
         }
         let Some(older) = &self.current else {
@@ -143,7 +143,7 @@
         if !is_serving || self.holds_old_version_after_last_order() || self.is_evacuated(now) {
             return now;
         }
-        if now >= last_order_at || !self.keeps(Mechanism::Turns) {
+        if now >= last_order_at || !self.is_enabled(Mechanism::Turns) {
             return now;
         }
         let me = &self.options.me;
--- a/components/rollout/src/target.rs
+++ b/components/rollout/src/target.rs
@@ -303,7 +303,7 @@
         is_serving: bool,
     ) {
         self.pace = if is_serving { PACE_WHILE_SERVING } else { PACE_WHILE_IDLE };
-        let has_hall_limit = options.ablation.keeps(Mechanism::HallGates);
+        let has_hall_limit = options.ablation.is_enabled(Mechanism::HallGates);
         let reach = NeighbourLimits {
             chosen: SELECTED_NEIGHBOURS,
             near: SELECTED_NEAR_NEIGHBOURS,
--- a/components/rollout/tests/reservation_requests.rs
+++ b/components/rollout/tests/reservation_requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use fleet::{Ablation, InstanceId, Millis, Place};
+use fleet::{Ablation, InstanceId, Location, Millis};
 use proptest::prelude::*;
 use rollout::*;
 
@@ -12,7 +12,7 @@
     RolloutOptions {
         ablation: Ablation::default(),
         me: InstanceId("10.0.0.1".into()),
-        place: Place { region: "r".into(), hall: "h".into() },
+        place: Location { region: "r".into(), hall: "h".into() },
         link_bytes_per_s: 950_000,
         control_bytes_per_s: 6000,
         version_ms: 8000,
--- a/components/rollout/tests/support/mod.rs
+++ b/components/rollout/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use errors::Code;
-use fleet::{Ablation, InstanceId, Manifest, Millis, Place, VersionId};
+use fleet::{Ablation, InstanceId, Location, Manifest, Millis, VersionId};
 use reducer::FetchSource;
 use rollout::*;
 
@@ -111,9 +111,9 @@
     ([10, 0, 0, index as u8], 7700).into()
 }
 
-pub fn place(index: usize) -> Place {
+pub fn place(index: usize) -> Location {
     let hall = format!("h{}", index % 3);
-    Place { region: hall.as_str().into(), hall: hall.as_str().into() }
+    Location { region: hall.as_str().into(), hall: hall.as_str().into() }
 }
 
 pub fn manifest(version: u64) -> Arc<Manifest> {
--- a/components/settings/src/deployment.rs
+++ b/components/settings/src/deployment.rs
@@ -4,7 +4,7 @@
 use std::net::{AddrParseError, IpAddr, Ipv4Addr, SocketAddr};
 use std::str::FromStr;
 
-use fleet::{Ablation, Evacuations, Hall, InstanceId, Place, Region, ServiceName};
+use fleet::{Ablation, Evacuations, Hall, InstanceId, Location, Region, ServiceName};
 
 use crate::file::IniFile;
 use crate::Faults;
@@ -35,7 +35,7 @@
     /// The unique name of the process.
     pub name: InstanceId,
     /// The region and data hall of the process.
-    pub place: Place,
+    pub place: Location,
     /// Every data hall with its region.
     pub halls: BTreeMap<Hall, Region>,
     /// The IP address of the machine.
@@ -97,9 +97,9 @@
     ///
     /// A process that was suspended treats an evacuation that it reads after it resumes as new, and the bounds apply to
     /// it again `contact_ms` later. It must have left the hall by then, so the result is at most `contact_ms` plus
-    /// `Evacuations::NEWS_MARGIN`, the margin that is subtracted from the result before it is used.
+    /// `Evacuations::PROPAGATION_MARGIN_MS`, the margin that is subtracted from the result before it is used.
     pub fn leave_ms(&self) -> Option<u64> {
-        self.evacuate_ms.map(|it| it.min(self.contact_ms + Evacuations::NEWS_MARGIN))
+        self.evacuate_ms.map(|it| it.min(self.contact_ms + Evacuations::PROPAGATION_MARGIN_MS))
     }
 }
 
@@ -207,7 +207,7 @@
     let log_level = read_log_level(file, section);
     DeploymentNode {
         name: InstanceId(name),
-        place: Place { region: Region(region), hall: Hall(hall) },
+        place: Location { region: Region(region), hall: Hall(hall) },
         halls: parse_halls(&halls),
         address,
         first_port,
--- a/components/settings/src/settings.rs
+++ b/components/settings/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use fleet::{Hall, InstanceId, Place, Region, ServiceName};
+use fleet::{Hall, InstanceId, Location, Region, ServiceName};
 
 use crate::file::IniFile;
 use crate::Faults;
@@ -27,7 +27,7 @@
     /// The unique name of the instance.
     pub name: InstanceId,
     /// The region and data hall of the instance.
-    pub place: Place,
+    pub place: Location,
     /// Listening address for other daemons, over TCP and UDP.
     pub listen: SocketAddr,
     /// Listening address for operators, metrics scrapers and health checks.
@@ -215,7 +215,7 @@
 
 fn read_node(file: &mut IniFile) -> NodeSettings {
     let section = "node";
-    let place = Place {
+    let place = Location {
         region: Region(file.require(section, "region", "the name of a region")),
         hall: Hall(file.require(section, "hall", "the name of a hall")),
     };
--- a/components/settings/tests/deployment.rs
+++ b/components/settings/tests/deployment.rs
@@ -188,7 +188,7 @@
     assert!(plain.ablation.is_empty());
     let text = fill(GATEWAY_TEMPLATE) + "\n[ablation]\nwithout = turns\n";
     let settings = DeploymentSettings::parse(&text).unwrap();
-    assert!(!settings.ablation.keeps(fleet::Mechanism::Turns));
+    assert!(!settings.ablation.is_enabled(fleet::Mechanism::Turns));
     let text = fill(GATEWAY_TEMPLATE) + "\n[ablation]\nwithout = luck\n";
     let faults = DeploymentSettings::parse(&text).unwrap_err();
     assert!(faults.to_string().contains("luck"));
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -4,7 +4,7 @@
 
 use errors::Code;
 use fleet::{
-    Bitmap, Incarnation, InstanceId, ModelName, Place, Process, RequestId, Revision, Role,
+    Bitmap, Incarnation, InstanceId, Location, ModelName, Process, RequestId, Revision, Role,
     VersionId, WorkspaceId,
 };
 use quarantine::CrashList;
@@ -239,7 +239,7 @@
     /// The state of the daemon.
     pub state: MemberState,
     /// The region and data hall of the instance.
-    pub place: Place,
+    pub place: Location,
     /// The kind of process that runs on the instance.
     pub process: Process,
     /// The address on which it accepts messages from other daemons.
--- a/components/wire/tests/samples.rs
+++ b/components/wire/tests/samples.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use errors::Code;
-use fleet::{Bitmap, Incarnation, Place, Process, RequestId, Revision, Role, VersionId};
+use fleet::{Bitmap, Incarnation, Location, Process, RequestId, Revision, Role, VersionId};
 use proptest::prelude::*;
 use quarantine::CrashList;
 use serde::de::DeserializeOwned;
@@ -85,7 +85,7 @@
         incarnation: Incarnation(5),
         serial: 3,
         state,
-        place: Place { region: "north".into(), hall: "a".into() },
+        place: Location { region: "north".into(), hall: "a".into() },
         process: Process::Service("ledger".into()),
         address: ([10, 0, 0, 7], 7400).into(),
         serving: vec![ServingTag::of(&serving)],
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 use async_executor::Executor;
 use client::Operator;
-use fleet::{Hall, Instance, InstanceId, ListedState, Manifest, Place, Process, Region};
+use fleet::{Hall, Instance, InstanceId, ListedState, Location, Manifest, Process, Region};
 use lab::Lab;
 use net::{Bounds, Server, Tasks};
 use rustix::process::{kill_process, Pid, Signal};
@@ -130,7 +130,7 @@
         std::fs::write(&path, text).unwrap();
         self.platform.instances.add(Instance {
             id: InstanceId::from(name),
-            place: Place { region: Region("r".into()), hall: Hall("h".into()) },
+            place: Location { region: Region("r".into()), hall: Hall("h".into()) },
             process,
             address: listen,
             memory_bytes: 1 << 40,
--- a/examples/control/daemons.rs
+++ b/examples/control/daemons.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 
 use client::Operator;
-use fleet::{Hall, Instance, InstanceId, ListedState, Place, Process, Region};
+use fleet::{Hall, Instance, InstanceId, ListedState, Location, Process, Region};
 use rustix::process::{kill_process, Pid, Signal};
 use standins::PlatformStandIn;
 
@@ -88,7 +88,7 @@
         std::fs::write(&settings, text)?;
         platform.instances.add(Instance {
             id: InstanceId(name),
-            place: Place { region: Region("region".into()), hall: Hall(hall) },
+            place: Location { region: Region("region".into()), hall: Hall(hall) },
             process: if is_entry { Process::Entry } else { Process::Engine },
             address: listen,
             memory_bytes: 1 << 30,
--- a/examples/slopes/control.rs
+++ b/examples/slopes/control.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use fleet::{
-    Hall, Incarnation, Instance, InstanceId, ListedState, Millis, Place, Process, Region, Revision,
+    Hall, Incarnation, Instance, InstanceId, ListedState, Location, Millis, Process, Region,
+    Revision,
 };
 use reducer::{Control, ControlEvent, Seed};
 use wire::{Datagram, DatagramBody, MemberNews, MemberRecord, MemberState};
@@ -22,7 +23,7 @@
 pub fn instance(number: usize, process: Process) -> Instance {
     Instance {
         id: InstanceId(format!("instance-{number:04}")),
-        place: Place {
+        place: Location {
             region: Region("region".into()),
             hall: Hall(format!("hall-{}", number % 4)),
         },
