--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -10,7 +10,7 @@
 use gateway::{
     Arrival, Catalog, Certainty, Effect, Event, Gateway, GatewayOptions, NextStep, RequestKey,
 };
-use quarantine::CrashNews;
+use quarantine::CrashEvent;
 use telemetry::{note_crash, Metrics};
 
 use super::home_fault_log;
@@ -43,8 +43,8 @@
     pub sidecar_updates: Receiver<()>,
     notify_sidecar_update: Sender<()>,
     /// Receives the requests that crash runners.
-    pub crashes: Receiver<CrashNews>,
-    crash_changes: Sender<CrashNews>,
+    pub crashes: Receiver<CrashEvent>,
+    crash_changes: Sender<CrashEvent>,
     /// Receives a message when the store was restored from an older copy.
     pub store_restored: Receiver<()>,
     notify_store_restored: Sender<()>,
--- a/components/edge/src/gateway/quarantine_record.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use gateway::Event;
 use platform::quarantine as rows;
-use quarantine::{CrashNews, QuarantineAnswer, QuarantineCall, QuarantineRecord};
+use quarantine::{CrashEvent, QuarantineAnswer, QuarantineCall, QuarantineRecord};
 use uptime::Instant;
 
 use super::core::Core;
@@ -25,7 +25,7 @@
 /// What wakes the task.
 enum WakeUp {
     /// The status of a request has changed, or the process ends.
-    StatusChange(std::result::Result<CrashNews, RecvError>),
+    StatusChange(std::result::Result<CrashEvent, RecvError>),
     /// The store was restored from an older copy.
     StoreRestored,
 }
@@ -35,7 +35,7 @@
 pub async fn maintain(
     core: Core,
     store: SocketAddr,
-    changes: Receiver<CrashNews>,
+    changes: Receiver<CrashEvent>,
     has_read: Rc<Cell<bool>>,
 ) {
     let mut record = QuarantineRecord::new(core.clock.now());
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -10,7 +10,7 @@
     IncarnationChange, IncarnationReport, InstanceId, Millis, ModelName, Region, ReportedLimit,
     ServiceName, WorkspaceId,
 };
-use quarantine::{CrashList, CrashNews, RequestDigest};
+use quarantine::{CrashEvent, CrashList, RequestDigest};
 
 use crate::catalog::{Catalog, RouteKind};
 use crate::home_faults::HomeFault;
@@ -362,5 +362,5 @@
     /// its own response.
     Notice(NoticeChange),
     /// Log the state of a request that crashed runners, and report it to sidecars.
-    Crash(CrashNews),
+    Crash(CrashEvent),
 }
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -324,7 +324,7 @@
             return Vec::new();
         };
         self.queue.retain(|position| position.key != key);
-        self.crashes.end(key, progress.arrival.digest);
+        self.crashes.remove(key, progress.arrival.digest);
         let current = progress.current.as_ref();
         if let Some(runner) = current.and_then(|it| self.pool.incarnation_mut(&it.id, it.life)) {
             runner.end_request(progress.is_suspect);
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -68,7 +68,7 @@
         let mut effects = self.note_end(now, digest, &selected, outcome);
         if outcome == AttemptOutcome::Finished {
             self.requests.remove(&key);
-            self.crashes.end(key, digest);
+            self.crashes.remove(key, digest);
             effects.extend(self.dispatch(now, random));
             return effects;
         }
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -3,7 +3,7 @@
 use errors::Code;
 use fleet::{InstanceId, Millis};
 use quarantine::{
-    Admission, CrashList, CrashNews, Crashes, IncarnationDigest, ListScope, RequestDigest,
+    Admission, CrashEvent, CrashList, Crashes, IncarnationDigest, ListScope, RequestDigest,
     RunnerLiveness,
 };
 use rand::rngs::SmallRng;
@@ -11,7 +11,7 @@
 use super::{Gateway, Progress, SelectedRunner};
 use crate::event::{Arrival, AttemptOutcome, Effect, NextStep, RequestKey};
 
-fn effects(news: impl IntoIterator<Item = CrashNews>) -> Vec<Effect> {
+fn effects(news: impl IntoIterator<Item = CrashEvent>) -> Vec<Effect> {
     news.into_iter().map(Effect::Crash).collect()
 }
 
@@ -28,7 +28,7 @@
         // not one per gateway.
         let may_try = || members.responsible_count(now, &digest.to_string(), 1).is_some();
         let admission = self.crashes.admit(now, arrival.key, digest, may_try);
-        let Admission::Barred { retry_after_ms } = admission else {
+        let Admission::Refused { retry_after_ms } = admission else {
             return None;
         };
         let service_state = self.chooser().service_state(now, arrival, &[]);
@@ -43,8 +43,8 @@
         key: RequestKey,
         progress: &Progress,
     ) -> bool {
-        let admission = crashes.admits(now, key, progress.arrival.digest);
-        matches!(admission, Admission::Barred { .. })
+        let admission = crashes.still_admits(now, key, progress.arrival.digest);
+        matches!(admission, Admission::Refused { .. })
     }
 
     /// Bars a request from further attempts if it is quarantined now, and returns whether it is.
@@ -68,7 +68,7 @@
         outcome: AttemptOutcome,
     ) -> Vec<Effect> {
         if outcome.may_have_crashed() {
-            self.crashes.suspect(now, digest, selected.id.clone(), selected.life.digest);
+            self.crashes.record_suspicion(now, digest, selected.id.clone(), selected.life.digest);
         }
         if !outcome.has_ended_well() {
             return Vec::new();
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -171,8 +171,8 @@
         let Some(progress) = self.requests.remove(&key) else {
             return Vec::new();
         };
-        self.crashes.end(key, progress.arrival.digest);
-        let admission = self.crashes.admits(now, key, progress.arrival.digest);
+        self.crashes.remove(key, progress.arrival.digest);
+        let admission = self.crashes.still_admits(now, key, progress.arrival.digest);
         let step = if progress.may_have_run {
             NextStep::GiveUp(progress.reason)
         } else {
@@ -191,7 +191,7 @@
             };
             let is_estimated = self.is_enabled(Mechanism::ReturnEstimate);
             let shortage = self.shortages.entry(progress.scope).or_default();
-            let retry_after_ms = if let Admission::Barred { retry_after_ms } = admission {
+            let retry_after_ms = if let Admission::Refused { retry_after_ms } = admission {
                 retry_after_ms
             } else if is_estimated {
                 shortage.note_refusal(now, random, availability, progress.short_ms)
@@ -212,7 +212,7 @@
     ) -> Option<RunnerTarget> {
         let progress = self.requests.get(&key)?;
         let (arrival, tried) = (&progress.arrival, &progress.tried);
-        let admission = self.crashes.admits(now, key, arrival.digest);
+        let admission = self.crashes.still_admits(now, key, arrival.digest);
         let is_suspect = admission == Admission::Admitted { is_suspect: true };
         let (id, selection) = self.chooser().choose(now, random, arrival, tried, is_suspect)?;
         let reserve = self.asks_sidecars(arrival);
--- a/components/gateway/tests/crashes.rs
+++ b/components/gateway/tests/crashes.rs
@@ -129,7 +129,7 @@
     let effects = fixture.feed(Event::Attempt(RequestKey(20), AttemptOutcome::Finished));
     let digest = RequestDigest(20);
     let change = CrashChange::Cleared { digest, was_quarantined: false };
-    let cleared = Effect::Crash(CrashNews::Changed { change, is_own: true });
+    let cleared = Effect::Crash(CrashEvent::Changed { change, is_own: true });
     assert!(effects.contains(&cleared), "{effects:?}");
     assert_eq!(fixture.gateway.crash_counts(), (0, 0));
 }
@@ -268,8 +268,8 @@
     assert_eq!(refusal(fixture.arrive(attempt_of_request(9))).0, Code::Quarantined);
 }
 
-fn quarantined(is_own: bool) -> CrashNews {
-    CrashNews::Changed { change: CrashChange::Quarantined(REQUEST), is_own }
+fn quarantined(is_own: bool) -> CrashEvent {
+    CrashEvent::Changed { change: CrashChange::Quarantined(REQUEST), is_own }
 }
 
 fn lives(_: RequestDigest, _: bool) -> Option<Vec<IncarnationDigest>> {
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_cleared_request_is_removed_from_the_record_only_if_it_was_quarantined() {
-    let cleared = |was_quarantined| CrashNews::Changed {
+    let cleared = |was_quarantined| CrashEvent::Changed {
         change: CrashChange::Cleared { digest: REQUEST, was_quarantined },
         is_own: true,
     };
@@ -363,7 +363,7 @@
 fn a_recently_removed_row_is_removed_again_and_an_earlier_one_is_not() {
     let change = CrashChange::Cleared { digest: REQUEST, was_quarantined: true };
     let mut record = record();
-    record.handle_change(Millis(0), 0, &CrashNews::Changed { change, is_own: true });
+    record.handle_change(Millis(0), 0, &CrashEvent::Changed { change, is_own: true });
     let next_call = record.due(Millis(0), recorded).unwrap();
     record.handle_answer(Millis(5), 0, &next_call, &QuarantineAnswer::Done);
     record.handle_store_restore(Millis(4000), 0, []);
--- a/components/quarantine/src/crashes.rs
+++ b/components/quarantine/src/crashes.rs
@@ -48,7 +48,7 @@
 
 /// A change in what is known of requests and crashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CrashNews {
+pub enum CrashEvent {
     /// A runner crashed while it processed an attempt of this gateway.
     Crashed {
         /// The request.
@@ -67,7 +67,7 @@
     },
 }
 
-impl CrashNews {
+impl CrashEvent {
     /// Whether this process detected the change itself, so that others should be informed at once.
     pub fn is_own(&self) -> bool {
         match self {
@@ -86,7 +86,7 @@
         is_suspect: bool,
     },
     /// The request is refused.
-    Barred {
+    Refused {
         /// When the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
@@ -119,7 +119,7 @@
 
 impl<K: Copy + PartialEq> Crashes<K> {
     /// Records that an attempt which may have run failed midway.
-    pub fn suspect(
+    pub fn record_suspicion(
         &mut self,
         now: Millis,
         digest: RequestDigest,
@@ -135,19 +135,19 @@
         &mut self,
         now: Millis,
         liveness: impl Fn(&InstanceId, IncarnationDigest) -> RunnerLiveness,
-    ) -> Vec<CrashNews> {
-        let mut news = Vec::new();
+    ) -> Vec<CrashEvent> {
+        let mut events = Vec::new();
         for suspicion in std::mem::take(&mut self.pending) {
             let is_due = now.since(suspicion.at).0 >= CRASH_CONFIRM_DELAY_MS;
             match liveness(&suspicion.runner, suspicion.life) {
                 RunnerLiveness::ReportedAt(at) if at >= suspicion.at.plus(REPORT_TRANSIT_MS) => {}
                 RunnerLiveness::ReportedAt(_) if !is_due => self.pending.push(suspicion),
                 RunnerLiveness::ReportedAt(_) | RunnerLiveness::Gone => {
-                    news.extend(self.confirm(now, suspicion))
+                    events.extend(self.confirm(now, suspicion))
                 }
             }
         }
-        news
+        events
     }
 
     /// Records a crash that needs no confirmation.
@@ -157,24 +157,24 @@
         digest: RequestDigest,
         runner: InstanceId,
         life: IncarnationDigest,
-    ) -> Vec<CrashNews> {
+    ) -> Vec<CrashEvent> {
         self.confirm(now, Suspicion { digest, runner, life, at: now })
     }
 
-    fn confirm(&mut self, now: Millis, suspicion: Suspicion) -> Vec<CrashNews> {
+    fn confirm(&mut self, now: Millis, suspicion: Suspicion) -> Vec<CrashEvent> {
         let Suspicion { digest, runner, life, at } = suspicion;
         if self.has_recent_success(digest, at) {
             return Vec::new();
         }
         let change = self.ledger.note_crash(now, digest, life, at);
         let crashes = self.ledger.crashes(digest);
-        let crashed = CrashNews::Crashed { digest, runner, crashes };
-        let changed = change.map(|change| CrashNews::Changed { change, is_own: true });
+        let crashed = CrashEvent::Crashed { digest, runner, crashes };
+        let changed = change.map(|change| CrashEvent::Changed { change, is_own: true });
         std::iter::once(crashed).chain(changed).collect()
     }
 
     /// Records that a request succeeded.
-    pub fn note_success(&mut self, now: Millis, digest: RequestDigest) -> Option<CrashNews> {
+    pub fn note_success(&mut self, now: Millis, digest: RequestDigest) -> Option<CrashEvent> {
         self.pending.retain(|it| it.digest != digest);
         if self.successes.len() >= MAX_SUCCESSES {
             self.successes.retain(|_, at| now.since(*at).0 <= SUCCESS_GRACE_MS);
@@ -183,7 +183,7 @@
             self.successes.insert(digest, now);
         }
         let change = self.ledger.note_success(now, digest, now)?;
-        Some(CrashNews::Changed { change, is_own: true })
+        Some(CrashEvent::Changed { change, is_own: true })
     }
 
     /// Whether a request succeeded here at most `SUCCESS_GRACE_MS` before `moment`, or after it.
@@ -192,18 +192,18 @@
     }
 
     /// Merges a crash list from a sidecar or from the platform's store.
-    pub fn merge(&mut self, now: Millis, list: &CrashList) -> Vec<CrashNews> {
+    pub fn merge(&mut self, now: Millis, list: &CrashList) -> Vec<CrashEvent> {
         let changes = self.ledger.merge(now, list).into_iter();
-        let mut news: Vec<CrashNews> =
-            changes.map(|change| CrashNews::Changed { change, is_own: false }).collect();
+        let mut events: Vec<CrashEvent> =
+            changes.map(|change| CrashEvent::Changed { change, is_own: false }).collect();
         // A request that others report may have succeeded here recently.
         for report in &list.0 {
             if let Some(at) = self.successes.get(&report.digest).copied() {
                 let change = self.ledger.note_success(now, report.digest, at);
-                news.extend(change.map(|change| CrashNews::Changed { change, is_own: true }));
+                events.extend(change.map(|change| CrashEvent::Changed { change, is_own: true }));
             }
         }
-        news
+        events
     }
 
     /// Whether an arriving request may be sent. `may_try` tells whether this process is the one to probe a
@@ -226,18 +226,18 @@
     }
 
     /// Whether a request that was admitted before may still be sent.
-    pub fn admits(&self, now: Millis, key: K, digest: RequestDigest) -> Admission {
+    pub fn still_admits(&self, now: Millis, key: K, digest: RequestDigest) -> Admission {
         let is_probe = self.probes.get(&digest) == Some(&key);
         match self.admission(now, digest) {
             // The attempt of the probe failed as well; the request does not get a second one.
-            barred @ Admission::Barred { .. } if !is_probe || self.has_pending(digest) => barred,
-            Admission::Barred { .. } => Admission::Admitted { is_suspect: true },
+            refused @ Admission::Refused { .. } if !is_probe || self.has_pending(digest) => refused,
+            Admission::Refused { .. } => Admission::Admitted { is_suspect: true },
             admitted => admitted,
         }
     }
 
     /// Removes the state of a request that has ended.
-    pub fn end(&mut self, key: K, digest: RequestDigest) {
+    pub fn remove(&mut self, key: K, digest: RequestDigest) {
         if self.probes.get(&digest) == Some(&key) {
             self.probes.remove(&digest);
         }
@@ -247,7 +247,7 @@
         match self.status(now, digest) {
             RequestStatus::Clear => Admission::Admitted { is_suspect: false },
             RequestStatus::Suspect => Admission::Admitted { is_suspect: true },
-            RequestStatus::Quarantined { probe_in_ms } => Admission::Barred {
+            RequestStatus::Quarantined { probe_in_ms } => Admission::Refused {
                 retry_after_ms: probe_in_ms
                     .map_or(NO_PROBE_RETRY_MS, |it| it.max(PROBE_ELSEWHERE_RETRY_MS)),
             },
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -11,7 +11,7 @@
 mod messages;
 mod record;
 
-pub use crashes::{Admission, CrashNews, Crashes, RunnerLiveness};
+pub use crashes::{Admission, CrashEvent, Crashes, RunnerLiveness};
 pub use digest::RequestDigest;
 pub use incarnation::IncarnationDigest;
 pub use ledger::{CrashChange, CrashLedger, RequestStatus};
--- a/components/quarantine/src/record.rs
+++ b/components/quarantine/src/record.rs
@@ -7,7 +7,7 @@
 
 use fleet::Millis;
 
-use crate::crashes::CrashNews;
+use crate::crashes::CrashEvent;
 use crate::digest::RequestDigest;
 use crate::incarnation::IncarnationDigest;
 use crate::ledger::CrashChange;
@@ -79,8 +79,8 @@
     }
 
     /// Schedules the write or removal that follows from a change of status.
-    pub fn handle_change(&mut self, now: Millis, seed: u64, news: &CrashNews) {
-        let CrashNews::Changed { change, is_own } = news else {
+    pub fn handle_change(&mut self, now: Millis, seed: u64, event: &CrashEvent) {
+        let CrashEvent::Changed { change, is_own } = event else {
             return;
         };
         match change {
--- a/components/reducer/src/entry/crashes.rs
+++ b/components/reducer/src/entry/crashes.rs
@@ -7,7 +7,7 @@
 use errors::Code;
 use fleet::{InstanceId, Millis, Process, RequestId};
 use quarantine::{
-    Admission, CrashList, CrashNews, Crashes, IncarnationDigest, ListScope, RequestDigest,
+    Admission, CrashEvent, CrashList, Crashes, IncarnationDigest, ListScope, RequestDigest,
 };
 use wire::DatagramBody;
 
@@ -33,13 +33,13 @@
     pub(super) fn is_quarantined(&mut self, now: Millis, arrival: &Arrival) -> bool {
         let crashes = &mut self.known_crashes.crashes;
         let admission = crashes.admit(now, arrival.request, arrival.digest, || true);
-        matches!(admission, Admission::Barred { .. })
+        matches!(admission, Admission::Refused { .. })
     }
 
     /// Whether a further attempt of a request is rejected because it crashes upstreams.
     pub(super) fn is_barred(&self, now: Millis, request: RequestId, digest: RequestDigest) -> bool {
-        let admission = self.known_crashes.crashes.admits(now, request, digest);
-        matches!(admission, Admission::Barred { .. })
+        let admission = self.known_crashes.crashes.still_admits(now, request, digest);
+        matches!(admission, Admission::Refused { .. })
     }
 
     /// Records the failure of an attempt that may have run.
@@ -70,7 +70,7 @@
 
     /// Removes the crash state of a request that has ended.
     pub(super) fn remove_crash_state(&mut self, request: RequestId, digest: RequestDigest) {
-        self.known_crashes.crashes.end(request, digest);
+        self.known_crashes.crashes.remove(request, digest);
     }
 
     /// Merges a crash list from another entry.
@@ -79,7 +79,7 @@
         changes.into_iter().map(EntryEffect::Crash).collect()
     }
 
-    fn schedule_report(&mut self, now: Millis, changes: Vec<CrashNews>) -> Vec<EntryEffect> {
+    fn schedule_report(&mut self, now: Millis, changes: Vec<CrashEvent>) -> Vec<EntryEffect> {
         if !changes.is_empty() {
             self.known_crashes.report_at = now;
         }
--- a/components/reducer/src/entry/event.rs
+++ b/components/reducer/src/entry/event.rs
@@ -4,7 +4,7 @@
 
 use errors::{Code, Error};
 use fleet::{InstanceId, Millis, ModelName, RequestId, ServiceName, WorkspaceId};
-use quarantine::{CrashNews, RequestDigest};
+use quarantine::{CrashEvent, RequestDigest};
 use wire::Load;
 
 use crate::changes::{ChangeEffect, ChangeEvent};
@@ -178,7 +178,7 @@
     /// Count a retry.
     CountRetry(Code),
     /// Log a change in what is known of requests that crash upstreams.
-    Crash(CrashNews),
+    Crash(CrashEvent),
     /// The entry is stopping and no request is in progress.
     Drained,
 }
--- a/components/telemetry/src/crashes.rs
+++ b/components/telemetry/src/crashes.rs
@@ -1,19 +1,19 @@
 //! Logs and counts requests that crash runners. Crashes and quarantines are warnings of the process, for which the log
 //! reserves part of its rate limit.
 
-use quarantine::{CrashChange, CrashNews};
+use quarantine::{CrashChange, CrashEvent};
 
 use crate::metrics::Metrics;
 
 /// Logs and counts a crash or a status change that this process found or another one reported.
-pub fn note_crash(metrics: &Metrics, news: &CrashNews) {
-    match news {
-        CrashNews::Crashed { digest, runner, crashes } => {
+pub fn note_crash(metrics: &Metrics, event: &CrashEvent) {
+    match event {
+        CrashEvent::Crashed { digest, runner, crashes } => {
             let digest = digest.to_string();
             log::warn!(digest = digest.as_str(), runner = runner.0.as_str(), crashes = *crashes; "runner crashed under a request");
             metrics.count_crash("crashed");
         }
-        CrashNews::Changed { change, is_own } => note_crash_change(metrics, change, *is_own),
+        CrashEvent::Changed { change, is_own } => note_crash_change(metrics, change, *is_own),
     }
 }
 
