--- a/components/edge/src/era.rs
+++ b/components/edge/src/era.rs
@@ -59,7 +59,7 @@
         self.current.set(received);
         if let (Some(before), Some(era)) = (previous, received.filter(|_| received > previous)) {
             log::warn!(era = era, before = before; "the store came back from an older copy");
-            self.metrics.count_era();
+            self.metrics.count_store_restore();
             self.notify_all();
         }
         Ok(received)
--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -11,7 +11,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use platform::headers::{self, AddedHeaders, ResponseHeaders};
-use telemetry::Span;
+use telemetry::MeasuredDuration;
 use uptime::Instant;
 
 use super::answer::{full_body, AnswerBody};
@@ -112,7 +112,9 @@
             Ok(answer) => answer,
             Err(outcome) => return outcome.into(),
         };
-        self.core.metrics.note_span(Span::Runner, started.elapsed().as_millis() as u64);
+        self.core
+            .metrics
+            .record_duration(MeasuredDuration::RunnerHeaders, started.elapsed().as_millis() as u64);
         let result = self.evaluate(connection, answer).await;
         if let AttemptResult::Failure { outcome, .. } = &result {
             *sent = was_sent || !outcome.is_not_run();
@@ -179,13 +181,13 @@
             return;
         }
         if notice.is_leaving {
-            self.core.metrics.count_runner_word("leaving");
+            self.core.metrics.count_load_notice("leaving");
         }
         if notice.backoff_ms.is_some() {
-            self.core.metrics.count_runner_word("rest");
+            self.core.metrics.count_load_notice("rest");
         }
         if notice.limit.is_some() {
-            self.core.metrics.count_runner_word("limit");
+            self.core.metrics.count_load_notice("limit");
         }
         let runner = self.target.id.0.clone();
         let Notice { is_leaving, backoff_ms, limit } = notice;
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -11,7 +11,7 @@
     Arrival, Catalog, Certainty, Effect, Event, Gateway, GatewayOptions, NextStep, RequestKey,
 };
 use quarantine::CrashEvent;
-use telemetry::{note_crash, Metrics};
+use telemetry::{record_crash, Metrics};
 
 use super::home_fault_log;
 use super::notice_log::log_notice;
@@ -124,7 +124,7 @@
                 Effect::LogIncarnationChange(news) => log_incarnation_change(&self.metrics, &news),
                 Effect::Notice(news) => log_notice(&news),
                 Effect::Crash(news) => {
-                    note_crash(&self.metrics, &news);
+                    record_crash(&self.metrics, &news);
                     if news.is_own() {
                         self.notify_sidecars();
                     }
--- a/components/edge/src/gateway/node.rs
+++ b/components/edge/src/gateway/node.rs
@@ -254,37 +254,37 @@
         let (under_way, waiting) = core.read(|gateway| gateway.load());
         let runners = core.read(|gateway| gateway.pool().len());
         let configuration = core.catalog().map_or(0, |it| it.version);
-        core.metrics.set("caller_bytes_kept", metric_callers.buffered_bytes() as u64);
-        core.metrics.set("requests_under_way", under_way as u64);
-        core.metrics.set("requests_waiting", waiting as u64);
-        core.metrics.set("runners_listed", runners as u64);
+        core.metrics.set_gauge("caller_bytes_kept", metric_callers.buffered_bytes() as u64);
+        core.metrics.set_gauge("requests_under_way", under_way as u64);
+        core.metrics.set_gauge("requests_waiting", waiting as u64);
+        core.metrics.set_gauge("runners_listed", runners as u64);
         let without_start_time = core.read(|gateway| gateway.pool().count_without_start_time());
-        core.metrics.set("runners_without_birth", without_start_time as u64);
+        core.metrics.set_gauge("runners_without_birth", without_start_time as u64);
         let now = core.clock.now();
         let (cold, responsible) = core.read(|it| it.cold_runners(now));
         let evacuated = core.read(|gateway| gateway.pool().evacuations.len());
         let silent = core.read(|gateway| gateway.pool().silent.count(now));
-        core.metrics.set("halls_silent", silent as u64);
+        core.metrics.set_gauge("halls_silent", silent as u64);
         let (suspects, quarantined) = core.read(|gateway| gateway.crash_counts());
         let limited = core.read(|gateway| gateway.pool().count_limited());
-        core.metrics.set("runners_limited", limited as u64);
-        core.metrics.set("requests_suspected", suspects as u64);
-        core.metrics.set("requests_quarantined", quarantined as u64);
-        core.metrics.set("configuration", configuration);
-        core.metrics.set("tight_homes", core.read(|it| it.tight_homes(now)) as u64);
-        core.metrics.set("home_faults", core.read(|it| it.home_faults().len()) as u64);
-        core.metrics.set("halls_evacuated", evacuated as u64);
-        core.metrics.set("gateways_known", core.read(|it| it.members().count(now)) as u64);
-        core.metrics.set("cold_plain_runners", cold as u64);
-        core.metrics.set("cold_plain_runners_own", responsible as u64);
+        core.metrics.set_gauge("runners_limited", limited as u64);
+        core.metrics.set_gauge("requests_suspected", suspects as u64);
+        core.metrics.set_gauge("requests_quarantined", quarantined as u64);
+        core.metrics.set_gauge("configuration", configuration);
+        core.metrics.set_gauge("tight_homes", core.read(|it| it.tight_homes(now)) as u64);
+        core.metrics.set_gauge("home_faults", core.read(|it| it.home_faults().len()) as u64);
+        core.metrics.set_gauge("halls_evacuated", evacuated as u64);
+        core.metrics.set_gauge("gateways_known", core.read(|it| it.members().count(now)) as u64);
+        core.metrics.set_gauge("cold_plain_runners", cold as u64);
+        core.metrics.set_gauge("cold_plain_runners_own", responsible as u64);
         for (age, wait, table) in [
             ("operator_table_age_ms", "operator_table_first_wait_ms", &core.tables.operator),
             ("runner_table_age_ms", "runner_table_first_wait_ms", &core.tables.runners),
         ] {
-            core.metrics.set(wait, table.first_complete_wait_ms());
+            core.metrics.set_gauge(wait, table.first_complete_wait_ms());
             // Absent until the first answer of the store: zero would look current.
             if let Some(age_ms) = table.age_ms() {
-                core.metrics.set(age, age_ms);
+                core.metrics.set_gauge(age, age_ms);
             }
         }
     };
--- a/components/edge/src/gateway/quarantine_record.rs
+++ b/components/edge/src/gateway/quarantine_record.rs
@@ -85,7 +85,7 @@
             QuarantineAnswer::Failed
         }
     };
-    core.metrics.count_platform(call_name(&call), outcome_name(&answer));
+    core.metrics.count_platform_call(call_name(&call), outcome_name(&answer));
     log_outcome(&call, &answer);
     let recorded = record.handle_answer(core.clock.now(), rand::random(), &call, &answer);
     if let Some(digest) = recorded {
--- a/components/edge/src/gateway/readers.rs
+++ b/components/edge/src/gateway/readers.rs
@@ -213,7 +213,7 @@
     pub fn record_failure(&self, reader: SocketAddr, error: &Error, took: Duration) {
         let reason = error.to_string();
         log::info!(reader = reader.to_string().as_str(), reason = reason.as_str(); "reader not heard");
-        self.0.metrics.count_platform("reader", error.code.name());
+        self.0.metrics.count_platform_call("reader", error.code.name());
         let now = self.0.clock.now();
         let has_answered = error.code == Code::PlatformUnavailable;
         let has_waited = !has_answered && took >= NO_DELAY_TIME;
@@ -345,7 +345,7 @@
         ReadersAnswer::Row(_) | ReadersAnswer::Written(_) => "ok",
         ReadersAnswer::Failed => "failed",
     };
-    readers.0.metrics.count_platform(call, outcome);
+    readers.0.metrics.count_platform_call(call, outcome);
     log::info!(call = call, outcome = outcome; "row of the readers");
 }
 
--- a/components/edge/src/gateway/relay.rs
+++ b/components/edge/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body::Frame;
 use http_body_util::StreamBody;
-use telemetry::Span;
+use telemetry::MeasuredDuration;
 
 use super::answer::{error_answer, full_body, AnswerBody};
 use super::attempt::{Attempt, AttemptResult, RunnerAnswer};
@@ -52,7 +52,7 @@
     /// Records that a runner started to answer.
     fn record_start(&self) {
         let after_ms = self.context.trace.age_ms();
-        self.core.metrics.note_span(Span::First, after_ms);
+        self.core.metrics.record_duration(MeasuredDuration::FirstByte, after_ms);
         let (runner, status) = (self.target.id.0.clone(), self.answer.status.as_u16());
         self.context.trace.add(Decision::Answered { runner, status, after_ms });
     }
@@ -60,7 +60,9 @@
     /// Records that the answer is complete.
     fn finish(&self) {
         self.core.dispatch(Event::Attempt(self.handle.key, AttemptOutcome::Finished));
-        self.core.metrics.note_span(Span::Whole, self.context.trace.age_ms());
+        self.core
+            .metrics
+            .record_duration(MeasuredDuration::FullResponse, self.context.trace.age_ms());
         self.context.trace.end(RequestEnd::Complete, self.answer.status.as_u16(), None);
     }
 
--- a/components/edge/src/gateway/request.rs
+++ b/components/edge/src/gateway/request.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use platform::headers::{self, RequestHeaders};
 use quarantine::RequestDigest;
-use telemetry::Span;
+use telemetry::MeasuredDuration;
 
 use super::answer::{error_answer, refusal, AnswerBody};
 use super::attempt::{Attempt, AttemptResult};
@@ -304,7 +304,7 @@
             NextStep::GiveUp(code) => return final_failure(&context, last_error_answer, code),
         };
         if attempts == 0 {
-            core.metrics.note_span(Span::Queue, context.trace.age_ms());
+            core.metrics.record_duration(MeasuredDuration::QueueWait, context.trace.age_ms());
         }
         attempts += 1;
         context.trace.add_choice(&target, attempts);
--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -101,7 +101,7 @@
             RecordAnswer::Failed
         }
     };
-    core.metrics.count_platform(call_name(&call), outcome_name(&answer));
+    core.metrics.count_platform_call(call_name(&call), outcome_name(&answer));
     log_outcome(&call, &answer);
     let announced_versions = record.apply_answer(core.clock.now(), rand::random(), &call, answer);
     for announced in &announced_versions {
--- a/components/edge/src/incarnation_log.rs
+++ b/components/edge/src/incarnation_log.rs
@@ -20,7 +20,7 @@
             log::error!(runner = runner, known = known; "a runner that told when it started does not tell it any more");
         }
     }
-    metrics.count_life(change_text(event.change));
+    metrics.count_incarnation_change(change_text(event.change));
 }
 
 fn change_text(change: IncarnationChange) -> &'static str {
--- a/components/edge/src/listing.rs
+++ b/components/edge/src/listing.rs
@@ -167,7 +167,7 @@
         for fault in faults {
             if self.0.len() < MAX_LOGGED_FAULTS && self.0.insert(fault.to_string()) {
                 log_faults(table, std::slice::from_ref(fault));
-                metrics.count_platform(call_name(table), "unreadable_row");
+                metrics.count_platform_call(call_name(table), "unreadable_row");
             }
         }
     }
--- a/components/edge/src/metrics.rs
+++ b/components/edge/src/metrics.rs
@@ -43,7 +43,7 @@
     };
     let handler = move |request: Request<Incoming>, _| {
         refresh();
-        metrics.set("log_lines_dropped", telemetry::dropped_lines());
+        metrics.set_gauge("log_lines_dropped", telemetry::dropped_lines());
         std::future::ready(page(&request, &metrics))
     };
     spawner.detach(serve(spawner.clone(), listener, options, handler));
--- a/components/edge/src/run.rs
+++ b/components/edge/src/run.rs
@@ -10,7 +10,7 @@
 use eyre::WrapErr;
 use futures_lite::{future, StreamExt};
 use settings::{DeploymentRole, DeploymentSettings};
-use telemetry::{BoundedLogs, Metrics};
+use telemetry::{Metrics, RateLimitedLogs};
 
 use crate::gateway::GatewayNode;
 use crate::reload::{SettingsFile, CHECK_INTERVAL};
@@ -20,7 +20,8 @@
 /// Runs a process until it receives a stop signal. `path` is the file that its settings were read from.
 pub fn run(settings: &DeploymentSettings, path: PathBuf) -> eyre::Result<()> {
     let node = &settings.node;
-    let logs = telemetry::start_bounded_logs(&node.name.0, &node.log_level, node.log_lines_per_s)?;
+    let logs =
+        telemetry::start_rate_limited_logs(&node.name.0, &node.log_level, node.log_lines_per_s)?;
     if !settings.ablation.is_empty() {
         let switched_off = settings.ablation.to_string();
         log::warn!(without = switched_off.as_str(); "mechanisms are switched off for a measurement");
@@ -94,7 +95,7 @@
     future::or(signal, check).await
 }
 
-fn reload(file: &mut SettingsFile, logs: &BoundedLogs, node: &Node) {
+fn reload(file: &mut SettingsFile, logs: &RateLimitedLogs, node: &Node) {
     let Some(settings) = file.reload(node.metrics()) else {
         return;
     };
@@ -106,7 +107,11 @@
     node.apply(settings);
 }
 
-async fn run_node(spawner: Spawner, mut file: SettingsFile, logs: BoundedLogs) -> eyre::Result<()> {
+async fn run_node(
+    spawner: Spawner,
+    mut file: SettingsFile,
+    logs: RateLimitedLogs,
+) -> eyre::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .wrap_err("signals cannot be received")?;
     let node = Node::start(&spawner, file.in_force()).await?;
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -16,7 +16,7 @@
 use rand::seq::IteratorRandom;
 use rollout::{Effect, Event, Rollout, RolloutOptions};
 use settings::SidecarSettings;
-use telemetry::{note_crash_change, Metrics};
+use telemetry::{record_crash_change, Metrics};
 
 use super::chunk_store::ChunkStore;
 use super::peer_connections::IdleConnections;
@@ -255,7 +255,7 @@
     /// Applies a gateway's report of requests that crashed runners.
     pub fn apply_crashes(&self, list: &CrashList) {
         for change in self.crashes.borrow_mut().merge(self.clock.now(), list) {
-            note_crash_change(&self.metrics, &change, false);
+            record_crash_change(&self.metrics, &change, false);
         }
     }
 
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -321,15 +321,15 @@
     let refresh = move || {
         let rollout = core.rollout.borrow();
         let held = rollout.status().and_then(|it| it.version).unwrap_or(0);
-        core.metrics.set("version_wanted", rollout.target_version().unwrap_or(0));
-        core.metrics.set("version_held", held);
-        core.metrics.set("sidecars_known", rollout.peer_addresses().len() as u64);
-        core.metrics.set("halls_evacuated", rollout.evacuations().len() as u64);
-        core.metrics.set("runner_cold_ms", rollout.cold().left_ms(core.clock.now()));
+        core.metrics.set_gauge("version_wanted", rollout.target_version().unwrap_or(0));
+        core.metrics.set_gauge("version_held", held);
+        core.metrics.set_gauge("sidecars_known", rollout.peer_addresses().len() as u64);
+        core.metrics.set_gauge("halls_evacuated", rollout.evacuations().len() as u64);
+        core.metrics.set_gauge("runner_cold_ms", rollout.cold().left_ms(core.clock.now()));
         let (suspects, quarantined) = core.crashes.borrow().count();
-        core.metrics.set("requests_suspected", suspects as u64);
-        core.metrics.set("requests_quarantined", quarantined as u64);
-        core.metrics.set("places_taken", u64::from(rollout.slots().used()));
+        core.metrics.set_gauge("requests_suspected", suspects as u64);
+        core.metrics.set_gauge("requests_quarantined", quarantined as u64);
+        core.metrics.set_gauge("places_taken", u64::from(rollout.slots().used()));
     };
     serve_metrics(spawner, address, stopping, metrics, callers, refresh).await
 }
--- a/components/edge/src/watch.rs
+++ b/components/edge/src/watch.rs
@@ -97,7 +97,7 @@
             continue;
         }
         let outcome = result.as_ref().map_or_else(|error| error.code.name(), |()| "ok");
-        watch.options.metrics.count_platform(watch.call_name(), outcome);
+        watch.options.metrics.count_platform_call(watch.call_name(), outcome);
         let pause = match result {
             Ok(()) => {
                 failures = 0;
--- a/components/node/src/agent/mod.rs
+++ b/components/node/src/agent/mod.rs
@@ -303,8 +303,8 @@
         let host = &self.0.context.host;
         let path = request.url().path().to_owned();
         let ready = self.0.with_agent(|agent| agent.control.is_current());
-        host.metrics.set("events_dropped", self.0.inbox.dropped());
-        host.metrics.set("staged_bytes", self.0.staging.bytes());
+        host.metrics.set_gauge("events_dropped", self.0.inbox.dropped());
+        host.metrics.set_gauge("staged_bytes", self.0.staging.bytes());
         if let Some(page) = public_page(&path, ready, &host.metrics) {
             return Reply::Answer(page);
         }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -112,7 +112,7 @@
             ControlEffect::Fetch { from } => tasks.spawn(driver.fetch(from)),
             ControlEffect::Applied(revision) => {
                 log::info!(revision = revision.0; "configuration in force");
-                self.context.host.metrics.set("revision", revision.0);
+                self.context.host.metrics.set_gauge("revision", revision.0);
             }
         }
     }
@@ -140,7 +140,7 @@
         let host = &self.context.host;
         match host.platform.table.read(CONFIGURATION_ROW).await {
             Ok(row) => {
-                host.metrics.count_platform("table", "read");
+                host.metrics.count_platform_call("table", "read");
                 match row.map(|row| decode_configuration(&row.value)).transpose() {
                     Ok(found) => {
                         self.send_event(ControlEvent::TableRead(found.map(Box::new))).await
@@ -149,7 +149,7 @@
                 }
             }
             Err(error) => {
-                host.metrics.count_platform("table", "failed");
+                host.metrics.count_platform_call("table", "failed");
                 log::debug!("cannot read the configuration row: {error}");
             }
         }
@@ -159,11 +159,11 @@
         let host = &self.context.host;
         match host.platform.instances.list().await {
             Ok(list) => {
-                host.metrics.count_platform("instances", "read");
+                host.metrics.count_platform_call("instances", "read");
                 self.send_event(ControlEvent::Listed(list)).await;
             }
             Err(error) => {
-                host.metrics.count_platform("instances", "failed");
+                host.metrics.count_platform_call("instances", "failed");
                 log::debug!("cannot read the instance list: {error}");
             }
         }
--- a/components/node/src/entry/changes.rs
+++ b/components/node/src/entry/changes.rs
@@ -84,7 +84,7 @@
     let result =
         table.write(CONFIGURATION_ROW, &encode_configuration(configuration), &expected).await;
     let outcome = if result.is_ok() { "written" } else { "not_written" };
-    shared.context.host.metrics.count_platform("table", outcome);
+    shared.context.host.metrics.count_platform_call("table", outcome);
     result.map(drop)
 }
 
--- a/components/node/src/entry/intents.rs
+++ b/components/node/src/entry/intents.rs
@@ -33,9 +33,9 @@
         let path = request.url().path().to_owned();
         let ready = shared.with_entry(|entry| entry.control.is_current());
         let (in_progress, waiting) = shared.with_entry(|entry| entry.load());
-        host.metrics.set("requests_under_way", in_progress as u64);
-        host.metrics.set("requests_waiting", waiting as u64);
-        host.metrics.set("events_dropped", shared.inbox.dropped());
+        host.metrics.set_gauge("requests_under_way", in_progress as u64);
+        host.metrics.set_gauge("requests_waiting", waiting as u64);
+        host.metrics.set_gauge("events_dropped", shared.inbox.dropped());
         if let Some(page) = public_page(&path, ready, &host.metrics) {
             return Reply::Answer(page);
         }
--- a/components/node/src/entry/mod.rs
+++ b/components/node/src/entry/mod.rs
@@ -220,7 +220,7 @@
         // The task of the request and its connection ended when the caller disconnected; only the queue may remain.
         EntryEffect::Cancel(attempt) => shared.requests.remove(attempt.request),
         EntryEffect::CountRetry(code) => host.metrics.count_retry(code),
-        EntryEffect::Crash(news) => telemetry::note_crash(&host.metrics, &news),
+        EntryEffect::Crash(news) => telemetry::record_crash(&host.metrics, &news),
         EntryEffect::Drained => {
             let _ = drain.try_send(());
         }
--- a/components/telemetry/src/crashes.rs
+++ b/components/telemetry/src/crashes.rs
@@ -6,19 +6,19 @@
 use crate::metrics::Metrics;
 
 /// Logs and counts a crash or a status change that this process found or another one reported.
-pub fn note_crash(metrics: &Metrics, event: &CrashEvent) {
+pub fn record_crash(metrics: &Metrics, event: &CrashEvent) {
     match event {
         CrashEvent::Crashed { digest, runner, crashes } => {
             let digest = digest.to_string();
             log::warn!(digest = digest.as_str(), runner = runner.0.as_str(), crashes = *crashes; "runner crashed under a request");
             metrics.count_crash("crashed");
         }
-        CrashEvent::Changed { change, is_own } => note_crash_change(metrics, change, *is_own),
+        CrashEvent::Changed { change, is_own } => record_crash_change(metrics, change, *is_own),
     }
 }
 
 /// Logs and counts a change of a request's status.
-pub fn note_crash_change(metrics: &Metrics, change: &CrashChange, is_own: bool) {
+pub fn record_crash_change(metrics: &Metrics, change: &CrashChange, is_own: bool) {
     match change {
         CrashChange::Quarantined(digest) => {
             let digest = digest.to_string();
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -8,37 +8,37 @@
 
 /// A measured duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Span {
+pub enum MeasuredDuration {
     /// From the arrival of a request to the first byte of its response.
-    First,
+    FirstByte,
     /// Between two successive events of a stream.
-    Gap,
+    EventGap,
     /// From the arrival of a request to the end of its response.
-    Whole,
+    FullResponse,
     /// From the arrival of a request to its first reservation at a runner.
-    Queue,
+    QueueWait,
     /// From sending a request to a runner to receiving its response headers.
-    Runner,
+    RunnerHeaders,
     /// A call to the platform's store, except for the time that a feed call waits for changes.
-    Store,
+    StoreCall,
 }
 
-impl Span {
+impl MeasuredDuration {
     /// Returns the name of the duration in the metrics.
     fn metric_name(self) -> &'static str {
         match self {
-            Self::First => "first_byte",
-            Self::Gap => "event_gap",
-            Self::Whole => "whole_answer",
-            Self::Queue => "queue_wait",
-            Self::Runner => "runner_head",
-            Self::Store => "store_call",
+            Self::FirstByte => "first_byte",
+            Self::EventGap => "event_gap",
+            Self::FullResponse => "whole_answer",
+            Self::QueueWait => "queue_wait",
+            Self::RunnerHeaders => "runner_head",
+            Self::StoreCall => "store_call",
         }
     }
 }
 
 /// Upper bounds of the histogram buckets for durations, in seconds.
-const SPAN_BUCKETS_S: [f64; 12] =
+const DURATION_BUCKETS_S: [f64; 12] =
     [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
 /// The metrics of one daemon.
@@ -158,7 +158,7 @@
                 .f64_histogram("silverdock_span")
                 .with_unit("s")
                 .with_description("How long things took, by what")
-                .with_boundaries(SPAN_BUCKETS_S.to_vec())
+                .with_boundaries(DURATION_BUCKETS_S.to_vec())
                 .build(),
             state: meter
                 .u64_gauge("silverdock_state")
@@ -205,7 +205,7 @@
     }
 
     /// Counts a call to the platform, by service and outcome.
-    pub fn count_platform(&self, service: &'static str, outcome: &'static str) {
+    pub fn count_platform_call(&self, service: &'static str, outcome: &'static str) {
         let service = KeyValue::new("service", service);
         self.platform_calls.add(1, &[service, KeyValue::new("outcome", outcome)]);
     }
@@ -228,14 +228,14 @@
 
     /// Counts a report about a runner whose process start differs from the known one: the runner has restarted
     /// (`began`), the report is from before the known start (`earlier`), or it no longer states a start (`untold`).
-    pub fn count_life(&self, change: &'static str) {
+    pub fn count_incarnation_change(&self, change: &'static str) {
         self.runner_life_reports.add(1, &[KeyValue::new("change", change)]);
     }
 
     /// Counts a response in which a runner restricts its load: it is `leaving`, asks for a pause (`rest`), or
     /// advertises a rate `limit`.
-    pub fn count_runner_word(&self, word: &'static str) {
-        self.runner_load_notices.add(1, &[KeyValue::new("word", word)]);
+    pub fn count_load_notice(&self, notice: &'static str) {
+        self.runner_load_notices.add(1, &[KeyValue::new("word", notice)]);
     }
 
     /// Counts a connection that was closed because the caller did not read, by the reason: `stalled`, `late` or
@@ -245,7 +245,7 @@
     }
 
     /// Counts that the platform's store was restored from an older copy.
-    pub fn count_era(&self) {
+    pub fn count_store_restore(&self) {
         self.store_restores.add(1, &[]);
     }
 
@@ -267,12 +267,13 @@
     }
 
     /// Records a duration, in milliseconds.
-    pub fn note_span(&self, span: Span, millis: u64) {
-        self.durations.record(millis as f64 / 1000.0, &[KeyValue::new("what", span.metric_name())]);
+    pub fn record_duration(&self, duration: MeasuredDuration, millis: u64) {
+        self.durations
+            .record(millis as f64 / 1000.0, &[KeyValue::new("what", duration.metric_name())]);
     }
 
     /// Sets the gauge with this name.
-    pub fn set(&self, name: &'static str, value: u64) {
+    pub fn set_gauge(&self, name: &'static str, value: u64) {
         self.state.record(value, &[KeyValue::new("name", name)]);
     }
 
--- a/components/telemetry/src/bounded.rs
+++ b/components/telemetry/src/rate_limited.rs
@@ -30,11 +30,11 @@
 }
 
 /// A handle that changes the level and the rate limit of the logs.
-pub struct BoundedLogs {
+pub struct RateLimitedLogs {
     bucket: Arc<Mutex<TokenBucket>>,
 }
 
-impl BoundedLogs {
+impl RateLimitedLogs {
     /// Changes the least severe level that is written and the maximum number of lines per second. On an error, neither
     /// is changed.
     pub fn set(&self, level: &str, lines_per_s: u32) -> Result<()> {
@@ -53,7 +53,11 @@
 
 /// Starts logging for the process: JSON lines on standard output, at most `lines_per_s` per second. If standard output
 /// blocks because its reader has stopped, lines are dropped and the process continues.
-pub fn start_bounded_logs(instance: &str, level: &str, lines_per_s: u32) -> Result<BoundedLogs> {
+pub fn start_rate_limited_logs(
+    instance: &str,
+    level: &str,
+    lines_per_s: u32,
+) -> Result<RateLimitedLogs> {
     let level = parse_level(level)?;
     let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     let name = instance.to_owned();
@@ -62,7 +66,7 @@
         .spawn(move || write_lines(&name, &receiver))
         .map_err(|error| Error::new(Code::Internal, error.to_string()))?;
     let bucket = Arc::new(Mutex::new(TokenBucket::new(Instant::now(), lines_per_s)));
-    let logs = BoundedLogs { bucket: bucket.clone() };
+    let logs = RateLimitedLogs { bucket: bucket.clone() };
     let instance = instance.to_owned();
     fern::Dispatch::new()
         .format(move |out, message, record| {
