--- a/components/edge/src/gateway/sidecar_datagrams/tests.rs
+++ b/components/edge/src/gateway/sidecar_datagrams/tests.rs
@@ -109,7 +109,7 @@
         };
         let before = core.clock.now();
         assert!(has_load(&core) && core.tables.operator.is_confirmed());
-        uptime::pretend_suspended(SUSPENDED);
+        uptime::simulate_suspension(SUSPENDED);
         assert!(core.clock.now().since(before).0 >= SUSPENDED.as_millis() as u64);
         assert!(!has_load(&core), "the report is from before the suspension");
         assert!(!core.tables.operator.is_confirmed() && !core.tables.runners.is_confirmed());
@@ -121,14 +121,14 @@
 fn a_request_that_expires_during_a_suspension_ends_on_resume() {
     block_on(async {
         let core = core().await;
-        let mut suspensions = uptime::Suspensions::default();
+        let mut suspensions = uptime::SuspensionDetector::default();
         let limit = core.clock.now().plus(SUSPENDED.as_millis() as u64);
         let started = std::time::Instant::now();
         let result = with_request_deadline(&core, limit, std::future::pending::<()>());
         let resume = async {
             Timer::after(Duration::from_millis(20)).await;
-            uptime::pretend_suspended(SUSPENDED);
-            suspensions.look()
+            uptime::simulate_suspension(SUSPENDED);
+            suspensions.poll()
         };
         let (result, span) = futures_lite::future::zip(result, resume).await;
         assert!(result.is_none() && span.is_some());
--- a/components/edge/src/metrics.rs
+++ b/components/edge/src/metrics.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
 use telemetry::Metrics;
-use uptime::{Instant, Suspensions};
+use uptime::{Instant, SuspensionDetector};
 
 use crate::caller::Callers;
 use crate::gateway::{error_answer, full_body, AnswerBody};
@@ -72,20 +72,20 @@
 
 /// Detects stalls of the process: its machine was suspended, or it got no processor time.
 pub struct StallDetector {
-    suspensions: Suspensions,
+    suspensions: SuspensionDetector,
     checked_at: Instant,
 }
 
 impl StallDetector {
     /// Starts the detection.
     pub fn start() -> Self {
-        Self { suspensions: Suspensions::default(), checked_at: Instant::now() }
+        Self { suspensions: SuspensionDetector::default(), checked_at: Instant::now() }
     }
 
     /// Whether the process stalled since the last check. Logs and counts a suspension of the machine. State
     /// from before a stall is as old as it appears: all clocks used here advance meanwhile.
     pub fn check(&mut self, metrics: &Metrics) -> bool {
-        let suspended = self.suspensions.look();
+        let suspended = self.suspensions.poll();
         if let Some(span) = suspended {
             log::warn!(ms = span.as_millis() as u64; "the machine was suspended");
             metrics.count_suspension();
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -11,7 +11,7 @@
 use fleet::Configuration;
 use net::Deadline;
 use reducer::{ControlEffect, ControlEvent};
-use uptime::Suspensions;
+use uptime::SuspensionDetector;
 use wire::{open_datagram, seal_datagram, Message, MAX_DATAGRAM_BYTES};
 
 use crate::host::DaemonContext;
@@ -83,10 +83,10 @@
         tasks.spawn(self.clone().receive());
         let inbox = self.inbox.clone();
         tasks.spawn(async move {
-            let mut suspensions = Suspensions::default();
+            let mut suspensions = SuspensionDetector::default();
             loop {
                 Timer::after(TICK_INTERVAL).await;
-                if let Some(span) = suspensions.look() {
+                if let Some(span) = suspensions.poll() {
                     log::warn!(ms = span.as_millis() as u64; "the machine was suspended");
                 }
                 inbox.send_or_drop(tick());
--- a/components/uptime/src/instant.rs
+++ b/components/uptime/src/instant.rs
@@ -83,7 +83,7 @@
 
 /// Advances the time of the current thread as if the machine had been suspended for `duration`. For tests.
 #[cfg(feature = "simulated")]
-pub fn pretend_suspended(duration: Duration) {
+pub fn simulate_suspension(duration: Duration) {
     SIMULATED_SUSPENSION.set(SIMULATED_SUSPENSION.get() + duration);
 }
 
--- a/components/uptime/src/lib.rs
+++ b/components/uptime/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use instant::Instant;
 pub use sleep::{sleep, sleep_until};
-pub use suspension::Suspensions;
+pub use suspension::SuspensionDetector;
 
 #[cfg(feature = "simulated")]
-pub use instant::pretend_suspended;
+pub use instant::simulate_suspension;
--- a/components/uptime/src/suspension.rs
+++ b/components/uptime/src/suspension.rs
@@ -12,21 +12,21 @@
 /// Detects suspensions. A caller that polls several times per second detects a suspension as soon as the machine
 /// resumes.
 #[derive(Debug)]
-pub struct Suspensions {
+pub struct SuspensionDetector {
     /// How far the boot clock was ahead of the monotonic clock at the last poll.
     boot_clock_lead: Duration,
 }
 
-impl Default for Suspensions {
+impl Default for SuspensionDetector {
     fn default() -> Self {
         Self { boot_clock_lead: boot_clock_lead() }
     }
 }
 
-impl Suspensions {
+impl SuspensionDetector {
     /// Returns how long the machine was suspended since the last call, if it was. In this case, all pending sleeps
     /// check the time again.
-    pub fn look(&mut self) -> Option<Duration> {
+    pub fn poll(&mut self) -> Option<Duration> {
         let suspended = boot_clock_lead()
             .checked_sub(self.boot_clock_lead)
             .filter(|it| *it >= MIN_SUSPENSION)?;
