--- a/components/edge/src/reload.rs
+++ b/components/edge/src/reload.rs
@@ -92,14 +92,14 @@
 }
 
 fn log_reload(reload: &Reload, metrics: &Metrics) {
-    if reload.applied.is_empty() && reload.refused.is_empty() {
+    if reload.applied.is_empty() && reload.needs_restart.is_empty() {
         log::info!("settings read again: nothing has changed");
     }
     for it in &reload.applied {
         log::info!(key = it.key, from = it.from.as_str(), to = it.to.as_str(); "setting changed");
         metrics.count_setting("applied");
     }
-    for it in &reload.refused {
+    for it in &reload.needs_restart {
         log::warn!(key = it.key, from = it.from.as_str(), to = it.to.as_str(); "setting needs a new start; the old value stays");
         metrics.count_setting("refused");
     }
--- a/components/edge/src/reload/tests.rs
+++ b/components/edge/src/reload/tests.rs
@@ -73,7 +73,7 @@
     assert!(!file.has_changed());
     temporary.write(SETTINGS);
     reload_if_changed(&mut file);
-    assert_eq!(file.in_force().bounds.repeat_allowance, 106.0);
+    assert_eq!(file.in_force().bounds.retry_allowance, 106.0);
 }
 
 #[test]
@@ -92,7 +92,7 @@
         .set_modified(written_at)
         .unwrap();
     reload_if_changed(&mut file);
-    assert_eq!(file.in_force().bounds.repeat_allowance, 107.0);
+    assert_eq!(file.in_force().bounds.retry_allowance, 107.0);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     temporary.write(&SETTINGS.replace("= 106", "= 50"));
     let mut file = temporary.read();
     reload_if_changed(&mut file);
-    assert_eq!(file.in_force().bounds.repeat_allowance, 50.0);
+    assert_eq!(file.in_force().bounds.retry_allowance, 50.0);
 }
 
 #[test]
@@ -119,8 +119,8 @@
     reload_if_changed(&mut file);
     std::fs::remove_file(&temporary.0).unwrap();
     reload_if_changed(&mut file);
-    assert_eq!(file.in_force().bounds.repeat_allowance, 106.0);
+    assert_eq!(file.in_force().bounds.retry_allowance, 106.0);
     temporary.write(&SETTINGS.replace("= 106", "= 50"));
     reload_if_changed(&mut file);
-    assert_eq!(file.in_force().bounds.repeat_allowance, 50.0);
+    assert_eq!(file.in_force().bounds.retry_allowance, 50.0);
 }
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -113,7 +113,7 @@
         port: u16,
         metrics: Rc<Metrics>,
         effects: Sender<Effect>,
-        repeat_window_ms: u64,
+        retry_window_ms: u64,
     ) -> Self {
         let (request_report, report_requested) = async_channel::bounded(1);
         let (request_list, list_requested) = async_channel::bounded(1);
@@ -129,7 +129,7 @@
             chunks: Rc::default(),
             announced_versions: Rc::default(),
             subscribers: Rc::default(),
-            gateways: Rc::new(RefCell::new(KnownGateways::new(repeat_window_ms))),
+            gateways: Rc::new(RefCell::new(KnownGateways::new(retry_window_ms))),
             crashes: Rc::default(),
             limits: Rc::default(),
             load: Rc::default(),
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -75,7 +75,7 @@
             settings.node.first_port,
             metrics.clone(),
             effects,
-            settings.bounds.repeat_window_s * 1000,
+            settings.bounds.retry_window_s * 1000,
         );
         let socket = DatagramSocket::bind(listen_at, metrics).await?;
         let listener = listen(listen_at).await?;
@@ -115,10 +115,10 @@
     /// Applies changed settings.
     pub fn apply(&self, settings: &DeploymentSettings) {
         let bounds = &settings.bounds;
-        self.core.gateways.borrow_mut().set_window(bounds.repeat_window_s * 1000);
+        self.core.gateways.borrow_mut().set_window(bounds.retry_window_s * 1000);
         self.core.dispatch(Event::DeadlinesChanged {
             version_ms: bounds.version_ms,
-            evacuate_ms: bounds.leave_ms(),
+            evacuate_ms: bounds.evacuation_limit_ms(),
         });
         self.core.dispatch(Event::ColdLimitChanged(cold_limit(bounds)));
     }
@@ -131,7 +131,7 @@
         link_bytes_per_s: settings.node.link_bytes_per_s,
         control_bytes_per_s: CONTROL_BYTES_PER_S,
         version_ms: settings.bounds.version_ms,
-        evacuate_ms: settings.bounds.leave_ms(),
+        evacuate_ms: settings.bounds.evacuation_limit_ms(),
         cold: cold_limit(&settings.bounds),
         ablation: settings.ablation.clone(),
     }
--- a/components/lab/src/options.rs
+++ b/components/lab/src/options.rs
@@ -5,7 +5,7 @@
 use reducer::{
     AgentOptions, EntryOptions, Estimate, FetchStrategy, RoutingStrategy, SpreadOptions,
 };
-use settings::Kind;
+use settings::RequestKind;
 use standins::EngineOptions;
 
 /// Size, bandwidths and policies of a lab.
@@ -34,7 +34,7 @@
     /// Maximum number of requests that wait at an entry.
     pub queue_limit: u32,
     /// Kinds of requests in addition to chat completions.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// Bandwidth limit for messages between daemons, in bytes per second.
     pub control_bytes_per_s: u64,
     /// How agents choose chunks and sources.
--- a/components/node/src/entry/callers.rs
+++ b/components/node/src/entry/callers.rs
@@ -12,7 +12,7 @@
 use quarantine::RequestDigest;
 use reducer::{Arrival, EntryEvent, SavedAnswer, Target};
 use serde::Deserialize;
-use settings::Kind;
+use settings::RequestKind;
 use wire::Call;
 
 use super::attempts::{self, Attempt, AttemptAnswer};
@@ -109,7 +109,7 @@
         workspace,
         prefix,
         deadline: shared.now().plus(budget.as_millis() as u64),
-        max_wait_ms: kind.map_or(Kind::USUAL_WAIT_MS, |it| it.max_wait_ms),
+        max_wait_ms: kind.map_or(RequestKind::DEFAULT_MAX_WAIT_MS, |it| it.max_wait_ms),
         // A completion has no side effects, so it may run twice unless its kind is configured otherwise.
         repeatable: kind.is_none_or(|it| it.repeatable),
         priority: kind.map_or(CHAT_PRIORITY, |it| it.priority),
@@ -136,7 +136,7 @@
 }
 
 /// The kind whose path is the longest prefix of the path of the request.
-fn find_kind<'a>(kinds: &'a [Kind], path: &str) -> Option<&'a Kind> {
+fn find_kind<'a>(kinds: &'a [RequestKind], path: &str) -> Option<&'a RequestKind> {
     let matching = kinds.iter().filter(|kind| path.starts_with(&kind.path));
     matching.max_by_key(|kind| kind.path.len())
 }
--- a/components/node/src/entry/mod.rs
+++ b/components/node/src/entry/mod.rs
@@ -18,7 +18,7 @@
 use fleet::{Millis, Process, RequestId};
 use net::{Bounds, Server, Tasks};
 use reducer::{Entry, EntryEffect, EntryEvent, EntryOptions};
-use settings::Kind;
+use settings::RequestKind;
 use wire::{Frame, Message};
 
 use crate::control::{bind, ControlDriver};
@@ -37,7 +37,7 @@
     /// The address for callers; port 0 selects a free port.
     pub callers: SocketAddr,
     /// The settings for each kind of request.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// The time limit of a request, unless its caller sets a shorter one.
     pub deadline: Duration,
     /// The largest request body, in bytes.
@@ -60,7 +60,7 @@
 pub(crate) struct Shared {
     pub(crate) context: Arc<DaemonContext>,
     pub(crate) inbox: Inbox<EntryEvent>,
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<RequestKind>,
     pub(crate) deadline: Duration,
     pub(crate) requests: RequestTasks,
     pub(crate) calls: OperatorCalls,
--- a/components/settings/src/deployment.rs
+++ b/components/settings/src/deployment.rs
@@ -80,11 +80,11 @@
     /// Milliseconds within which a newly named version is served.
     pub version_ms: u64,
     /// Maximum number of retries per request in each window.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Length of the window over which retries are counted, in seconds.
-    pub repeat_window_s: u64,
+    pub retry_window_s: u64,
     /// Additional retries that all gateways together may send in each window.
-    pub repeat_allowance: f64,
+    pub retry_allowance: f64,
     /// Milliseconds after which no more requests are sent to a data hall that is being evacuated. `None` if the
     /// platform evacuates no data halls.
     pub evacuate_ms: Option<u64>,
@@ -98,7 +98,7 @@
     /// A process that was suspended treats an evacuation that it reads after it resumes as new, and the bounds apply to
     /// it again `contact_ms` later. It must have left the hall by then, so the result is at most `contact_ms` plus
     /// `Evacuations::PROPAGATION_MARGIN_MS`, the margin that is subtracted from the result before it is used.
-    pub fn leave_ms(&self) -> Option<u64> {
+    pub fn evacuation_limit_ms(&self) -> Option<u64> {
         self.evacuate_ms.map(|it| it.min(self.contact_ms + Evacuations::PROPAGATION_MARGIN_MS))
     }
 }
@@ -142,7 +142,7 @@
 
 impl DeploymentSettings {
     /// Returns whether a text has a `[gateway]` or `[sidecar]` section.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn has_deployment_section(text: &str) -> bool {
         text.lines().map(str::trim).any(|line| line == "[gateway]" || line == "[sidecar]")
     }
 
@@ -252,13 +252,9 @@
         drain_ms: to_integer(file.require_bounded(section, "drain_ms", (0.0, 1e7))),
         configuration_ms: to_integer(file.require_bounded(section, "configuration_ms", (0.0, 1e7))),
         version_ms: to_integer(file.require_bounded(section, "version_ms", (0.0, 1e7))),
-        repeat_ratio: file.require_bounded(section, "repeat_ratio", (0.0, 100.0)),
-        repeat_window_s: to_integer(file.require_bounded(
-            section,
-            "repeat_window_s",
-            (1.0, 3600.0),
-        )),
-        repeat_allowance: file.require_bounded(section, "repeat_allowance", (0.0, 1e9)),
+        retry_ratio: file.require_bounded(section, "repeat_ratio", (0.0, 100.0)),
+        retry_window_s: to_integer(file.require_bounded(section, "repeat_window_s", (1.0, 3600.0))),
+        retry_allowance: file.require_bounded(section, "repeat_allowance", (0.0, 1e9)),
         evacuate_ms: file.optional_bounded(section, "evacuate_ms", (0.0, 1e7)).map(to_integer),
         cold: read_cold(file, section),
     }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -11,8 +11,8 @@
     GatewaySettings, SidecarSettings, StoreSettings,
 };
 pub use fault::{Fault, Faults};
-pub use reload::{Changed, Reload};
+pub use reload::{ChangedKey, Reload};
 pub use settings::{
-    AgentSettings, EntrySettings, Kind, LinkSettings, NodeSettings, PlatformSettings,
-    ProfileSettings, RoleSettings, Settings,
+    AgentSettings, EntrySettings, LinkSettings, NodeSettings, PlatformSettings, ProfileSettings,
+    RequestKind, RoleSettings, Settings,
 };
--- a/components/settings/src/reload.rs
+++ b/components/settings/src/reload.rs
@@ -5,7 +5,7 @@
 
 /// A key whose value has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Changed {
+pub struct ChangedKey {
     /// The section and name of the key, as `section.key`.
     pub key: &'static str,
     /// The value in use.
@@ -20,9 +20,9 @@
     /// The settings in use, with the applied changes.
     pub settings: DeploymentSettings,
     /// Changes that are applied without a restart.
-    pub applied: Vec<Changed>,
+    pub applied: Vec<ChangedKey>,
     /// Changes that require a restart; the old values stay in use until then.
-    pub refused: Vec<Changed>,
+    pub needs_restart: Vec<ChangedKey>,
 }
 
 /// A key, how its value is formatted and how a new value is applied. `apply` is `None` if a change requires a restart.
@@ -72,9 +72,9 @@
     requires_restart!("bounds.drain_ms", bounds.drain_ms),
     requires_restart!("bounds.configuration_ms", bounds.configuration_ms),
     reloadable!("bounds.version_ms", bounds.version_ms),
-    reloadable!("bounds.repeat_ratio", bounds.repeat_ratio),
-    reloadable!("bounds.repeat_window_s", bounds.repeat_window_s),
-    reloadable!("bounds.repeat_allowance", bounds.repeat_allowance),
+    reloadable!("bounds.repeat_ratio", bounds.retry_ratio),
+    reloadable!("bounds.repeat_window_s", bounds.retry_window_s),
+    reloadable!("bounds.repeat_allowance", bounds.retry_allowance),
     reloadable!("bounds.evacuate_ms", bounds.evacuate_ms),
     reloadable!("bounds.cold_overrun, bounds.cold_slack", bounds.cold),
     requires_restart!("ablation.without", ablation),
@@ -92,7 +92,7 @@
     /// Compares the settings in use with those of a file.
     pub fn reload(&self, file: &DeploymentSettings) -> Reload {
         let mut reload =
-            Reload { settings: self.clone(), applied: Vec::new(), refused: Vec::new() };
+            Reload { settings: self.clone(), applied: Vec::new(), needs_restart: Vec::new() };
         for key in &KEYS {
             let Some(changed) = find_change(key.name, (key.format)(self), (key.format)(file))
             else {
@@ -103,15 +103,15 @@
                     apply(&mut reload.settings, file);
                     reload.applied.push(changed);
                 }
-                None => reload.refused.push(changed),
+                None => reload.needs_restart.push(changed),
             }
         }
         let (current, new) = (format_role(&self.role), format_role(&file.role));
-        reload.refused.extend(find_change("gateway, sidecar", current, new));
+        reload.needs_restart.extend(find_change("gateway, sidecar", current, new));
         reload
     }
 }
 
-fn find_change(key: &'static str, from: String, to: String) -> Option<Changed> {
-    (from != to).then_some(Changed { key, from, to })
+fn find_change(key: &'static str, from: String, to: String) -> Option<ChangedKey> {
+    (from != to).then_some(ChangedKey { key, from, to })
 }
--- a/components/settings/src/settings.rs
+++ b/components/settings/src/settings.rs
@@ -106,12 +106,12 @@
     /// Maximum ratio of retries to first attempts, from 0 to 1.
     pub retry_share: f64,
     /// Kinds of requests and how they are handled; `[kind.NAME]`.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
 }
 
 /// `[kind.NAME]`: how requests whose path starts with a prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct RequestKind {
     /// The name of the kind in logs and metrics.
     pub name: String,
     /// The path prefix.
@@ -126,10 +126,10 @@
     pub max_wait_ms: u64,
 }
 
-impl Kind {
+impl RequestKind {
     /// Default of `max_wait_ms`, in milliseconds. With the time to process the prompt, the first token still arrives
     /// within 0.36 s.
-    pub const USUAL_WAIT_MS: u64 = 250;
+    pub const DEFAULT_MAX_WAIT_MS: u64 = 250;
 }
 
 /// `[agent]`: settings of an agent.
@@ -164,7 +164,7 @@
 
 impl LinkSettings {
     /// Returns the part of a bandwidth that is available for weights, without the part reserved for serving.
-    pub fn for_weights(&self, bytes_per_s: u64) -> u64 {
+    pub fn weights_bandwidth(&self, bytes_per_s: u64) -> u64 {
         (bytes_per_s * (100 - self.serving_percent) / 100).max(1)
     }
 }
@@ -307,14 +307,14 @@
     }
 }
 
-fn read_kind(file: &mut IniFile, name: &str) -> Kind {
+fn read_kind(file: &mut IniFile, name: &str) -> RequestKind {
     let section = format!("kind.{name}");
     let service: String = file.value_or_default(&section, "service", String::new(), "a service");
     let path: String = file.require(&section, "path", "a path prefix, such as /till/");
     if !path.is_empty() && !path.starts_with('/') {
         file.report_fault(&section, "path", &path, "a path that starts with /");
     }
-    Kind {
+    RequestKind {
         name: name.to_owned(),
         path,
         service: (!service.is_empty()).then_some(ServiceName(service)),
@@ -323,7 +323,7 @@
         max_wait_ms: file.bounded_or_default(
             &section,
             "max_wait_ms",
-            Kind::USUAL_WAIT_MS,
+            RequestKind::DEFAULT_MAX_WAIT_MS,
             (0, 600_000),
         ),
     }
--- a/components/settings/src/settings/tests.rs
+++ b/components/settings/src/settings/tests.rs
@@ -75,5 +75,5 @@
 #[test]
 fn reserves_a_share_of_the_link_for_serving() {
     let link = LinkSettings { upload_bytes_per_s: 1, download_bytes_per_s: 1, serving_percent: 25 };
-    assert_eq!(link.for_weights(1000), 750);
+    assert_eq!(link.weights_bandwidth(1000), 750);
 }
--- a/components/settings/tests/deployment.rs
+++ b/components/settings/tests/deployment.rs
@@ -52,7 +52,7 @@
     assert_eq!(gateway.gateway().unwrap().callers.port(), 8005);
     assert_eq!(gateway.node.link_bytes_per_s, 950_000);
     assert_eq!(gateway.node.halls.get(&Hall::from("b")), Some(&Region::from("south")));
-    assert_eq!(gateway.bounds.repeat_allowance, 106.0);
+    assert_eq!(gateway.bounds.retry_allowance, 106.0);
     let sidecar = DeploymentSettings::parse(&fill(SIDECAR_TEMPLATE)).unwrap();
     assert_eq!(sidecar.sidecar().unwrap().service, "s1".into());
     assert!(matches!(sidecar.role, DeploymentRole::Sidecar(_)));
@@ -85,7 +85,7 @@
     let bounds = &gateway.bounds;
     assert_eq!((bounds.contact_ms, bounds.drain_ms), (3000, 2000));
     assert_eq!((bounds.configuration_ms, bounds.version_ms), (2000, 8000));
-    assert_eq!((bounds.repeat_ratio, bounds.repeat_allowance), (0.2, 106.0));
+    assert_eq!((bounds.retry_ratio, bounds.retry_allowance), (0.2, 106.0));
     assert_eq!(bounds.evacuate_ms, Some(5000));
     assert_eq!(bounds.cold, Some(ColdSettings { overrun: 1.5, slack: 5.0 }));
     let sidecar = DeploymentSettings::parse(&fill(EARLIER_SIDECAR_TEMPLATE)).unwrap();
@@ -153,11 +153,11 @@
 #[test]
 fn an_evacuated_hall_is_left_before_the_bounds_apply_again_to_a_resumed_process() {
     let mut bounds = DeploymentSettings::parse(&fill(GATEWAY_TEMPLATE)).unwrap().bounds;
-    assert_eq!(bounds.leave_ms(), None);
+    assert_eq!(bounds.evacuation_limit_ms(), None);
     (bounds.contact_ms, bounds.evacuate_ms) = (4000, Some(5000));
-    assert_eq!(bounds.leave_ms(), Some(5000));
+    assert_eq!(bounds.evacuation_limit_ms(), Some(5000));
     (bounds.contact_ms, bounds.evacuate_ms) = (2000, Some(60_000));
-    assert_eq!(bounds.leave_ms(), Some(3000));
+    assert_eq!(bounds.evacuation_limit_ms(), Some(3000));
 }
 
 #[test]
@@ -176,10 +176,10 @@
 #[test]
 fn settings_of_a_fleet_daemon_are_not_taken_for_deployment_settings() {
     assert!(
-        DeploymentSettings::is_meant(GATEWAY_TEMPLATE)
-            && DeploymentSettings::is_meant(SIDECAR_TEMPLATE)
+        DeploymentSettings::has_deployment_section(GATEWAY_TEMPLATE)
+            && DeploymentSettings::has_deployment_section(SIDECAR_TEMPLATE)
     );
-    assert!(!DeploymentSettings::is_meant("[node]\nrole = entry\n[entry]\n"));
+    assert!(!DeploymentSettings::has_deployment_section("[node]\nrole = entry\n[entry]\n"));
 }
 
 #[test]
--- a/components/settings/tests/reload.rs
+++ b/components/settings/tests/reload.rs
@@ -88,7 +88,7 @@
 #[test]
 fn an_unchanged_file_changes_nothing() {
     let reload = parse(SETTINGS_FILE).reload(&parse(SETTINGS_FILE));
-    assert!(reload.applied.is_empty() && reload.refused.is_empty());
+    assert!(reload.applied.is_empty() && reload.needs_restart.is_empty());
 }
 
 #[test]
@@ -97,14 +97,14 @@
         let (old, new) = (parse(SETTINGS_FILE), parse(&with_changed_value(key)));
         assert_ne!(old, new, "{key}");
         let reload = old.reload(&new);
-        let reported: Vec<_> = reload.applied.iter().chain(&reload.refused).collect();
+        let reported: Vec<_> = reload.applied.iter().chain(&reload.needs_restart).collect();
         // `address` is a key of two sections, and both change.
         let expected = if key == "address" { 2 } else { 1 };
         assert_eq!(reported.len(), expected, "{key}: {reported:?}");
         let is_role = ["callers", "readiness"].contains(&key);
         assert!(is_role || reported[0].key.contains(key), "{key}: {reported:?}");
         // Applied values are in the new settings, refused values are not.
-        let expected = if reload.refused.is_empty() { &new } else { &old };
+        let expected = if reload.needs_restart.is_empty() { &new } else { &old };
         assert_eq!(&reload.settings, expected, "{key}");
     }
 }
@@ -135,5 +135,5 @@
     let reload = parse(SETTINGS_FILE).reload(&parse(&text));
     assert_eq!(reload.settings.bounds.version_ms, 9000);
     assert_eq!(reload.settings.node.place.hall, "a".into());
-    assert_eq!((reload.applied.len(), reload.refused.len()), (1, 1));
+    assert_eq!((reload.applied.len(), reload.needs_restart.len()), (1, 1));
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -43,7 +43,7 @@
 fn read_settings(cli: &Cli) -> Result<AnySettings, String> {
     let text = std::fs::read_to_string(&cli.settings)
         .map_err(|error| format!("{}: {error}", cli.settings.display()))?;
-    let settings = if DeploymentSettings::is_meant(&text) {
+    let settings = if DeploymentSettings::has_deployment_section(&text) {
         DeploymentSettings::parse(&text).map(|it| AnySettings::Deployment(Box::new(it)))
     } else {
         Settings::parse(&text).map(|it| AnySettings::Fleet(Box::new(it)))
--- a/daemon/src/setup.rs
+++ b/daemon/src/setup.rs
@@ -127,13 +127,13 @@
         options: AgentOptions {
             concurrency: agent.concurrency,
             memory_bytes: agent.memory_bytes,
-            upload_bytes_per_s: agent.link.for_weights(agent.link.upload_bytes_per_s),
+            upload_bytes_per_s: agent.link.weights_bandwidth(agent.link.upload_bytes_per_s),
             spread: SpreadOptions {
                 timeout_ms: None,
                 reach: reducer::NeighbourLimits::default(),
                 copies: settings.profile.origin_copies(),
                 origin_bytes_per_s: settings.profile.origin_bytes_per_s,
-                download_bytes_per_s: agent.link.for_weights(agent.link.download_bytes_per_s),
+                download_bytes_per_s: agent.link.weights_bandwidth(agent.link.download_bytes_per_s),
                 control_bytes_per_s: settings.node.control_bytes_per_s,
                 choice: FetchStrategy::default(),
             },
--- a/examples/requests/run.rs
+++ b/examples/requests/run.rs
@@ -97,14 +97,14 @@
     }
 }
 
-fn kind(name: &str, path: &str, repeatable: bool, priority: u8) -> settings::Kind {
-    settings::Kind {
+fn kind(name: &str, path: &str, repeatable: bool, priority: u8) -> settings::RequestKind {
+    settings::RequestKind {
         name: name.to_owned(),
         path: path.to_owned(),
         service: Some(ServiceName("ledger".to_owned())),
         repeatable,
         priority,
-        max_wait_ms: settings::Kind::USUAL_WAIT_MS,
+        max_wait_ms: settings::RequestKind::DEFAULT_MAX_WAIT_MS,
     }
 }
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -19,7 +19,7 @@
     let text = std::fs::read_to_string(&args.file);
     let text =
         text.map_err(|error| cmd::usage_error(&format!("{}: {error}", args.file.display())))?;
-    let checked = if DeploymentSettings::is_meant(&text) {
+    let checked = if DeploymentSettings::has_deployment_section(&text) {
         check_deployment(&text)?
     } else {
         check_daemon(&text)?
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 use errors::Code;
 use fleet::{Intent, ServiceName};
 use lab::{ChatCaller, Ending, Lab, LabOptions};
-use settings::Kind;
+use settings::RequestKind;
 
 /// Timeout of any single wait; a test that exceeds it fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -102,7 +102,7 @@
 
 #[test]
 fn runs_a_request_with_an_idempotency_key_once_and_replays_its_answer() {
-    let kind = Kind {
+    let kind = RequestKind {
         name: "till".into(),
         path: "/till/".into(),
         service: Some(ServiceName("ledger".into())),
--- a/tests/upstream_rest.rs
+++ b/tests/upstream_rest.rs
@@ -12,7 +12,7 @@
 use async_io::block_on;
 use fleet::ServiceName;
 use lab::{Ending, Lab, LabOptions};
-use settings::Kind;
+use settings::RequestKind;
 
 /// Timeout of any single wait; a test that exceeds it fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -32,7 +32,7 @@
 fn start() -> Lab {
     let executor = Arc::new(Executor::new());
     Lab::run_threads(&executor);
-    let kind = Kind {
+    let kind = RequestKind {
         name: "till".into(),
         path: "/till/".into(),
         service: Some(ServiceName("ledger".into())),
