--- a/components/client/src/operator.rs
+++ b/components/client/src/operator.rs
@@ -6,7 +6,7 @@
 use errors::{Code, Error, Result};
 use fleet::{Intent, ModelName, Plan, PlanId, PlanReply, Revision, RolloutStatus, Status};
 use http_types::{Method, Request, Url};
-use net::{read_body, send, Answer, Deadline};
+use net::{read_body, send, Deadline, HttpResponse};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 
@@ -102,7 +102,7 @@
 }
 
 /// Converts an error response of an entry.
-fn response_error(answer: &Answer) -> Error {
+fn response_error(answer: &HttpResponse) -> Error {
     let Ok(error_response) = serde_json::from_slice::<ErrorResponse>(&answer.body) else {
         return Error::new(
             Code::Internal,
--- a/components/externals/src/http_platform.rs
+++ b/components/externals/src/http_platform.rs
@@ -7,9 +7,9 @@
 use errors::{Code, Error, Result};
 use fleet::{Instance, VersionId, MAX_CHUNK_BYTES};
 use http_types::{Method, Request, Url};
-use net::{read_body, send, Answer, Deadline};
+use net::{read_body, send, Deadline, HttpResponse};
 
-use crate::traits::{Expected, InstanceList, ObjectStore, Row, TableService, WeightStore};
+use crate::traits::{InstanceList, ObjectStore, Precondition, Row, TableService, WeightStore};
 
 /// Timeout of a call that does not transfer weights.
 const SMALL_CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -33,22 +33,22 @@
         let request = build_request(self.0, Method::Get, &format!("/rows/{key}"))?;
         let response = exchange(self.0, request, SMALL_CALL_TIMEOUT, MAX_SMALL_BODY_BYTES).await?;
         match response.status {
-            200 => Ok(Some(Row { value: response.body, tag: response.tag.unwrap_or_default() })),
+            200 => Ok(Some(Row { value: response.body, tag: response.etag.unwrap_or_default() })),
             404 => Ok(None),
             status => Err(status_error(status)),
         }
     }
 
-    async fn write(&self, key: &str, value: &[u8], expected: &Expected) -> Result<String> {
+    async fn write(&self, key: &str, value: &[u8], expected: &Precondition) -> Result<String> {
         let mut request = build_request(self.0, Method::Put, &format!("/rows/{key}"))?;
         match expected {
-            Expected::Absent => request.insert_header("if-none-match", "*"),
-            Expected::Tag(tag) => request.insert_header("if-match", tag.as_str()),
+            Precondition::Absent => request.insert_header("if-none-match", "*"),
+            Precondition::Tag(etag) => request.insert_header("if-match", etag.as_str()),
         };
         request.set_body(value);
         let response = exchange(self.0, request, SMALL_CALL_TIMEOUT, MAX_SMALL_BODY_BYTES).await?;
         match response.status {
-            200 | 201 | 204 => Ok(response.tag.unwrap_or_default()),
+            200 | 201 | 204 => Ok(response.etag.unwrap_or_default()),
             status => Err(status_error(status)),
         }
     }
@@ -111,7 +111,7 @@
     request: Request,
     timeout: Duration,
     max_body_bytes: usize,
-) -> Result<Answer> {
+) -> Result<HttpResponse> {
     let deadline = Deadline::after(timeout);
     let response = async {
         read_body(send(address, request, deadline).await?, max_body_bytes, deadline).await
@@ -123,7 +123,7 @@
     })
 }
 
-fn success_body(response: Answer) -> Result<Vec<u8>> {
+fn success_body(response: HttpResponse) -> Result<Vec<u8>> {
     match response.status {
         200..=299 => Ok(response.body),
         status => Err(status_error(status)),
--- a/components/externals/src/http_upstream.rs
+++ b/components/externals/src/http_upstream.rs
@@ -11,7 +11,7 @@
 
 use crate::http_platform::build_request;
 use crate::traits::{
-    AnswerBody, EngineLoad, EngineOrder, ModelEngine, PlainService, UpstreamAnswer, UpstreamCall,
+    AnswerBody, EngineLoad, EngineOrder, ModelEngine, PlainService, UpstreamCall, UpstreamResponse,
 };
 
 /// Timeout of an order to an engine, which includes loading the weights.
@@ -25,7 +25,7 @@
 pub struct HttpUpstream(pub SocketAddr);
 
 impl HttpUpstream {
-    async fn forward(&self, call: UpstreamCall) -> Result<UpstreamAnswer> {
+    async fn forward(&self, call: UpstreamCall) -> Result<UpstreamResponse> {
         let method = call.method.parse().map_err(|_| bad_request("invalid HTTP method"))?;
         let mut request: Request = build_request(self.0, method, &call.path)?;
         request.insert_header("content-type", call.content_type.as_str());
@@ -33,12 +33,12 @@
         request.insert_header("x-priority", call.priority.to_string());
         request.set_body(call.body);
         request.insert_header("content-type", call.content_type.as_str());
-        let deadline = Deadline::after(Duration::from_millis(call.budget_ms));
+        let deadline = Deadline::after(Duration::from_millis(call.time_left_ms));
         let response = send(self.0, request, deadline).await?;
         let content_type = response.header("content-type");
-        Ok(UpstreamAnswer {
+        Ok(UpstreamResponse {
             status: response.status().into(),
-            rest_ms: retry_after_ms(&response),
+            retry_after_ms: retry_after_ms(&response),
             content_type: content_type.map(|it| it.last().to_string()).unwrap_or_default(),
             body: Box::new(HttpBody::new(response)),
         })
@@ -69,7 +69,7 @@
         self.control_call(request, ORDER_TIMEOUT).await.map(drop)
     }
 
-    async fn call(&self, call: UpstreamCall) -> Result<UpstreamAnswer> {
+    async fn call(&self, call: UpstreamCall) -> Result<UpstreamResponse> {
         self.forward(call).await
     }
 
@@ -95,7 +95,7 @@
 
 #[async_trait]
 impl PlainService for HttpUpstream {
-    async fn call(&self, call: UpstreamCall) -> Result<UpstreamAnswer> {
+    async fn call(&self, call: UpstreamCall) -> Result<UpstreamResponse> {
         self.forward(call).await
     }
 }
--- a/components/externals/src/lib.rs
+++ b/components/externals/src/lib.rs
@@ -10,6 +10,6 @@
 pub use http_platform::{HttpInstances, HttpObjects, HttpTable, HttpWeights};
 pub use http_upstream::HttpUpstream;
 pub use traits::{
-    AnswerBody, EngineLoad, EngineOrder, Expected, InstanceList, ModelEngine, ObjectStore,
-    PlainService, Platform, Row, TableService, UpstreamAnswer, UpstreamCall, WeightStore,
+    AnswerBody, EngineLoad, EngineOrder, InstanceList, ModelEngine, ObjectStore, PlainService,
+    Platform, Precondition, Row, TableService, UpstreamCall, UpstreamResponse, WeightStore,
 };
--- a/components/externals/src/traits.rs
+++ b/components/externals/src/traits.rs
@@ -19,7 +19,7 @@
 
 /// The precondition of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Expected {
+pub enum Precondition {
     /// The row does not exist.
     Absent,
     /// The row exists and has this tag.
@@ -36,7 +36,7 @@
     /// Reads a row.
     async fn read(&self, key: &str) -> Result<Option<Row>>;
     /// Writes a row if the precondition holds, and returns its new tag.
-    async fn write(&self, key: &str, value: &[u8], expected: &Expected) -> Result<String>;
+    async fn write(&self, key: &str, value: &[u8], expected: &Precondition) -> Result<String>;
 }
 
 /// The object store.
@@ -108,7 +108,7 @@
     /// Requests with a higher priority are run first.
     pub priority: u8,
     /// Milliseconds left until the request's deadline.
-    pub budget_ms: u64,
+    pub time_left_ms: u64,
 }
 
 /// The body of a response, read in parts.
@@ -119,13 +119,13 @@
 }
 
 /// The response of an upstream.
-pub struct UpstreamAnswer {
+pub struct UpstreamResponse {
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
     pub content_type: String,
-    /// The pause that the upstream requests, in milliseconds, if it rejected the call because it is overloaded.
-    pub rest_ms: Option<u64>,
+    /// The backoff that the upstream requests, in milliseconds, if it rejected the call because it is overloaded.
+    pub retry_after_ms: Option<u64>,
     /// The body.
     pub body: Box<dyn AnswerBody>,
 }
@@ -137,7 +137,7 @@
     /// epoch.
     async fn order(&self, order: &EngineOrder) -> Result<()>;
     /// Forwards a request. Fails with `Unreachable` if nothing was sent.
-    async fn call(&self, call: UpstreamCall) -> Result<UpstreamAnswer>;
+    async fn call(&self, call: UpstreamCall) -> Result<UpstreamResponse>;
     /// Cancels a request.
     async fn cancel(&self, request: RequestId) -> Result<()>;
     /// Reads the load that the engine reports.
@@ -148,7 +148,7 @@
 #[async_trait]
 pub trait PlainService: Send + Sync {
     /// Forwards a request. Fails with `Unreachable` if nothing was sent.
-    async fn call(&self, call: UpstreamCall) -> Result<UpstreamAnswer>;
+    async fn call(&self, call: UpstreamCall) -> Result<UpstreamResponse>;
 }
 
 /// The services of the platform that every daemon uses.
--- a/components/lab/src/caller.rs
+++ b/components/lab/src/caller.rs
@@ -5,7 +5,7 @@
 
 use errors::{Code, Error, Result};
 use http_types::{Method, Request, Response, Url};
-use net::{read_body, send, Answer, Deadline, HttpBody};
+use net::{read_body, send, Deadline, HttpBody, HttpResponse};
 use serde_json::{json, Value};
 use standins::answer_text;
 
@@ -86,13 +86,13 @@
             post_request(self.address, path, &[], body.to_string().into_bytes(), deadline).await?;
         if response.status().is_success() && self.stream {
             let stream_answer = async { Ok(self.read_stream(prompt, response, started).await) };
-            return deadline.limit(Code::TimedOut, stream_answer).await?;
+            return deadline.run(Code::TimedOut, stream_answer).await?;
         }
         let answer = read_body(response, MAX_RESPONSE_BYTES, deadline).await?;
         Ok(self.check_response(prompt, &answer))
     }
 
-    fn check_response(&self, prompt: &str, answer: &Answer) -> ChatAnswer {
+    fn check_response(&self, prompt: &str, answer: &HttpResponse) -> ChatAnswer {
         let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
         if answer.status != 200 {
             return answer_without_timing(error_ending(&body), String::new());
--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -13,8 +13,10 @@
     Hall, Instance, InstanceId, Intent, ListedState, Location, Manifest, ModelName, Process,
     Region, Revision, Role, ServiceName, VersionId,
 };
-use net::{Bounds, Handler, Server, Tasks};
-use node::{AgentNode, AgentSetup, EntryNode, EntrySetup, Host, Identity, TokenRing, Upstream};
+use net::{Handler, Server, ServerLimits, Tasks};
+use node::{
+    AgentConfig, AgentNode, DaemonServices, EntryConfig, EntryNode, Identity, TokenRing, Upstream,
+};
 use reducer::Control;
 use standins::{Engine, PlatformOptions, PlatformStandIn, Service};
 use telemetry::Metrics;
@@ -142,38 +144,38 @@
     ) -> Result<Agent> {
         let id = InstanceId(name.to_owned());
         let link = Arc::new(LinkFaults::default());
-        let host = self.host()?;
-        let metrics = host.metrics.clone();
-        let setup = AgentSetup {
-            host,
+        let services = self.services()?;
+        let metrics = services.metrics.clone();
+        let config = AgentConfig {
+            services,
             identity: self.identity(&id, self.agents.len()),
             upstream: upstream_client,
             weights_listen: loopback(),
             upstream_checks_fence: self.options.engine.checks_fence,
             options: self.options.agent(),
-            interference: Some(link.clone()),
+            fault_injection: Some(link.clone()),
         };
-        let place = setup.identity.place.clone();
-        let node = AgentNode::start(setup).await?;
+        let place = config.identity.place.clone();
+        let node = AgentNode::start(config).await?;
         self.add_to_instance_list(&id, place, process, node.address());
         Ok(Agent { id, node, engine: None, service: None, link, metrics, upstream })
     }
 
     async fn add_entry(&mut self, number: usize) -> Result<()> {
         let id = InstanceId(format!("entry-{number}"));
-        let host = self.host()?;
-        self.entry_metrics.push(host.metrics.clone());
-        let setup = EntrySetup {
-            host,
+        let services = self.services()?;
+        self.entry_metrics.push(services.metrics.clone());
+        let config = EntryConfig {
+            services,
             identity: self.identity(&id, number),
             callers: loopback(),
             kinds: self.options.kinds.clone(),
-            deadline: Duration::from_secs(60),
+            request_timeout: Duration::from_secs(60),
             body_bytes: MAX_BODY_BYTES,
             options: self.options.entry(),
         };
-        let place = setup.identity.place.clone();
-        let node = EntryNode::start(setup).await?;
+        let place = config.identity.place.clone();
+        let node = EntryNode::start(config).await?;
         self.add_to_instance_list(&id, place, Process::Entry, node.address());
         self.entries.push(node);
         Ok(())
@@ -220,8 +222,9 @@
         self.wait(timeout, || {
             let mut entries = self.entries.iter();
             let mut agents = self.agents.iter();
-            entries.all(|it| it.inspect(|state| is_ready(&state.control, expected)))
-                && agents.all(|it| it.node.inspect(|state| is_ready(&state.control, expected - 1)))
+            entries.all(|it| it.with_state(|state| is_ready(&state.control, expected)))
+                && agents
+                    .all(|it| it.node.with_state(|state| is_ready(&state.control, expected - 1)))
         })
         .await
     }
@@ -240,7 +243,7 @@
     pub async fn wait_routed(&self, version: VersionId, count: usize) -> Result<()> {
         self.wait(Duration::from_secs(20), || {
             self.entries.iter().all(|entry| {
-                entry.inspect(|state| {
+                entry.with_state(|state| {
                     let members = state.control.members.others();
                     let serving = members
                         .filter(|it| it.record.serving.iter().any(|tag| tag.is_version(version)));
@@ -254,7 +257,7 @@
     /// Returns the agents that serve a version.
     pub fn live(&self, version: VersionId) -> Vec<&Agent> {
         let serves = |it: &&Agent| {
-            it.node.inspect(|agent| agent.serving().iter().any(|it| it.version == version))
+            it.node.with_state(|agent| agent.serving().iter().any(|it| it.version == version))
         };
         self.agents.iter().filter(serves).collect()
     }
@@ -280,8 +283,8 @@
         self.entries.iter().for_each(EntryNode::kill);
     }
 
-    fn host(&self) -> Result<Host> {
-        Ok(Host {
+    fn services(&self) -> Result<DaemonServices> {
+        Ok(DaemonServices {
             tasks: self.tasks.group(),
             platform: self.platform.connect(),
             keys: self.keys.clone(),
@@ -314,8 +317,8 @@
     }
 
     async fn serve(&self, handler: Arc<dyn Handler>) -> Result<Server> {
-        let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
-        Server::start(&self.tasks.group(), loopback(), bounds, handler).await
+        let limits = ServerLimits { body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
+        Server::start(&self.tasks.group(), loopback(), limits, handler).await
     }
 }
 
--- a/components/lab/src/link_faults.rs
+++ b/components/lab/src/link_faults.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use node::Interference;
+use node::FaultInjection;
 use standins::PercentSampler;
 
 /// Corrupts and delays configurable percentages of the chunks that an agent sends.
@@ -32,7 +32,7 @@
     }
 }
 
-impl Interference for LinkFaults {
+impl FaultInjection for LinkFaults {
     fn on_upload(&self, chunk: &mut Vec<u8>) -> Duration {
         if self.corruption.pick() {
             let middle = chunk.len() / 2;
--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -31,7 +31,7 @@
     }
 
     /// Runs a future until the deadline; fails with `code` if it is not complete by then.
-    pub async fn limit<T>(
+    pub async fn run<T>(
         self,
         code: Code,
         future: impl std::future::Future<Output = Result<T>>,
@@ -46,11 +46,11 @@
 
 /// A response with its complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The HTTP status.
     pub status: u16,
     /// The value of the `ETag` header, if there is one.
-    pub tag: Option<String>,
+    pub etag: Option<String>,
     /// The complete body.
     pub body: Vec<u8>,
 }
@@ -63,20 +63,24 @@
         stream.map_err(|error| Error::new(Code::Unreachable, format!("{address}: {error}")))
     };
     let connect_deadline = Deadline::after(CONNECT_TIMEOUT);
-    let stream = connect_deadline.limit(Code::Unreachable, connect).await?;
+    let stream = connect_deadline.run(Code::Unreachable, connect).await?;
     // Without this option small requests would wait for the acknowledgement of earlier ones.
     let _ = stream.set_nodelay(true);
     let exchange = async {
         let response = async_h1::connect(stream, request).await;
         response.map_err(|error| Error::new(Code::ConnectionLost, format!("{address}: {error}")))
     };
-    deadline.limit(Code::TimedOut, exchange).await
+    deadline.run(Code::TimedOut, exchange).await
 }
 
 /// Reads the complete body of a response; fails with `TooLarge` beyond `max_bytes`.
-pub async fn read_body(response: Response, max_bytes: usize, deadline: Deadline) -> Result<Answer> {
+pub async fn read_body(
+    response: Response,
+    max_bytes: usize,
+    deadline: Deadline,
+) -> Result<HttpResponse> {
     let status = response.status().into();
-    let tag = response.header("etag").map(|values| values.last().as_str().to_owned());
+    let etag = response.header("etag").map(|values| values.last().as_str().to_owned());
     let mut body = HttpBody::new(response);
     let read = async {
         let mut content = Vec::new();
@@ -88,8 +92,8 @@
         }
         Ok(content)
     };
-    let body = deadline.limit(Code::TimedOut, read).await?;
-    Ok(Answer { status, tag, body })
+    let body = deadline.run(Code::TimedOut, read).await?;
+    Ok(HttpResponse { status, etag, body })
 }
 
 /// The body of a response, read in parts. Its length is compared with the `content-length` header.
--- a/components/net/src/client/tests.rs
+++ b/components/net/src/client/tests.rs
@@ -5,7 +5,7 @@
 use http_types::{Method, Url};
 
 /// Sends a request to a server that responds with `raw` and closes the connection.
-fn fetch(raw: &'static str) -> Result<Answer> {
+fn fetch(raw: &'static str) -> Result<HttpResponse> {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/components/net/src/lib.rs
+++ b/components/net/src/lib.rs
@@ -9,7 +9,9 @@
 mod tasks;
 
 pub use body::{stream_body, BodySender};
-pub use client::{read_body, send, Answer, Deadline, HttpBody};
+pub use client::{read_body, send, Deadline, HttpBody, HttpResponse};
 pub use pacer::{write_paced, Pacer};
-pub use server::{bearer_token, json, refuse, Bounds, Caller, Handler, Reply, Server};
+pub use server::{
+    bearer_token, error_response, json_response, Caller, Handler, Reply, Server, ServerLimits,
+};
 pub use tasks::Tasks;
--- a/components/net/src/pacer.rs
+++ b/components/net/src/pacer.rs
@@ -25,7 +25,7 @@
     }
 
     /// Reserves `bytes` on the link and waits until they would have been transferred.
-    pub async fn pass(&self, bytes: usize) {
+    pub async fn wait_for_bandwidth(&self, bytes: usize) {
         let done = self.reserve(bytes);
         if done > Instant::now() {
             Timer::at(done).await;
@@ -52,7 +52,7 @@
     stall_timeout: Duration,
 ) -> io::Result<()> {
     for slice in bytes.chunks(slice_bytes) {
-        pacer.pass(slice.len()).await;
+        pacer.wait_for_bandwidth(slice.len()).await;
         let timeout = async {
             Timer::after(stall_timeout).await;
             Err(io::Error::new(io::ErrorKind::TimedOut, "the peer accepts no data"))
--- a/components/net/src/server.rs
+++ b/components/net/src/server.rs
@@ -29,7 +29,7 @@
 
 /// The resource limits of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ServerLimits {
     /// The largest request body, in bytes.
     pub body_bytes: u64,
     /// The largest number of open connections; further ones are closed immediately.
@@ -38,7 +38,7 @@
     pub stall_timeout: Duration,
 }
 
-impl Default for Bounds {
+impl Default for ServerLimits {
     fn default() -> Self {
         Self { body_bytes: 1 << 20, max_connections: 4096, stall_timeout: Duration::from_secs(60) }
     }
@@ -51,7 +51,7 @@
     /// Sends a response.
     Answer(Response),
     /// Closes the connection without a response.
-    HangUp,
+    CloseConnection,
 }
 
 /// The caller of a request.
@@ -79,7 +79,7 @@
 
 /// The state that the connections of a server share.
 struct Shared {
-    bounds: Bounds,
+    limits: ServerLimits,
     stopping: AtomicBool,
     connections: AtomicUsize,
     in_progress: AtomicUsize,
@@ -99,7 +99,7 @@
     pub async fn start(
         tasks: &Tasks,
         address: SocketAddr,
-        bounds: Bounds,
+        limits: ServerLimits,
         handler: Arc<dyn Handler>,
     ) -> Result<Self> {
         let listener = TcpListener::bind(address).await;
@@ -107,7 +107,7 @@
             .map_err(|error| Error::new(Code::AddressInUse, format!("{address}: {error}")))?;
         let address = listener.local_addr().unwrap_or(address);
         let shared = Arc::new(Shared {
-            bounds,
+            limits,
             stopping: AtomicBool::new(false),
             connections: AtomicUsize::new(0),
             in_progress: AtomicUsize::new(0),
@@ -158,7 +158,7 @@
             Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if shared.connections.load(Ordering::Relaxed) >= shared.bounds.max_connections {
+        if shared.connections.load(Ordering::Relaxed) >= shared.limits.max_connections {
             continue;
         }
         tasks.spawn(serve_connection(stream, shared.clone(), handler.clone()));
@@ -184,9 +184,9 @@
 async fn serve_connection(stream: TcpStream, shared: Arc<Shared>, handler: Arc<dyn Handler>) {
     let _connection = CountGuard::new(&shared.connections);
     let _ = stream.set_nodelay(true);
-    let bounded = BoundedStream::new(stream.clone(), shared.bounds.stall_timeout);
+    let bounded = BoundedStream::new(stream.clone(), shared.limits.stall_timeout);
     loop {
-        bounded.set_request_limit(HEAD_ALLOWANCE_BYTES + shared.bounds.body_bytes);
+        bounded.set_request_limit(HEAD_ALLOWANCE_BYTES + shared.limits.body_bytes);
         match serve_one(&stream, &bounded, &shared, &handler).await {
             Ok(ConnectionStatus::KeepAlive) => {}
             _ => return,
@@ -225,16 +225,16 @@
     shared: &Shared,
     handler: &Arc<dyn Handler>,
 ) -> http_types::Result<Response> {
-    let body_too_large = request.len().is_some_and(|len| len as u64 > shared.bounds.body_bytes);
+    let body_too_large = request.len().is_some_and(|len| len as u64 > shared.limits.body_bytes);
     let mut response = if body_too_large {
         let mut rejection =
-            refuse(&Error::new(Code::TooLarge, "the body is larger than the limit"));
+            error_response(&Error::new(Code::TooLarge, "the body is larger than the limit"));
         rejection.insert_header("connection", "close");
         rejection
     } else {
         match handler.handle(request, caller).await {
             Reply::Answer(response) => response,
-            Reply::HangUp => {
+            Reply::CloseConnection => {
                 return Err(http_types::format_err!("the handler closed the connection"))
             }
         }
@@ -248,7 +248,8 @@
 /// Responds to a head that `async-h1` could not parse. The library itself would close the connection without a
 /// response.
 async fn reject_head(mut stream: TcpStream) {
-    let mut response = refuse(&Error::new(Code::BadRequest, "the request head cannot be parsed"));
+    let mut response =
+        error_response(&Error::new(Code::BadRequest, "the request head cannot be parsed"));
     response.insert_header("connection", "close");
     let mut encoder = Encoder::new(response, Method::Get);
     let mut bytes = Vec::new();
@@ -274,7 +275,7 @@
 }
 
 /// Builds the response for an error, with its result code in the body and in a header.
-pub fn refuse(error: &Error) -> Response {
+pub fn error_response(error: &Error) -> Response {
     let code = error.code;
     let ran = match code.ran() {
         errors::Ran::NotRun => "not run",
@@ -287,7 +288,7 @@
         ran,
         may_retry: code.may_retry(),
     };
-    let mut response = json(code.status(), &ErrorResponse { error: body });
+    let mut response = json_response(code.status(), &ErrorResponse { error: body });
     response.insert_header("silverdock-code", code.number().to_string());
     if code.may_retry() {
         response.insert_header("retry-after", RETRY_AFTER_S.to_string());
@@ -296,7 +297,7 @@
 }
 
 /// Builds a response with a JSON body.
-pub fn json(status: u16, body: &impl Serialize) -> Response {
+pub fn json_response(status: u16, body: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     match serde_json::to_vec(body) {
--- a/components/net/tests/server.rs
+++ b/components/net/tests/server.rs
@@ -11,7 +11,9 @@
 use futures_lite::future::block_on;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 use http_types::{Method, Request, Response, StatusCode, Url};
-use net::{read_body, send, stream_body, Bounds, Caller, Deadline, Handler, Reply, Server, Tasks};
+use net::{
+    read_body, send, stream_body, Caller, Deadline, Handler, Reply, Server, ServerLimits, Tasks,
+};
 
 const MAX_BODY_BYTES: u64 = 1000;
 
@@ -25,7 +27,7 @@
         match request.url().path() {
             "/echo" => match request.body_bytes().await {
                 Ok(body) => response.set_body(body),
-                Err(_) => return Reply::HangUp,
+                Err(_) => return Reply::CloseConnection,
             },
             "/cut" | "/whole" => {
                 let whole = request.url().path() == "/whole";
@@ -41,9 +43,9 @@
             }
             "/wait-for-caller" => {
                 caller.disconnected().await;
-                return Reply::HangUp;
+                return Reply::CloseConnection;
             }
-            _ => return Reply::HangUp,
+            _ => return Reply::CloseConnection,
         }
         Reply::Answer(response)
     }
@@ -54,15 +56,15 @@
     let executor = Arc::new(Executor::new());
     let tasks = Tasks::new(&executor);
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
+    let limits = ServerLimits { body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
     let handler = Arc::new(TestHandler(tasks.clone()));
     block_on(executor.run(async {
-        let server = Server::start(&tasks, listen, bounds, handler).await.unwrap();
+        let server = Server::start(&tasks, listen, limits, handler).await.unwrap();
         test(Arc::new(server)).await;
     }));
 }
 
-async fn post(server: &Server, path: &str, body: Vec<u8>) -> errors::Result<net::Answer> {
+async fn post(server: &Server, path: &str, body: Vec<u8>) -> errors::Result<net::HttpResponse> {
     let url = Url::parse(&format!("http://{}{path}", server.address())).unwrap();
     let mut request = Request::new(Method::Post, url);
     request.set_body(body);
--- a/components/node/src/agent/calls.rs
+++ b/components/node/src/agent/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use errors::{Code, Error, Result};
-use externals::{UpstreamAnswer, UpstreamCall};
+use externals::{UpstreamCall, UpstreamResponse};
 use fleet::{RequestId, VersionId};
 use futures_lite::FutureExt;
 use net::Deadline;
@@ -54,7 +54,7 @@
         let inbox = self.shared.inbox.clone();
         let request = self.request;
         let ended = async move { inbox.send(AgentEvent::CallEnded(request)).await };
-        self.shared.context.host.tasks.spawn(ended);
+        self.shared.context.services.tasks.spawn(ended);
     }
 }
 
@@ -69,8 +69,7 @@
     let InboundSession { reader, writer, .. } = session;
     let relay = async {
         let deadline = Deadline::after(Duration::from_millis(call.budget_ms));
-        let result =
-            deadline.limit(Code::TimedOut, relay(shared, writer, call, body, version)).await;
+        let result = deadline.run(Code::TimedOut, relay(shared, writer, call, body, version)).await;
         let Err(error) = result else {
             return Ok(());
         };
@@ -103,7 +102,7 @@
     let mut answer = call_upstream(&shared.upstream, call, body).await?;
     // The reducer is informed before the answer is relayed, so that it takes the pause into account for every call that
     // the entry sends after the answer.
-    let upstream_backoff_ms = answer.rest_ms.unwrap_or(0);
+    let upstream_backoff_ms = answer.retry_after_ms.unwrap_or(0);
     let answered = AgentEvent::UpstreamAnswered { request, backoff_ms: upstream_backoff_ms };
     shared.inbox.send(answered).await;
     let (status, content_type) = (answer.status, answer.content_type.clone());
@@ -117,7 +116,11 @@
     writer.send(&Message::AnswerEnd { request, bytes, load }).await
 }
 
-async fn call_upstream(upstream: &Upstream, call: &Call, body: Vec<u8>) -> Result<UpstreamAnswer> {
+async fn call_upstream(
+    upstream: &Upstream,
+    call: &Call,
+    body: Vec<u8>,
+) -> Result<UpstreamResponse> {
     let call = UpstreamCall {
         request: call.request,
         method: call.method.clone(),
@@ -125,7 +128,7 @@
         content_type: call.content_type.clone(),
         body,
         priority: call.priority,
-        budget_ms: call.budget_ms,
+        time_left_ms: call.budget_ms,
     };
     match upstream {
         Upstream::Engine(engine) => engine.call(call).await,
--- a/components/node/src/agent/fetches.rs
+++ b/components/node/src/agent/fetches.rs
@@ -23,7 +23,7 @@
 
 /// Reads a manifest from the object store, or from a peer if that fails.
 pub(super) async fn read_manifest(shared: Arc<Shared>, version: VersionId, peers: Vec<SocketAddr>) {
-    let objects = &shared.context.host.platform.objects;
+    let objects = &shared.context.services.platform.objects;
     let mut bytes = objects.get(&manifest_key(version)).await;
     for peer in peers {
         if bytes.is_ok() {
@@ -55,7 +55,7 @@
     let result = match &fetch.source {
         FetchSource::Origin => {
             let read = read_from_origin(&shared, &fetch);
-            deadline.limit(Code::PeerStalled, read).await
+            deadline.run(Code::PeerStalled, read).await
         }
         FetchSource::Peer(_, address) => {
             read_from_peer(&shared, &fetch, *address, have, deadline).await
@@ -63,7 +63,7 @@
     };
     let event = match result {
         Ok(SourceReply::Chunk { bytes, sender }) => {
-            shared.downlink.pass(bytes.len()).await;
+            shared.downlink.wait_for_bandwidth(bytes.len()).await;
             stage_chunk(&shared, fetch, bytes, sender)
         }
         Ok(SourceReply::Refused { code, retry_after_ms }) => {
@@ -85,7 +85,7 @@
     let manifest =
         manifest.ok_or_else(|| Error::new(Code::Replaced, "the version is no longer wanted"))?;
     let (offset, len) = manifest.range(fetch.index);
-    let weights = &shared.context.host.platform.weights;
+    let weights = &shared.context.services.platform.weights;
     let bytes = weights.read(fetch.version, offset, len).await?;
     Ok(SourceReply::Chunk { bytes, sender: None })
 }
@@ -127,7 +127,7 @@
         (FetchSource::Origin, PutResult::Staged, false) => "origin",
         (FetchSource::Peer(..), PutResult::Staged, _) => "peer",
     };
-    shared.context.host.metrics.count_chunk(outcome);
+    shared.context.services.metrics.count_chunk(outcome);
     let Fetch { version, index, source, .. } = fetch;
     AgentEvent::ChunkArrived {
         version,
--- a/components/node/src/agent/messages.rs
+++ b/components/node/src/agent/messages.rs
@@ -105,13 +105,13 @@
     let Some(chunk) = shared.staging.get(version, index) else {
         return session.reject(Code::ChunkMissing).await;
     };
-    shared.uplink.pass(chunk.len()).await;
-    shared.context.host.metrics.count_chunk("sent");
-    let Some(interference) = &shared.interference else {
+    shared.uplink.wait_for_bandwidth(chunk.len()).await;
+    shared.context.services.metrics.count_chunk("sent");
+    let Some(fault_injection) = &shared.fault_injection else {
         return session.writer.send_with(&message, &chunk).await;
     };
     let mut chunk = chunk.to_vec();
-    let delay = interference.on_upload(&mut chunk);
+    let delay = fault_injection.on_upload(&mut chunk);
     Timer::after(delay).await;
     session.writer.send_with(&message, &chunk).await
 }
--- a/components/node/src/agent/mod.rs
+++ b/components/node/src/agent/mod.rs
@@ -18,14 +18,14 @@
 use externals::{EngineOrder, ModelEngine, PlainService};
 use fleet::{Millis, Process, ServiceName};
 use http_types::{Request, Response, StatusCode};
-use net::{Bounds, Caller, Handler, Pacer, Reply, Server, Tasks};
+use net::{Caller, Handler, Pacer, Reply, Server, ServerLimits, Tasks};
 use reducer::{Agent, AgentEffect, AgentEvent, AgentOptions, Order};
 
 use crate::control::{bind, ControlDriver};
-use crate::host::{DaemonContext, Host, Identity};
 use crate::inbound::accept_sessions;
 use crate::inbox::Inbox;
 use crate::operators::{public_page, status_page};
+use crate::services::{DaemonContext, DaemonServices, Identity};
 use staging::Staging;
 
 /// An order that is delayed by this much or more is not sent to an engine that does not check epochs: the process was
@@ -42,7 +42,7 @@
 }
 
 /// Fault injection for tests: delays or corrupts the chunks that an agent sends.
-pub trait Interference: Send + Sync {
+pub trait FaultInjection: Send + Sync {
     /// Called with each chunk before it is sent. The chunk is sent after the returned delay.
     fn on_upload(&self, chunk: &mut Vec<u8>) -> Duration;
 }
@@ -64,7 +64,7 @@
     pub(crate) upstream: Upstream,
     pub(crate) uplink: Pacer,
     pub(crate) downlink: Pacer,
-    pub(crate) interference: Option<Arc<dyn Interference>>,
+    pub(crate) fault_injection: Option<Arc<dyn FaultInjection>>,
     pub(crate) weights: SocketAddr,
     upstream_checks_fence: bool,
     agent: Mutex<Agent>,
@@ -73,9 +73,9 @@
 }
 
 /// The parameters of an agent.
-pub struct AgentSetup {
+pub struct AgentConfig {
     /// The services that the agent uses.
-    pub host: Host,
+    pub services: DaemonServices,
     /// The name, the place and the addresses of the agent.
     pub identity: Identity,
     /// The upstream that the agent serves.
@@ -88,18 +88,18 @@
     /// The options of the reducer.
     pub options: AgentOptions,
     /// Fault injection for tests.
-    pub interference: Option<Arc<dyn Interference>>,
+    pub fault_injection: Option<Arc<dyn FaultInjection>>,
 }
 
 impl AgentNode {
     /// Starts an agent.
-    pub async fn start(setup: AgentSetup) -> Result<Self> {
-        let tasks = setup.host.tasks.clone();
-        let sockets = bind(setup.identity.listen).await?;
-        let context = Arc::new(DaemonContext::new(setup.host, setup.identity));
+    pub async fn start(config: AgentConfig) -> Result<Self> {
+        let tasks = config.services.tasks.clone();
+        let sockets = bind(config.identity.listen).await?;
+        let context = Arc::new(DaemonContext::new(config.services, config.identity));
         let staging = Staging::default();
-        let weights = weights::serve(&tasks, setup.weights_listen, staging.clone()).await?;
-        let process = match &setup.upstream {
+        let weights = weights::serve(&tasks, config.weights_listen, staging.clone()).await?;
+        let process = match &config.upstream {
             Upstream::Engine(_) => Process::Engine,
             Upstream::Service(name, _) => Process::Service(name.clone()),
         };
@@ -109,13 +109,13 @@
         let shared = Arc::new(Shared {
             inbox: inbox.clone(),
             staging,
-            upstream: setup.upstream,
-            uplink: Pacer::new(setup.options.upload_bytes_per_s),
-            downlink: Pacer::new(setup.options.spread.download_bytes_per_s),
-            interference: setup.interference,
+            upstream: config.upstream,
+            uplink: Pacer::new(config.options.upload_bytes_per_s),
+            downlink: Pacer::new(config.options.spread.download_bytes_per_s),
+            fault_injection: config.fault_injection,
             weights: weights.address(),
-            upstream_checks_fence: setup.upstream_checks_fence,
-            agent: Mutex::new(Agent::new(record, is_engine, setup.options)),
+            upstream_checks_fence: config.upstream_checks_fence,
+            agent: Mutex::new(Agent::new(record, is_engine, config.options)),
             waiters: Mutex::default(),
             next_ticket: AtomicU64::new(0),
             context: context.clone(),
@@ -124,11 +124,11 @@
         let control = ControlDriver::new(context.clone(), sockets.udp, inbox, to_event);
         control.start(|| AgentEvent::Tick);
         let message_handler = Arc::new(messages::AgentMessageHandler(shared.clone()));
-        tasks.spawn(accept_sessions(context.host.clone(), sockets.tcp, message_handler));
+        tasks.spawn(accept_sessions(context.services.clone(), sockets.tcp, message_handler));
         let operator_handler = Arc::new(OperatorHandler(shared.clone()));
         let operators = context.identity.operators;
         let operators =
-            Server::start(&tasks, operators, Bounds::default(), operator_handler).await?;
+            Server::start(&tasks, operators, ServerLimits::default(), operator_handler).await?;
         let (completed, done) = async_channel::bounded(1);
         tasks.spawn(run(shared.clone(), control, events, weights, completed));
         Ok(Self { shared, tasks, address: sockets.address, operators, done })
@@ -151,7 +151,7 @@
 
     /// Waits until a planned stop is complete, at most for `grace`. `true` if it is complete, so that no request was
     /// aborted.
-    pub async fn stopped(&self, grace: Duration) -> bool {
+    pub async fn wait_stopped(&self, grace: Duration) -> bool {
         let done = async { self.done.recv().await.is_ok() };
         let timeout = async {
             async_io::Timer::after(grace).await;
@@ -167,7 +167,7 @@
     }
 
     /// Calls a function with the state of the reducer.
-    pub fn inspect<T>(&self, read: impl FnOnce(&Agent) -> T) -> T {
+    pub fn with_state<T>(&self, read: impl FnOnce(&Agent) -> T) -> T {
         self.shared.with_agent(read)
     }
 }
@@ -226,34 +226,34 @@
     completed: &Sender<()>,
     effect: AgentEffect,
 ) {
-    let host = &shared.context.host;
+    let services = &shared.context.services;
     match effect {
         AgentEffect::Control(effect) => control.execute(effect),
         AgentEffect::ReadManifest { version, peers } => {
-            host.tasks.spawn(fetches::read_manifest(shared.clone(), version, peers));
+            services.tasks.spawn(fetches::read_manifest(shared.clone(), version, peers));
         }
         AgentEffect::FetchChunk { fetch, have } => {
-            host.tasks.spawn(fetches::fetch_chunk(shared.clone(), fetch, have));
+            services.tasks.spawn(fetches::fetch_chunk(shared.clone(), fetch, have));
         }
         AgentEffect::Drop(version) => shared.staging.drop_version(version),
         AgentEffect::Upload { upload, .. } => shared.deliver(upload, effect),
         AgentEffect::RefuseUpload { upload, code, .. } => {
-            host.metrics.count_refusal(code);
+            services.metrics.count_refusal(code);
             shared.deliver(upload, effect);
         }
         AgentEffect::Order(order) => {
-            host.tasks.spawn(send_order(shared.clone(), order, Instant::now()));
+            services.tasks.spawn(send_order(shared.clone(), order, Instant::now()));
         }
         AgentEffect::Admit { call, .. } => shared.deliver(call, effect),
         AgentEffect::Refuse { call, code, .. } => {
-            host.metrics.count_refusal(code);
+            services.metrics.count_refusal(code);
             shared.deliver(call, effect);
         }
         AgentEffect::CountRefusal(code) => {
             log::warn!(code = code.number(); "refused: {}", code.meaning());
-            host.metrics.count_refusal(code);
+            services.metrics.count_refusal(code);
         }
-        AgentEffect::CountRetry(code) => host.metrics.count_retry(code),
+        AgentEffect::CountRetry(code) => services.metrics.count_retry(code),
         AgentEffect::Exit => {
             let _ = completed.try_send(());
         }
@@ -300,17 +300,17 @@
 #[async_trait]
 impl Handler for OperatorHandler {
     async fn handle(&self, request: Request, _caller: Caller) -> Reply {
-        let host = &self.0.context.host;
+        let services = &self.0.context.services;
         let path = request.url().path().to_owned();
         let ready = self.0.with_agent(|agent| agent.control.is_current());
-        host.metrics.set_gauge("events_dropped", self.0.inbox.dropped());
-        host.metrics.set_gauge("staged_bytes", self.0.staging.bytes());
-        if let Some(page) = public_page(&path, ready, &host.metrics) {
+        services.metrics.set_gauge("events_dropped", self.0.inbox.dropped());
+        services.metrics.set_gauge("staged_bytes", self.0.staging.bytes());
+        if let Some(page) = public_page(&path, ready, &services.metrics) {
             return Reply::Answer(page);
         }
-        if let Err(error) = host.tokens.check(&request) {
-            host.metrics.count_refusal(Code::Unauthorized);
-            return Reply::Answer(net::refuse(&error));
+        if let Err(error) = services.tokens.check(&request) {
+            services.metrics.count_refusal(Code::Unauthorized);
+            return Reply::Answer(net::error_response(&error));
         }
         if path == "/v1/status" {
             return Reply::Answer(self.0.with_agent(|agent| status_page(&agent.control)));
--- a/components/node/src/agent/weights.rs
+++ b/components/node/src/agent/weights.rs
@@ -7,7 +7,7 @@
 use errors::Result;
 use fleet::VersionId;
 use http_types::{Request, Response, StatusCode};
-use net::{stream_body, Bounds, Caller, Handler, Reply, Server, Tasks};
+use net::{stream_body, Caller, Handler, Reply, Server, ServerLimits, Tasks};
 
 use super::staging::Staging;
 
@@ -22,7 +22,7 @@
 /// Starts to serve the staged versions that are complete.
 pub(super) async fn serve(tasks: &Tasks, listen: SocketAddr, staging: Staging) -> Result<Server> {
     let handler = Arc::new(WeightsHandler { staging, tasks: tasks.clone() });
-    Server::start(tasks, listen, Bounds::default(), handler).await
+    Server::start(tasks, listen, ServerLimits::default(), handler).await
 }
 
 impl WeightsHandler {
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -14,8 +14,8 @@
 use uptime::SuspensionDetector;
 use wire::{open_datagram, seal_datagram, Message, MAX_DATAGRAM_BYTES};
 
-use crate::host::DaemonContext;
 use crate::inbox::Inbox;
+use crate::services::DaemonContext;
 
 /// The key of the table row that holds the configuration in force.
 pub(crate) const CONFIGURATION_ROW: &str = "config/head";
@@ -79,7 +79,7 @@
 
     /// Starts to receive datagrams and to send tick events.
     pub(crate) fn start(&self, tick: impl Fn() -> E + Send + 'static) {
-        let tasks = &self.context.host.tasks;
+        let tasks = &self.context.services.tasks;
         tasks.spawn(self.clone().receive());
         let inbox = self.inbox.clone();
         tasks.spawn(async move {
@@ -97,11 +97,11 @@
     /// Executes one effect.
     pub(crate) fn execute(&self, effect: ControlEffect) {
         let driver = self.clone();
-        let tasks = &self.context.host.tasks;
+        let tasks = &self.context.services.tasks;
         match effect {
             ControlEffect::Send { to, datagram } => {
-                let bytes = seal_datagram(&self.context.host.keys, &datagram);
-                self.context.host.metrics.count_control("sent", bytes.len() as u64);
+                let bytes = seal_datagram(&self.context.services.keys, &datagram);
+                self.context.services.metrics.count_control("sent", bytes.len() as u64);
                 tasks.spawn(async move {
                     // Datagrams can be lost anyway; the reducer repeats what must arrive.
                     let _ = driver.udp.send_to(&bytes, to).await;
@@ -112,35 +112,35 @@
             ControlEffect::Fetch { from } => tasks.spawn(driver.fetch(from)),
             ControlEffect::Applied(revision) => {
                 log::info!(revision = revision.0; "configuration in force");
-                self.context.host.metrics.set_gauge("revision", revision.0);
+                self.context.services.metrics.set_gauge("revision", revision.0);
             }
         }
     }
 
     async fn receive(self) {
-        let host = &self.context.host;
+        let services = &self.context.services;
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES * 2];
         loop {
             let Ok((len, from)) = self.udp.recv_from(&mut buffer).await else {
                 continue;
             };
-            host.metrics.count_control("received", len as u64);
-            match open_datagram(&host.keys, &buffer[..len]) {
+            services.metrics.count_control("received", len as u64);
+            match open_datagram(&services.keys, &buffer[..len]) {
                 Ok(datagram) => {
                     let datagram = Box::new(datagram);
                     self.inbox
                         .send_or_drop((self.to_event)(ControlEvent::Datagram { from, datagram }));
                 }
-                Err(error) => host.metrics.count_refusal(error.code),
+                Err(error) => services.metrics.count_refusal(error.code),
             }
         }
     }
 
     async fn read_table(self) {
-        let host = &self.context.host;
-        match host.platform.table.read(CONFIGURATION_ROW).await {
+        let services = &self.context.services;
+        match services.platform.table.read(CONFIGURATION_ROW).await {
             Ok(row) => {
-                host.metrics.count_platform_call("table", "read");
+                services.metrics.count_platform_call("table", "read");
                 match row.map(|row| decode_configuration(&row.value)).transpose() {
                     Ok(found) => {
                         self.send_event(ControlEvent::TableRead(found.map(Box::new))).await
@@ -149,21 +149,21 @@
                 }
             }
             Err(error) => {
-                host.metrics.count_platform_call("table", "failed");
+                services.metrics.count_platform_call("table", "failed");
                 log::debug!("cannot read the configuration row: {error}");
             }
         }
     }
 
     async fn read_list(self) {
-        let host = &self.context.host;
-        match host.platform.instances.list().await {
+        let services = &self.context.services;
+        match services.platform.instances.list().await {
             Ok(list) => {
-                host.metrics.count_platform_call("instances", "read");
+                services.metrics.count_platform_call("instances", "read");
                 self.send_event(ControlEvent::Listed(list)).await;
             }
             Err(error) => {
-                host.metrics.count_platform_call("instances", "failed");
+                services.metrics.count_platform_call("instances", "failed");
                 log::debug!("cannot read the instance list: {error}");
             }
         }
--- a/components/node/src/entry/attempts.rs
+++ b/components/node/src/entry/attempts.rs
@@ -53,7 +53,7 @@
 ) -> Result<AttemptAnswer, Failure> {
     let deadline = Deadline::after(time_until(shared, attempt.deadline));
     let exchange = async { Ok(exchange(shared, &attempt, deadline).await) };
-    match deadline.limit(Code::TimedOut, exchange).await {
+    match deadline.run(Code::TimedOut, exchange).await {
         Ok(result) => result,
         Err(error) => Err(failure_of_error(&error)),
     }
@@ -97,7 +97,7 @@
         let workspace = attempt.call.workspace.clone();
         let request = attempt.id.request;
         let save = claims::save(shared.clone(), request, workspace, key, answer);
-        shared.context.host.tasks.spawn(save);
+        shared.context.services.tasks.spawn(save);
     }
     let mut response = response_with_head(&head);
     response.set_body(content);
@@ -123,7 +123,7 @@
     let (sender, body) = stream_body(BUFFERED_PARTS);
     let relay =
         StreamRelay { shared: shared.clone(), id: attempt.id, sender, session, relayed_bytes: 0 };
-    shared.context.host.tasks.spawn(relay.run(first, deadline));
+    shared.context.services.tasks.spawn(relay.run(first, deadline));
     let mut response = response_with_head(&head);
     response.set_body(body);
     response.insert_header("content-type", head.content_type.as_str());
@@ -142,7 +142,7 @@
 impl StreamRelay {
     async fn run(mut self, first: Vec<u8>, deadline: Deadline) {
         let relaying = async { Ok(self.relay_parts(first).await) };
-        let result = deadline.limit(Code::TimedOut, relaying).await;
+        let result = deadline.run(Code::TimedOut, relaying).await;
         let result = result.unwrap_or_else(|error| Err(failure_of_error(&error)));
         let shared = self.shared.clone();
         match result {
--- a/components/node/src/entry/callers.rs
+++ b/components/node/src/entry/callers.rs
@@ -8,7 +8,7 @@
 use fleet::{Millis, ModelName, RequestId, WorkspaceId};
 use futures_lite::FutureExt;
 use http_types::{Request, Response, StatusCode};
-use net::{refuse, Caller, Handler, Reply};
+use net::{error_response, Caller, Handler, Reply};
 use quarantine::RequestDigest;
 use reducer::{Arrival, EntryEvent, SavedAnswer, Target};
 use serde::Deserialize;
@@ -63,15 +63,15 @@
         let parsed = match parse_request(shared, id, &mut request).await {
             Ok(parsed) => parsed,
             Err(error) => {
-                shared.context.host.metrics.count_refusal(error.code);
-                return Reply::Answer(with_request_id(refuse(&error), id));
+                shared.context.services.metrics.count_refusal(error.code);
+                return Reply::Answer(with_request_id(error_response(&error), id));
             }
         };
         let serving = async { Reply::Answer(with_request_id(serve(shared, parsed).await, id)) };
         let disconnected = async {
             caller.disconnected().await;
             shared.inbox.send(EntryEvent::CallerDisconnected(id)).await;
-            Reply::HangUp
+            Reply::CloseConnection
         };
         let reply = serving.or(disconnected).await;
         shared.requests.remove(id);
@@ -160,7 +160,7 @@
 
 fn read_budget(shared: &Shared, request: &Request) -> Result<Duration> {
     let Some(text) = header(request, "silverdock-deadline-ms") else {
-        return Ok(shared.deadline);
+        return Ok(shared.request_timeout);
     };
     let millis: u64 = text.parse().map_err(|_| {
         Error::new(
@@ -168,7 +168,7 @@
             "the header silverdock-deadline-ms must be a whole number of milliseconds",
         )
     })?;
-    Ok(Duration::from_millis(millis).min(shared.deadline))
+    Ok(Duration::from_millis(millis).min(shared.request_timeout))
 }
 
 fn header(request: &Request, name: &str) -> Option<String> {
@@ -218,7 +218,7 @@
     count_outcome(shared, kind, error.code.name());
     let code = error.code.number();
     log::info!(request:display, kind, code; "request refused: {error}");
-    refuse(error)
+    error_response(error)
 }
 
 /// The response for a request whose idempotency key was answered before.
@@ -232,7 +232,7 @@
 }
 
 fn count_outcome(shared: &Shared, kind: &str, outcome: &str) {
-    shared.context.host.metrics.count_request(kind, outcome);
+    shared.context.services.metrics.count_request(kind, outcome);
 }
 
 fn with_request_id(mut response: Response, id: RequestId) -> Response {
--- a/components/node/src/entry/changes.rs
+++ b/components/node/src/entry/changes.rs
@@ -6,7 +6,7 @@
 
 use async_channel::{Receiver, Sender};
 use errors::{Code, Error, Result};
-use externals::Expected;
+use externals::Precondition;
 use fleet::{Configuration, Plan};
 use reducer::{ChangeEffect, ChangeEvent, ConfigurationRow, EntryEvent, Outcome};
 
@@ -44,7 +44,7 @@
 
 /// Executes one effect.
 pub(super) fn execute(shared: &Arc<Shared>, effect: ChangeEffect) {
-    let tasks = &shared.context.host.tasks;
+    let tasks = &shared.context.services.tasks;
     let shared = shared.clone();
     match effect {
         ChangeEffect::ReadHead { call } => tasks.clone().spawn(async move {
@@ -70,7 +70,7 @@
 }
 
 async fn read_configuration_row(shared: &Shared) -> Result<ConfigurationRow> {
-    let row = shared.context.host.platform.table.read(CONFIGURATION_ROW).await?;
+    let row = shared.context.services.platform.table.read(CONFIGURATION_ROW).await?;
     row.map(|row| Ok((Box::new(decode_configuration(&row.value)?), row.tag))).transpose()
 }
 
@@ -79,27 +79,27 @@
     configuration: &Configuration,
     tag: Option<String>,
 ) -> Result<()> {
-    let expected = tag.map_or(Expected::Absent, Expected::Tag);
-    let table = &shared.context.host.platform.table;
+    let expected = tag.map_or(Precondition::Absent, Precondition::Tag);
+    let table = &shared.context.services.platform.table;
     let result =
         table.write(CONFIGURATION_ROW, &encode_configuration(configuration), &expected).await;
     let outcome = if result.is_ok() { "written" } else { "not_written" };
-    shared.context.host.metrics.count_platform_call("table", outcome);
+    shared.context.services.metrics.count_platform_call("table", outcome);
     result.map(drop)
 }
 
 /// Saves a plan. The row may exist already, as a repeated intent gives the same plan.
 async fn save_plan(shared: &Shared, plan: &Plan) -> Result<()> {
-    let table = &shared.context.host.platform.table;
+    let table = &shared.context.services.platform.table;
     let bytes =
         serde_json::to_vec(plan).map_err(|error| Error::new(Code::Internal, error.to_string()))?;
     let row = plan_row_key(&plan.id.0);
     let Some(found) = table.read(&row).await? else {
-        let result = table.write(&row, &bytes, &Expected::Absent).await;
+        let result = table.write(&row, &bytes, &Precondition::Absent).await;
         return accept_if_row_exists(shared, &row, result).await;
     };
     // Overwrites the row, so that the plan has the later expiry.
-    let result = table.write(&row, &bytes, &Expected::Tag(found.tag)).await;
+    let result = table.write(&row, &bytes, &Precondition::Tag(found.tag)).await;
     accept_if_row_exists(shared, &row, result).await
 }
 
@@ -108,7 +108,7 @@
     let Err(error) = result else {
         return Ok(());
     };
-    match shared.context.host.platform.table.read(row).await {
+    match shared.context.services.platform.table.read(row).await {
         Ok(Some(_)) => Ok(()),
         _ => Err(error),
     }
@@ -116,7 +116,7 @@
 
 /// Reads a plan that was saved by any entry.
 pub(super) async fn load_plan(shared: &Shared, id: &str) -> Result<Plan> {
-    let table = &shared.context.host.platform.table;
+    let table = &shared.context.services.platform.table;
     let row = table.read(&plan_row_key(id)).await;
     let row = row.map_err(|error| Error::new(Code::TableUnavailable, error.detail))?;
     let row = row.ok_or_else(|| Error::new(Code::PlanNotFound, format!("no plan {id}")))?;
--- a/components/node/src/entry/claims.rs
+++ b/components/node/src/entry/claims.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use errors::{Code, Result};
-use externals::{Expected, Row};
+use externals::{Precondition, Row};
 use fleet::{RequestId, WorkspaceId};
 use reducer::{Claim, ClaimState, EntryEvent, SavedAnswer};
 
@@ -53,9 +53,9 @@
 /// Writes the claim if the key is free. If the response to a write is lost, the next attempt finds out whether the
 /// write took effect.
 async fn acquire_row(shared: &Shared, row: &str, request: RequestId) -> ClaimState {
-    let table = &shared.context.host.platform.table;
+    let table = &shared.context.services.platform.table;
     let encoded_claim = encode(&Claim::Held(request));
-    let mut expected = Expected::Absent;
+    let mut expected = Precondition::Absent;
     for _ in 0..MAX_CLAIM_ATTEMPTS {
         let error = match table.write(row, &encoded_claim, &expected).await {
             Ok(_) => return ClaimState::Held,
@@ -71,7 +71,7 @@
             Ok(Some(Ok((Claim::Answered(answer), _)))) => {
                 return ClaimState::Answered(Box::new(answer));
             }
-            Ok(Some(Ok((Claim::Released, tag)))) => expected = Expected::Tag(tag),
+            Ok(Some(Ok((Claim::Released, tag)))) => expected = Precondition::Tag(tag),
             _ => {}
         }
     }
@@ -81,12 +81,12 @@
 /// Replaces a claim that this request holds. Best effort: if it fails, the claim stays held, and a later request with
 /// the same key is refused because the first one may have run.
 async fn replace_held(shared: &Shared, request: RequestId, row: &str, claim: &Claim) {
-    let table = &shared.context.host.platform.table;
+    let table = &shared.context.services.platform.table;
     for _ in 0..MAX_CLAIM_ATTEMPTS {
         let found = table.read(row).await.map(|found| found.map(decode));
         match found {
             Ok(Some(Ok((Claim::Held(holder), tag)))) if holder == request => {
-                if table.write(row, &encode(claim), &Expected::Tag(tag)).await.is_ok() {
+                if table.write(row, &encode(claim), &Precondition::Tag(tag)).await.is_ok() {
                     return;
                 }
             }
--- a/components/node/src/entry/intents.rs
+++ b/components/node/src/entry/intents.rs
@@ -7,7 +7,7 @@
 use errors::{Code, Error, Result};
 use fleet::{Intent, Manifest, ModelName, PlanId, PlanReply, Release, RolloutStatus, VersionId};
 use http_types::{Method, Request, Response};
-use net::{json, refuse, Caller, Deadline, Handler, Reply};
+use net::{error_response, json_response, Caller, Deadline, Handler, Reply};
 use reducer::{ChangeEvent, EntryEvent, Outcome};
 use wire::Message;
 
@@ -29,25 +29,25 @@
 impl Handler for OperatorHandler {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         let shared = &self.0;
-        let host = &shared.context.host;
+        let services = &shared.context.services;
         let path = request.url().path().to_owned();
         let ready = shared.with_entry(|entry| entry.control.is_current());
         let (in_progress, waiting) = shared.with_entry(|entry| entry.load());
-        host.metrics.set_gauge("requests_under_way", in_progress as u64);
-        host.metrics.set_gauge("requests_waiting", waiting as u64);
-        host.metrics.set_gauge("events_dropped", shared.inbox.dropped());
-        if let Some(page) = public_page(&path, ready, &host.metrics) {
+        services.metrics.set_gauge("requests_under_way", in_progress as u64);
+        services.metrics.set_gauge("requests_waiting", waiting as u64);
+        services.metrics.set_gauge("events_dropped", shared.inbox.dropped());
+        if let Some(page) = public_page(&path, ready, &services.metrics) {
             return Reply::Answer(page);
         }
-        let result = match host.tokens.check(&request) {
+        let result = match services.tokens.check(&request) {
             Ok(()) => handle_call(shared, &path, &mut request).await,
             Err(error) => Err(error),
         };
         Reply::Answer(result.unwrap_or_else(|error| {
-            host.metrics.count_refusal(error.code);
+            services.metrics.count_refusal(error.code);
             let code = error.code.number();
             log::warn!(path = path.as_str(), code; "operator call refused: {error}");
-            refuse(&error)
+            error_response(&error)
         }))
     }
 }
@@ -60,9 +60,9 @@
         }
         (Method::Get, ["v1", "rollouts", model]) => {
             let status = rollout_status(shared, &ModelName::from(*model)).await?;
-            Ok(json(200, &status))
+            Ok(json_response(200, &status))
         }
-        (Method::Get, ["v1", "plans", id]) => Ok(json(200, &load_plan(shared, id).await?)),
+        (Method::Get, ["v1", "plans", id]) => Ok(json_response(200, &load_plan(shared, id).await?)),
         (Method::Post, ["v1", "plans"]) => {
             let body = request.body_bytes().await;
             let body = body.map_err(|error| Error::new(Code::BadRequest, error.to_string()))?;
@@ -79,8 +79,8 @@
 
 fn outcome_response(outcome: Outcome) -> Result<Response> {
     match outcome {
-        Outcome::Planned(plan) => Ok(json(200, &PlanReply::Planned(plan))),
-        Outcome::Accepted(revision) => Ok(json(200, &PlanReply::Accepted(revision))),
+        Outcome::Planned(plan) => Ok(json_response(200, &PlanReply::Planned(plan))),
+        Outcome::Accepted(revision) => Ok(json_response(200, &PlanReply::Accepted(revision))),
         Outcome::Failed(error) => Err(error),
     }
 }
@@ -114,12 +114,12 @@
         let outcome = outcome.recv().await;
         outcome.map_err(|_| Error::new(Code::Internal, "the call ended without an outcome"))
     };
-    Deadline::after(CALL_TIMEOUT).limit(Code::OutcomeUnknown, received).await
+    Deadline::after(CALL_TIMEOUT).run(Code::OutcomeUnknown, received).await
 }
 
 /// Reads the label and the size of a version from its manifest in the object store.
 async fn find_release(shared: &Shared, version: VersionId) -> Result<Release> {
-    let objects = &shared.context.host.platform.objects;
+    let objects = &shared.context.services.platform.objects;
     let bytes = objects.get(&format!("manifests/{version}")).await.map_err(|error| {
         let code = match error.code {
             Code::NotFound => Code::UnknownVersion,
--- a/components/node/src/entry/mod.rs
+++ b/components/node/src/entry/mod.rs
@@ -16,22 +16,22 @@
 use async_trait::async_trait;
 use errors::Result;
 use fleet::{Millis, Process, RequestId};
-use net::{Bounds, Server, Tasks};
+use net::{Server, ServerLimits, Tasks};
 use reducer::{Entry, EntryEffect, EntryEvent, EntryOptions};
 use settings::RequestKind;
 use wire::{Frame, Message};
 
 use crate::control::{bind, ControlDriver};
-use crate::host::{DaemonContext, Host, Identity};
 use crate::inbound::{accept_sessions, configuration_payload, InboundSession, MessageHandler};
 use crate::inbox::Inbox;
+use crate::services::{DaemonContext, DaemonServices, Identity};
 use changes::OperatorCalls;
 use requests::{Command, RequestTasks};
 
 /// The parameters of an entry.
-pub struct EntrySetup {
+pub struct EntryConfig {
     /// The services that the entry uses.
-    pub host: Host,
+    pub services: DaemonServices,
     /// The name, the place and the addresses of the entry.
     pub identity: Identity,
     /// The address for callers; port 0 selects a free port.
@@ -39,7 +39,7 @@
     /// The settings for each kind of request.
     pub kinds: Vec<RequestKind>,
     /// The time limit of a request, unless its caller sets a shorter one.
-    pub deadline: Duration,
+    pub request_timeout: Duration,
     /// The largest request body, in bytes.
     pub body_bytes: u64,
     /// The options of the reducer.
@@ -61,7 +61,7 @@
     pub(crate) context: Arc<DaemonContext>,
     pub(crate) inbox: Inbox<EntryEvent>,
     pub(crate) kinds: Vec<RequestKind>,
-    pub(crate) deadline: Duration,
+    pub(crate) request_timeout: Duration,
     pub(crate) requests: RequestTasks,
     pub(crate) calls: OperatorCalls,
     entry: Mutex<Entry>,
@@ -70,19 +70,19 @@
 
 impl EntryNode {
     /// Starts an entry.
-    pub async fn start(setup: EntrySetup) -> Result<Self> {
-        let tasks = setup.host.tasks.clone();
-        let sockets = bind(setup.identity.listen).await?;
-        let context = Arc::new(DaemonContext::new(setup.host, setup.identity));
+    pub async fn start(config: EntryConfig) -> Result<Self> {
+        let tasks = config.services.tasks.clone();
+        let sockets = bind(config.identity.listen).await?;
+        let context = Arc::new(DaemonContext::new(config.services, config.identity));
         let record = context.initial_record(Process::Entry, sockets.address);
         let (inbox, events) = Inbox::new();
         let shared = Arc::new(Shared {
             inbox: inbox.clone(),
-            kinds: setup.kinds,
-            deadline: setup.deadline,
+            kinds: config.kinds,
+            request_timeout: config.request_timeout,
             requests: RequestTasks::default(),
             calls: OperatorCalls::default(),
-            entry: Mutex::new(Entry::new(record, setup.options)),
+            entry: Mutex::new(Entry::new(record, config.options)),
             next_serial: AtomicU64::new(1),
             context: context.clone(),
         });
@@ -90,14 +90,14 @@
         let control = ControlDriver::new(context.clone(), sockets.udp, inbox, to_event);
         control.start(|| EntryEvent::Tick);
         let message_handler = Arc::new(EntryMessageHandler(shared.clone()));
-        tasks.spawn(accept_sessions(context.host.clone(), sockets.tcp, message_handler));
+        tasks.spawn(accept_sessions(context.services.clone(), sockets.tcp, message_handler));
         let operator_handler = Arc::new(intents::OperatorHandler(shared.clone()));
         let operators = context.identity.operators;
         let operators =
-            Server::start(&tasks, operators, Bounds::default(), operator_handler).await?;
-        let bounds = Bounds { body_bytes: setup.body_bytes, ..Bounds::default() };
+            Server::start(&tasks, operators, ServerLimits::default(), operator_handler).await?;
+        let limits = ServerLimits { body_bytes: config.body_bytes, ..ServerLimits::default() };
         let caller_handler = Arc::new(callers::CallerHandler(shared.clone()));
-        let callers = Server::start(&tasks, setup.callers, bounds, caller_handler).await?;
+        let callers = Server::start(&tasks, config.callers, limits, caller_handler).await?;
         let (drain, drained) = async_channel::bounded(1);
         tasks.spawn(run(shared.clone(), control, events, drain));
         Ok(Self { shared, tasks, callers, operators, address: sockets.address, drained })
@@ -126,7 +126,7 @@
 
     /// Waits until a planned stop is complete, at most for `grace`. `true` if it is complete, so that no request was
     /// aborted.
-    pub async fn stopped(&self, grace: Duration) -> bool {
+    pub async fn wait_stopped(&self, grace: Duration) -> bool {
         let done = async {
             let drained = self.drained.recv().await.is_ok();
             // The last bytes of the last responses may still have to be sent to the callers.
@@ -148,7 +148,7 @@
     }
 
     /// Calls a function with the state of the reducer.
-    pub fn inspect<T>(&self, read: impl FnOnce(&Entry) -> T) -> T {
+    pub fn with_state<T>(&self, read: impl FnOnce(&Entry) -> T) -> T {
         self.shared.with_entry(read)
     }
 }
@@ -196,15 +196,15 @@
     drain: &Sender<()>,
     effect: EntryEffect,
 ) {
-    let host = &shared.context.host;
+    let services = &shared.context.services;
     match effect {
         EntryEffect::Control(effect) => control.execute(effect),
         EntryEffect::Change(effect) => changes::execute(shared, effect),
         EntryEffect::Claim { request, workspace, key } => {
-            host.tasks.spawn(claims::acquire(shared.clone(), request, workspace, key));
+            services.tasks.spawn(claims::acquire(shared.clone(), request, workspace, key));
         }
         EntryEffect::Release { request, workspace, key } => {
-            host.tasks.spawn(claims::release(shared.clone(), request, workspace, key));
+            services.tasks.spawn(claims::release(shared.clone(), request, workspace, key));
         }
         EntryEffect::Replay { request, answer } => {
             shared.requests.send_command(request, Command::Replay(answer));
@@ -214,13 +214,13 @@
             shared.requests.send_command(attempt.request, command);
         }
         EntryEffect::Refuse { request, error } => {
-            host.metrics.count_refusal(error.code);
+            services.metrics.count_refusal(error.code);
             shared.requests.send_command(request, Command::Refuse(error));
         }
         // The task of the request and its connection ended when the caller disconnected; only the queue may remain.
         EntryEffect::Cancel(attempt) => shared.requests.remove(attempt.request),
-        EntryEffect::CountRetry(code) => host.metrics.count_retry(code),
-        EntryEffect::Crash(news) => telemetry::record_crash(&host.metrics, &news),
+        EntryEffect::CountRetry(code) => services.metrics.count_retry(code),
+        EntryEffect::Crash(news) => telemetry::record_crash(&services.metrics, &news),
         EntryEffect::Drained => {
             let _ = drain.try_send(());
         }
--- a/components/node/src/inbound.rs
+++ b/components/node/src/inbound.rs
@@ -13,7 +13,7 @@
 use wire::{accept_session, Frame, FrameReader, FrameWriter, Load, Message};
 
 use crate::control::encode_configuration;
-use crate::host::Host;
+use crate::services::DaemonServices;
 
 /// The time limit for the handshake, in which a peer proves that it knows the cluster key.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -61,7 +61,7 @@
 
 /// Accepts connections until the daemon exits.
 pub(crate) async fn accept_sessions(
-    host: Host,
+    services: DaemonServices,
     listener: TcpListener,
     handler: Arc<dyn MessageHandler>,
 ) {
@@ -73,11 +73,11 @@
             continue;
         };
         if Arc::strong_count(&session_counter) > MAX_SESSIONS {
-            host.metrics.count_refusal(Code::Overloaded);
+            services.metrics.count_refusal(Code::Overloaded);
             continue;
         }
-        host.tasks.spawn(serve_session(
-            host.clone(),
+        services.tasks.spawn(serve_session(
+            services.clone(),
             stream,
             handler.clone(),
             session_counter.clone(),
@@ -86,19 +86,19 @@
 }
 
 async fn serve_session(
-    host: Host,
+    services: DaemonServices,
     stream: TcpStream,
     handler: Arc<dyn MessageHandler>,
     _session_counter: Arc<()>,
 ) {
     let _ = stream.set_nodelay(true);
-    let handshake = accept_session(&host.keys, rand::random(), stream);
+    let handshake = accept_session(&services.keys, rand::random(), stream);
     let handshake =
-        Deadline::after(HANDSHAKE_TIMEOUT).limit(Code::BadAuthentication, handshake).await;
+        Deadline::after(HANDSHAKE_TIMEOUT).run(Code::BadAuthentication, handshake).await;
     let mut session = match handshake {
         Ok((from, reader, writer)) => InboundSession { from, reader, writer },
         Err(error) => {
-            host.metrics.count_refusal(error.code);
+            services.metrics.count_refusal(error.code);
             return;
         }
     };
@@ -111,7 +111,7 @@
             }
             Ok(None) => return,
             Err(error) => {
-                host.metrics.count_refusal(error.code);
+                services.metrics.count_refusal(error.code);
                 return;
             }
         }
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -4,14 +4,14 @@
 mod clock;
 mod control;
 mod entry;
-mod host;
 mod inbound;
 mod inbox;
 mod operators;
 mod peers;
+mod services;
 mod tokens;
 
-pub use agent::{AgentNode, AgentSetup, Interference, Upstream};
-pub use entry::{EntryNode, EntrySetup};
-pub use host::{Host, Identity};
+pub use agent::{AgentConfig, AgentNode, FaultInjection, Upstream};
+pub use entry::{EntryConfig, EntryNode};
+pub use services::{DaemonServices, Identity};
 pub use tokens::TokenRing;
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -2,7 +2,7 @@
 
 use fleet::{DeploymentStatus, MemberStatus, ModelName, Status};
 use http_types::{Response, StatusCode};
-use net::json;
+use net::json_response;
 use reducer::Control;
 use telemetry::Metrics;
 use wire::MemberState;
@@ -76,7 +76,7 @@
 
 /// The response with the status of the daemon.
 pub(crate) fn status_page(control: &Control) -> Response {
-    json(200, &daemon_status(control))
+    json_response(200, &daemon_status(control))
 }
 
 fn text_response(status: StatusCode, body: &str) -> Response {
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -45,7 +45,7 @@
             }
         }
         let dial = async { self.dial(address).await };
-        Deadline::after(DIAL_TIMEOUT).limit(Code::Unreachable, dial).await
+        Deadline::after(DIAL_TIMEOUT).run(Code::Unreachable, dial).await
     }
 
     /// Returns a session to the pool. Its last exchange must be complete.
@@ -71,7 +71,7 @@
             self.put_idle(session);
             Ok(frame)
         };
-        deadline.limit(Code::PeerStalled, exchange).await
+        deadline.run(Code::PeerStalled, exchange).await
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Session> {
--- a/components/node/src/host.rs
+++ b/components/node/src/services.rs
@@ -28,7 +28,7 @@
 
 /// The services of a process that a daemon uses.
 #[derive(Clone)]
-pub struct Host {
+pub struct DaemonServices {
     /// The tasks of the daemon.
     pub tasks: Tasks,
     /// The services of the platform.
@@ -41,18 +41,18 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// A host with the identity, the clock and the connections of one daemon.
+/// The services with the identity, the clock and the connections of one daemon.
 pub(crate) struct DaemonContext {
-    pub(crate) host: Host,
+    pub(crate) services: DaemonServices,
     pub(crate) identity: Identity,
     pub(crate) clock: Clock,
     pub(crate) peers: PeerPool,
 }
 
 impl DaemonContext {
-    pub(crate) fn new(host: Host, identity: Identity) -> Self {
-        let peers = PeerPool::new(host.keys.clone(), identity.id.clone());
-        Self { host, identity, clock: Clock::start(), peers }
+    pub(crate) fn new(services: DaemonServices, identity: Identity) -> Self {
+        let peers = PeerPool::new(services.keys.clone(), identity.id.clone());
+        Self { services, identity, clock: Clock::start(), peers }
     }
 
     /// The membership record that the daemon starts with.
--- a/components/standins/src/engine.rs
+++ b/components/standins/src/engine.rs
@@ -12,7 +12,8 @@
 use fleet::{ModelName, Revision};
 use http_types::{Method, Request, Response, StatusCode, Url};
 use net::{
-    json, read_body, refuse, send, stream_body, Caller, Deadline, Handler, HttpBody, Reply, Tasks,
+    error_response, json_response, read_body, send, stream_body, Caller, Deadline, Handler,
+    HttpBody, Reply, Tasks,
 };
 use serde::Deserialize;
 use serde_json::json as json_value;
@@ -289,7 +290,7 @@
         }],
         "usage": { "completion_tokens": generation.tokens },
     });
-    json(200, &body)
+    json_response(200, &body)
 }
 
 /// Reads the weights from the agent and returns the digest of the bytes that were read.
@@ -328,10 +329,10 @@
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         self.faults.apply_delay().await;
         if self.faults.is_down() {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         }
         let Ok(body) = request.body_bytes().await else {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         };
         let path = request.url().path().to_owned();
         let result = match (request.method(), path.as_str()) {
@@ -340,19 +341,19 @@
                 Err(error) => Err(Error::new(Code::BadRequest, error.to_string())),
             },
             (Method::Post, "/v1/chat/completions") => self.complete(&request, &body).await,
-            (Method::Get, "/load") => Ok(json(200, &self.reported_load())),
+            (Method::Get, "/load") => Ok(json_response(200, &self.reported_load())),
             (Method::Get, "/cache/events") => {
                 let query = request.url().query().unwrap_or_default();
                 let after = query.trim_start_matches("after=").parse().unwrap_or(0);
                 let delay = self.options.event_delay;
-                Ok(json(200, &self.lock().cache.events_after(after, delay)))
+                Ok(json_response(200, &self.lock().cache.events_after(after, delay)))
             }
             (Method::Post, "/kv/export") => {
                 let prompt = String::from_utf8_lossy(&body).into_owned();
-                Ok(json(200, &self.lock().cache.export(&prompt)))
+                Ok(json_response(200, &self.lock().cache.export(&prompt)))
             }
             (Method::Post, "/kv/import") => match serde_json::from_slice::<Vec<String>>(&body) {
-                Ok(blocks) => Ok(json(200, &self.lock().cache.import(&blocks))),
+                Ok(blocks) => Ok(json_response(200, &self.lock().cache.import(&blocks))),
                 Err(error) => Err(Error::new(Code::BadRequest, error.to_string())),
             },
             (Method::Delete, path) => {
@@ -362,6 +363,6 @@
             }
             _ => Ok(empty_response(StatusCode::NotFound)),
         };
-        Reply::Answer(result.unwrap_or_else(|error| refuse(&error)))
+        Reply::Answer(result.unwrap_or_else(|error| error_response(&error)))
     }
 }
--- a/components/standins/src/faults.rs
+++ b/components/standins/src/faults.rs
@@ -53,7 +53,7 @@
     /// Returns a response, or closes the connection if the response is to be dropped.
     pub fn respond(&self, response: Response) -> Reply {
         if self.response_loss.pick() {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         }
         Reply::Answer(response)
     }
--- a/components/standins/src/instances.rs
+++ b/components/standins/src/instances.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use fleet::{Instance, InstanceId, ListedState};
 use http_types::{Request, StatusCode};
-use net::{json, Caller, Handler, Reply};
+use net::{json_response, Caller, Handler, Reply};
 
 use crate::faults::{empty_response, Faults};
 
@@ -80,10 +80,10 @@
     async fn handle(&self, request: Request, _caller: Caller) -> Reply {
         self.faults.apply_delay().await;
         if self.faults.is_down() {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         }
         match request.url().path() {
-            "/instances" => self.faults.respond(json(200, &self.visible_list())),
+            "/instances" => self.faults.respond(json_response(200, &self.visible_list())),
             _ => Reply::Answer(empty_response(StatusCode::NotFound)),
         }
     }
--- a/components/standins/src/objects.rs
+++ b/components/standins/src/objects.rs
@@ -40,7 +40,7 @@
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         self.faults.apply_delay().await;
         if self.faults.is_down() {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         }
         let path = request.url().path().to_owned();
         let Some(key) = path.strip_prefix("/objects/") else {
@@ -50,7 +50,7 @@
             Method::Get => self.get(key),
             Method::Put => match request.body_bytes().await {
                 Ok(value) => self.put(key, value),
-                Err(_) => return Reply::HangUp,
+                Err(_) => return Reply::CloseConnection,
             },
             _ => empty_response(StatusCode::MethodNotAllowed),
         };
--- a/components/standins/src/origin.rs
+++ b/components/standins/src/origin.rs
@@ -87,7 +87,7 @@
     sent_bytes: Arc<AtomicU64>,
 ) {
     for piece in content.chunks(PIECE_BYTES) {
-        link.pass(piece.len()).await;
+        link.wait_for_bandwidth(piece.len()).await;
         sent_bytes.fetch_add(piece.len() as u64, Ordering::Relaxed);
         if !sender.send(piece.to_vec()).await {
             return;
@@ -112,7 +112,7 @@
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         self.faults.apply_delay().await;
         if self.faults.is_down() {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         }
         let path = request.url().path().to_owned();
         let Some(name) = path.strip_prefix("/weights/") else {
@@ -122,7 +122,7 @@
             Method::Get => self.read(name, &request),
             Method::Put => {
                 let Ok(content) = request.body_bytes().await else {
-                    return Reply::HangUp;
+                    return Reply::CloseConnection;
                 };
                 let mut contents = self.contents.lock().expect("the lock is never poisoned");
                 contents.insert(name.to_owned(), Arc::new(content));
--- a/components/standins/src/platform.rs
+++ b/components/standins/src/platform.rs
@@ -5,7 +5,7 @@
 
 use errors::Result;
 use externals::{HttpInstances, HttpObjects, HttpTable, HttpWeights, Platform};
-use net::{Bounds, Handler, Server, Tasks};
+use net::{Handler, Server, ServerLimits, Tasks};
 
 use crate::{Instances, Objects, Origin, Table};
 
@@ -66,6 +66,6 @@
 }
 
 async fn serve(tasks: &Tasks, handler: Arc<dyn Handler>) -> Result<Server> {
-    let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
-    Server::start(tasks, SocketAddr::from(([127, 0, 0, 1], 0)), bounds, handler).await
+    let limits = ServerLimits { body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
+    Server::start(tasks, SocketAddr::from(([127, 0, 0, 1], 0)), limits, handler).await
 }
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_trait::async_trait;
 use http_types::{Request, Response, StatusCode};
-use net::{json, Caller, Handler, Reply};
+use net::{json_response, Caller, Handler, Reply};
 use serde::Serialize;
 
 /// The response to a request.
@@ -68,7 +68,7 @@
 impl Handler for Service {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         let Ok(body) = request.body_bytes().await else {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         };
         if let Some(answer) = self.rejection() {
             return answer;
@@ -81,6 +81,6 @@
             *runs
         };
         Timer::after(self.work).await;
-        Reply::Answer(json(200, &Receipt { body, runs }))
+        Reply::Answer(json_response(200, &Receipt { body, runs }))
     }
 }
--- a/components/standins/src/table.rs
+++ b/components/standins/src/table.rs
@@ -109,7 +109,7 @@
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         self.faults.apply_delay().await;
         if self.faults.is_down() {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         }
         let path = request.url().path().to_owned();
         let Some(key) = path.strip_prefix("/rows/") else {
@@ -119,7 +119,7 @@
             Method::Get => self.read(key),
             Method::Put => {
                 let Ok(value) = request.body_bytes().await else {
-                    return Reply::HangUp;
+                    return Reply::CloseConnection;
                 };
                 self.write(key, &request, value)
             }
--- a/components/standins/tests/platform.rs
+++ b/components/standins/tests/platform.rs
@@ -6,10 +6,10 @@
 
 use async_executor::Executor;
 use errors::Code;
-use externals::{EngineOrder, Expected, HttpUpstream, ModelEngine, Platform};
+use externals::{EngineOrder, HttpUpstream, ModelEngine, Platform, Precondition};
 use fleet::{Manifest, ModelName, Revision, Role, VersionId};
 use futures_lite::future::block_on;
-use net::{Bounds, Server, Tasks};
+use net::{Server, ServerLimits, Tasks};
 use standins::{Engine, EngineOptions, PlatformOptions, PlatformStandIn};
 
 /// Runs a test with a platform stand-in.
@@ -32,11 +32,11 @@
 fn writes_a_row_only_if_the_precondition_holds() {
     with_platform(|_, _, clients| async move {
         let table = clients.table;
-        let tag = table.write("row", b"1", &Expected::Absent).await.unwrap();
-        let again = table.write("row", b"2", &Expected::Absent).await.unwrap_err();
+        let tag = table.write("row", b"1", &Precondition::Absent).await.unwrap();
+        let again = table.write("row", b"2", &Precondition::Absent).await.unwrap_err();
         assert_eq!(again.code, Code::RowChanged);
-        table.write("row", b"3", &Expected::Tag(tag.clone())).await.unwrap();
-        let stale = table.write("row", b"4", &Expected::Tag(tag)).await.unwrap_err();
+        table.write("row", b"3", &Precondition::Tag(tag.clone())).await.unwrap();
+        let stale = table.write("row", b"4", &Precondition::Tag(tag)).await.unwrap_err();
         assert_eq!(stale.code, Code::RowChanged);
         assert_eq!(table.read("row").await.unwrap().unwrap().value, b"3");
     });
@@ -46,7 +46,7 @@
 fn drops_responses_after_the_write_took_effect() {
     with_platform(|_, platform, clients| async move {
         platform.table.faults.set_lost_percent(100);
-        let lost = clients.table.write("row", b"1", &Expected::Absent).await.unwrap_err();
+        let lost = clients.table.write("row", b"1", &Precondition::Absent).await.unwrap_err();
         assert_eq!(lost.code, Code::PlatformUnavailable);
         platform.table.faults.set_lost_percent(0);
         assert_eq!(clients.table.read("row").await.unwrap().unwrap().value, b"1");
@@ -88,7 +88,8 @@
         let options = EngineOptions { load_time: Duration::ZERO, ..EngineOptions::default() };
         let engine = Arc::new(Engine::new(&tasks, options));
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = Server::start(&tasks, any_port, Bounds::default(), engine).await.unwrap();
+        let server =
+            Server::start(&tasks, any_port, ServerLimits::default(), engine).await.unwrap();
         let engine = HttpUpstream(server.address());
         let weights = platform.addresses()[2];
         engine.order(&order(weights, 5, version, 10_000)).await.unwrap();
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -44,7 +44,7 @@
     }
     log::info!("stopping: no new work, requests in progress finish");
     daemon.stop().await;
-    let clean = daemon.stopped(Duration::from_secs(settings.node.stop_grace_s)).await;
+    let clean = daemon.wait_stopped(Duration::from_secs(settings.node.stop_grace_s)).await;
     async_io::Timer::after(LEAVE_NOTICE_DELAY).await;
     if clean {
         log::info!("stopped");
--- a/daemon/src/setup.rs
+++ b/daemon/src/setup.rs
@@ -6,7 +6,7 @@
 use errors::Result;
 use externals::{HttpInstances, HttpObjects, HttpTable, HttpUpstream, HttpWeights, Platform};
 use net::Tasks;
-use node::{AgentNode, AgentSetup, EntryNode, EntrySetup, Host, Identity, Upstream};
+use node::{AgentConfig, AgentNode, DaemonServices, EntryConfig, EntryNode, Identity, Upstream};
 use reducer::{
     AgentOptions, EntryOptions, Estimate, FetchStrategy, RoutingStrategy, SpreadOptions,
 };
@@ -26,7 +26,7 @@
 impl Daemon {
     /// Starts the daemon that the settings describe.
     pub async fn start(tasks: &Tasks, settings: &Settings, secrets: &Secrets) -> Result<Self> {
-        let host = Host {
+        let services = DaemonServices {
             tasks: tasks.group(),
             platform: connect_platform(settings),
             keys: secrets.keys.clone(),
@@ -41,12 +41,12 @@
         };
         match &settings.role {
             RoleSettings::Entry(entry) => {
-                let setup = entry_setup(host, identity, settings, entry);
-                EntryNode::start(setup).await.map(Self::Entry)
+                let config = entry_config(services, identity, settings, entry);
+                EntryNode::start(config).await.map(Self::Entry)
             }
             RoleSettings::Agent(agent) => {
-                let setup = agent_setup(host, identity, settings, agent);
-                AgentNode::start(setup).await.map(Self::Agent)
+                let config = agent_config(services, identity, settings, agent);
+                AgentNode::start(config).await.map(Self::Agent)
             }
         }
     }
@@ -61,10 +61,10 @@
 
     /// Waits until the planned stop has finished or `grace` has passed. Returns `true` if no request was cut
     /// off.
-    pub async fn stopped(&self, grace: Duration) -> bool {
+    pub async fn wait_stopped(&self, grace: Duration) -> bool {
         match self {
-            Self::Entry(node) => node.stopped(grace).await,
-            Self::Agent(node) => node.stopped(grace).await,
+            Self::Entry(node) => node.wait_stopped(grace).await,
+            Self::Agent(node) => node.wait_stopped(grace).await,
         }
     }
 }
@@ -79,19 +79,19 @@
     }
 }
 
-fn entry_setup(
-    host: Host,
+fn entry_config(
+    services: DaemonServices,
     identity: Identity,
     settings: &Settings,
     entry: &EntrySettings,
-) -> EntrySetup {
+) -> EntryConfig {
     let origin_rate = settings.profile.origin_bytes_per_s as f64;
-    EntrySetup {
-        host,
+    EntryConfig {
+        services,
         identity,
         callers: entry.callers,
         kinds: entry.kinds.clone(),
-        deadline: Duration::from_secs(entry.deadline_s),
+        request_timeout: Duration::from_secs(entry.deadline_s),
         body_bytes: entry.body_limit_bytes,
         options: EntryOptions {
             queue_limit: entry.queue_limit,
@@ -107,19 +107,19 @@
     }
 }
 
-fn agent_setup(
-    host: Host,
+fn agent_config(
+    services: DaemonServices,
     identity: Identity,
     settings: &Settings,
     agent: &AgentSettings,
-) -> AgentSetup {
+) -> AgentConfig {
     let upstream = Arc::new(HttpUpstream(agent.upstream));
     let upstream = match &agent.service {
         Some(name) => Upstream::Service(name.clone(), upstream),
         None => Upstream::Engine(upstream),
     };
-    AgentSetup {
-        host,
+    AgentConfig {
+        services,
         identity,
         upstream,
         weights_listen: agent.weights_listen,
@@ -138,6 +138,6 @@
                 choice: FetchStrategy::default(),
             },
         },
-        interference: None,
+        fault_injection: None,
     }
 }
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use client::Operator;
 use fleet::{Hall, Instance, InstanceId, ListedState, Location, Manifest, Process, Region};
 use lab::Lab;
-use net::{Bounds, Server, Tasks};
+use net::{Server, ServerLimits, Tasks};
 use rustix::process::{kill_process, Pid, Signal};
 use standins::{Engine, EngineOptions, PlatformOptions, PlatformStandIn};
 
@@ -94,7 +94,7 @@
     pub fn engine(&self, name: &str, options: EngineOptions) -> Daemon {
         let engine = Arc::new(Engine::new(&self.tasks, options));
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        let serving = Server::start(&self.tasks, any_port, Bounds::default(), engine.clone());
+        let serving = Server::start(&self.tasks, any_port, ServerLimits::default(), engine.clone());
         let server = async_io::block_on(serving).unwrap();
         let machine = self.new_machine();
         let weights = SocketAddr::new(machine, WEIGHTS_PORT);
--- a/examples/burst/run.rs
+++ b/examples/burst/run.rs
@@ -187,7 +187,7 @@
 /// Percentage of chunks held, over all agents.
 fn staged_percent(lab: &Lab, version: VersionId) -> f64 {
     let held_fraction = |agent: &lab::Agent| {
-        agent.node.inspect(|state| {
+        agent.node.with_state(|state| {
             let spread = state.spreads().find(|it| it.version == version);
             spread.map_or(0.0, |it| f64::from(it.have().count()) / f64::from(it.have().capacity()))
         })
--- a/examples/requests/faults.rs
+++ b/examples/requests/faults.rs
@@ -66,7 +66,7 @@
     lab.platform.table.faults.set_down(false);
     if stopped {
         let grace = Duration::from_secs(10);
-        observations.stop_was_clean = Some(lab.agents[1].node.stopped(grace).await);
+        observations.stop_was_clean = Some(lab.agents[1].node.wait_stopped(grace).await);
     }
     observations.new_work_after_leave_s = leaving.map(|it| it.last_answer_s);
     Ok(observations)
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -149,7 +149,7 @@
         block_on(operator.plan(&Intent::Leave { instance: leaving_agent.id.clone() })).unwrap();
     let revision = block_on(operator.confirm(&plan.id)).unwrap();
     let has_applied_revision =
-        || leaving_agent.node.inspect(|it| it.control.configuration().revision >= revision);
+        || leaving_agent.node.with_state(|it| it.control.configuration().revision >= revision);
     block_on(lab.wait(TEST_TIMEOUT, has_applied_revision)).unwrap();
     let engine = leaving_agent.engine.as_ref().unwrap();
     let before = engine.answered();
