--- a/components/account/src/decision.rs
+++ b/components/account/src/decision.rs
@@ -153,7 +153,7 @@
 
 /// A decision and its time, before it is logged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct TimedDecision {
     /// The Unix time, in milliseconds.
     pub ts_ms: u64,
     /// The decision.
--- a/components/account/src/lib.rs
+++ b/components/account/src/lib.rs
@@ -7,5 +7,5 @@
 mod profile;
 
 pub use account::{Account, Gap};
-pub use decision::{Decision, Entry, RequestLine};
+pub use decision::{Decision, RequestLine, TimedDecision};
 pub use profile::{Profile, Row, Step};
--- a/components/client/src/lib.rs
+++ b/components/client/src/lib.rs
@@ -3,5 +3,5 @@
 mod operator;
 mod publish;
 
-pub use operator::Operator;
+pub use operator::OperatorClient;
 pub use publish::publish;
--- a/components/client/src/operator.rs
+++ b/components/client/src/operator.rs
@@ -17,7 +17,7 @@
 
 /// Client of an entry's operator API, with the token that authorizes its calls.
 #[derive(Clone)]
-pub struct Operator {
+pub struct OperatorClient {
     address: SocketAddr,
     token: String,
 }
@@ -34,7 +34,7 @@
     message: String,
 }
 
-impl Operator {
+impl OperatorClient {
     /// Creates a client for the operator API at an address.
     pub fn new(address: SocketAddr, token: &str) -> Self {
         Self { address, token: token.trim().to_owned() }
--- a/components/edge/src/gateway/trace.rs
+++ b/components/edge/src/gateway/trace.rs
@@ -5,7 +5,7 @@
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use account::{Decision, Entry, RequestLine};
+use account::{Decision, RequestLine, TimedDecision};
 use errors::Code;
 use fleet::{HomeRegions, Millis};
 use gateway::{AttemptOutcome, RunnerTarget, ServiceState};
@@ -47,7 +47,7 @@
 
 /// Whether a decision may be part of an ordinary success. A denied reservation is, since the request asks
 /// another runner.
-fn is_ordinary(entry: &Entry) -> bool {
+fn is_ordinary(entry: &TimedDecision) -> bool {
     !matches!(
         entry.decision,
         Decision::Failed { .. } | Decision::Resumed { .. } | Decision::Told { .. }
@@ -65,7 +65,7 @@
     id: String,
     arrived: Millis,
     kind: Cell<&'static str>,
-    entries: RefCell<Vec<Entry>>,
+    entries: RefCell<Vec<TimedDecision>>,
     ended: Cell<bool>,
 }
 
@@ -89,7 +89,7 @@
 
     /// Adds a decision.
     pub fn add(&self, decision: Decision) {
-        self.entries.borrow_mut().push(Entry { ts_ms: telemetry::unix_millis(), decision });
+        self.entries.borrow_mut().push(TimedDecision { ts_ms: telemetry::unix_millis(), decision });
     }
 
     /// Sets the kind of its route, for the metrics.
@@ -193,7 +193,7 @@
 
     fn log(&self, is_ordinary_end: bool) {
         let level = if is_ordinary_end { log::Level::Info } else { log::Level::Warn };
-        for Entry { ts_ms, decision } in self.entries.borrow_mut().drain(..) {
+        for TimedDecision { ts_ms, decision } in self.entries.borrow_mut().drain(..) {
             let instance = self.core.name.to_string();
             let line = RequestLine { ts_ms, instance, request: self.id.clone(), decision };
             if let Ok(text) = serde_json::to_string(&line) {
--- a/components/lab/src/caller.rs
+++ b/components/lab/src/caller.rs
@@ -14,24 +14,24 @@
 
 /// The outcome of a request as its caller observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Outcome {
     /// The answer is complete and correct.
-    Whole,
+    Complete,
     /// The request was not executed, according to the result code.
     NotRun(Code),
     /// The request may have been executed, according to the result code, or no response arrived.
     Unknown(Code),
     /// The answer was delivered as complete but is truncated.
-    Partial,
+    Truncated,
     /// The answer does not belong to the prompt.
-    Crossed,
+    Mixed,
 }
 
 /// The outcome and timing of a chat completion.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatAnswer {
     /// The outcome.
-    pub ending: Ending,
+    pub outcome: Outcome,
     /// The digest of the weights that the engine reports to have used.
     pub fingerprint: String,
     /// Time until the first token, for streams.
@@ -54,7 +54,7 @@
     /// Whether to request a stream.
     pub stream: bool,
     /// Timeout of a request.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 impl ChatCaller {
@@ -63,11 +63,11 @@
         let started = Instant::now();
         let result = self.exchange(prompt, started).await;
         let mut answer = result.unwrap_or_else(|error| {
-            let ending = match error.code {
-                Code::Unreachable => Ending::NotRun(error.code),
-                _ => Ending::Unknown(error.code),
+            let outcome = match error.code {
+                Code::Unreachable => Outcome::NotRun(error.code),
+                _ => Outcome::Unknown(error.code),
             };
-            answer_without_timing(ending, String::new())
+            answer_without_timing(outcome, String::new())
         });
         answer.total = started.elapsed();
         answer
@@ -80,7 +80,7 @@
             "max_tokens": self.tokens,
             "stream": self.stream,
         });
-        let deadline = Deadline::after(self.patience);
+        let deadline = Deadline::after(self.timeout);
         let path = "/v1/chat/completions";
         let response =
             post_request(self.address, path, &[], body.to_string().into_bytes(), deadline).await?;
@@ -95,7 +95,7 @@
     fn check_response(&self, prompt: &str, answer: &HttpResponse) -> ChatAnswer {
         let body: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
         if answer.status != 200 {
-            return answer_without_timing(error_ending(&body), String::new());
+            return answer_without_timing(error_outcome(&body), String::new());
         }
         let fingerprint = string_or_empty(&body["system_fingerprint"]);
         let content = string_or_empty(&body["choices"][0]["message"]["content"]);
@@ -130,25 +130,25 @@
                 }
             }
         }
-        let ending = match stream.failure {
-            Some(code) => Ending::Unknown(code),
-            None if !stream.done => Ending::Partial,
+        let outcome = match stream.failure {
+            Some(code) => Outcome::Unknown(code),
+            None if !stream.done => Outcome::Truncated,
             None => self.compare(prompt, &stream.fingerprint, &stream.content),
         };
         let total = started.elapsed();
         let fingerprint = stream.fingerprint;
-        Ok(ChatAnswer { ending, fingerprint, first_token, longest_gap, total })
+        Ok(ChatAnswer { outcome, fingerprint, first_token, longest_gap, total })
     }
 
     /// Compares an answer that was delivered as complete with the one expected for the prompt.
-    fn compare(&self, prompt: &str, fingerprint: &str, content: &str) -> Ending {
+    fn compare(&self, prompt: &str, fingerprint: &str, content: &str) -> Outcome {
         let expected = answer_text(fingerprint, prompt, self.tokens);
         if content == expected {
-            Ending::Whole
+            Outcome::Complete
         } else if expected.starts_with(content) {
-            Ending::Partial
+            Outcome::Truncated
         } else {
-            Ending::Crossed
+            Outcome::Mixed
         }
     }
 }
@@ -212,33 +212,33 @@
     path: &str,
     headers: &[(&str, &str)],
     body: Vec<u8>,
-    patience: Duration,
-) -> Ending {
-    let deadline = Deadline::after(patience);
+    timeout: Duration,
+) -> Outcome {
+    let deadline = Deadline::after(timeout);
     let exchange = async {
         let response = post_request(address, path, headers, body, deadline).await?;
         read_body(response, MAX_RESPONSE_BYTES, deadline).await
     };
     match exchange.await {
-        Ok(answer) if answer.status == 200 => Ending::Whole,
-        Ok(answer) => error_ending(&serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
-        Err(error) if error.code == Code::Unreachable => Ending::NotRun(error.code),
-        Err(error) => Ending::Unknown(error.code),
+        Ok(answer) if answer.status == 200 => Outcome::Complete,
+        Ok(answer) => error_outcome(&serde_json::from_slice(&answer.body).unwrap_or(Value::Null)),
+        Err(error) if error.code == Code::Unreachable => Outcome::NotRun(error.code),
+        Err(error) => Outcome::Unknown(error.code),
     }
 }
 
-fn error_ending(body: &Value) -> Ending {
+fn error_outcome(body: &Value) -> Outcome {
     let number = body["error"]["code"].as_u64().unwrap_or(0) as u16;
     let code = Code::from_number(number).unwrap_or(Code::Internal);
     match code.ran() {
-        errors::Ran::NotRun => Ending::NotRun(code),
-        errors::Ran::Unknown => Ending::Unknown(code),
+        errors::Ran::NotRun => Outcome::NotRun(code),
+        errors::Ran::Unknown => Outcome::Unknown(code),
     }
 }
 
-fn answer_without_timing(ending: Ending, fingerprint: String) -> ChatAnswer {
+fn answer_without_timing(outcome: Outcome, fingerprint: String) -> ChatAnswer {
     ChatAnswer {
-        ending,
+        outcome,
         fingerprint,
         first_token: None,
         longest_gap: Duration::ZERO,
--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use async_executor::Executor;
 use async_io::Timer;
-use client::Operator;
+use client::OperatorClient;
 use errors::{Code, Error, Result};
 use externals::{HttpUpstream, Platform};
 use fleet::{
@@ -182,8 +182,8 @@
     }
 
     /// Returns a client for the operator API of an entry.
-    pub fn operator(&self, entry: usize) -> Operator {
-        Operator::new(self.entries[entry].operators(), OPERATOR_TOKEN)
+    pub fn operator(&self, entry: usize) -> OperatorClient {
+        OperatorClient::new(self.entries[entry].operators(), OPERATOR_TOKEN)
     }
 
     /// Returns the clients of the platform's services that the daemons use.
--- a/components/lab/src/lib.rs
+++ b/components/lab/src/lib.rs
@@ -7,6 +7,6 @@
 mod options;
 
 pub use crate::fleet::{deploy_intent, Agent, Lab};
-pub use caller::{post, post_request, ChatAnswer, ChatCaller, Ending};
+pub use caller::{post, post_request, ChatAnswer, ChatCaller, Outcome};
 pub use link_faults::LinkFaults;
 pub use options::LabOptions;
--- a/components/lab/src/link_faults.rs
+++ b/components/lab/src/link_faults.rs
@@ -21,13 +21,13 @@
     }
 
     /// Delays this percentage of the chunks.
-    pub fn set_stall(&self, percent: u64, delay: Duration) {
+    pub fn set_chunk_delay(&self, percent: u64, delay: Duration) {
         self.stalls.set_percent(percent);
         self.stall_ms.store(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
     /// Returns the number of corrupted chunks.
-    pub fn corrupted(&self) -> u64 {
+    pub fn corrupted_chunks(&self) -> u64 {
         self.corruption.picked()
     }
 }
--- a/components/standins/src/engine.rs
+++ b/components/standins/src/engine.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns the number of completions that the engine has started.
-    pub fn answered(&self) -> u64 {
+    pub fn completions_started(&self) -> u64 {
         self.completions_started.load(Ordering::Relaxed)
     }
 
--- a/components/standins/src/faults.rs
+++ b/components/standins/src/faults.rs
@@ -28,12 +28,12 @@
     }
 
     /// Drops the responses to this percentage of calls, after the calls took effect.
-    pub fn set_lost_percent(&self, percent: u64) {
+    pub fn set_response_loss_percent(&self, percent: u64) {
         self.response_loss.set_percent(percent);
     }
 
     /// Returns the number of dropped responses.
-    pub fn lost(&self) -> u64 {
+    pub fn dropped_responses(&self) -> u64 {
         self.response_loss.picked()
     }
 
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the times at which requests were rejected, oldest first.
-    pub fn turned_away(&self) -> Vec<Instant> {
+    pub fn rejected_at(&self) -> Vec<Instant> {
         self.rejected_at.lock().expect("the lock is never poisoned").clone()
     }
 
--- a/components/standins/tests/platform.rs
+++ b/components/standins/tests/platform.rs
@@ -45,10 +45,10 @@
 #[test]
 fn drops_responses_after_the_write_took_effect() {
     with_platform(|_, platform, clients| async move {
-        platform.table.faults.set_lost_percent(100);
+        platform.table.faults.set_response_loss_percent(100);
         let lost = clients.table.write("row", b"1", &Precondition::Absent).await.unwrap_err();
         assert_eq!(lost.code, Code::PlatformUnavailable);
-        platform.table.faults.set_lost_percent(0);
+        platform.table.faults.set_response_loss_percent(0);
         assert_eq!(clients.table.read("row").await.unwrap().unwrap().value, b"1");
     });
 }
--- a/daemon/tests/processes.rs
+++ b/daemon/tests/processes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use errors::Code;
-use lab::{ChatCaller, Ending};
+use lab::{ChatCaller, Outcome};
 use rustix::process::Signal;
 use standins::EngineOptions;
 use support::{retry, run_daemon, wait_until, Daemon, TestCluster, OPERATOR_TOKEN, TEST_TIMEOUT};
@@ -21,7 +21,7 @@
         model: "tips".into(),
         tokens,
         stream,
-        patience: TEST_TIMEOUT,
+        timeout: TEST_TIMEOUT,
     }
 }
 
@@ -31,12 +31,12 @@
 }
 
 /// Starts a stream and returns how it ended. `during` runs once the engine has begun to answer.
-fn stream_during(entry: &Daemon, agent: &Daemon, tokens: u32, during: impl FnOnce()) -> Ending {
+fn stream_during(entry: &Daemon, agent: &Daemon, tokens: u32, during: impl FnOnce()) -> Outcome {
     let caller = caller(entry, tokens, true);
     let call = std::thread::spawn(move || async_io::block_on(caller.chat("a long question")));
-    wait_until(|| agent.engine.as_ref().is_some_and(|engine| engine.answered() > 0));
+    wait_until(|| agent.engine.as_ref().is_some_and(|engine| engine.completions_started() > 0));
     during();
-    call.join().unwrap().ending
+    call.join().unwrap().outcome
 }
 
 #[test]
@@ -48,7 +48,7 @@
     cluster.deploy(&entry, 2);
     for stream in [false, true] {
         let answer = async_io::block_on(caller(&entry, 4, stream).chat("a question"));
-        assert_eq!(answer.ending, Ending::Whole);
+        assert_eq!(answer.outcome, Outcome::Complete);
     }
 }
 
@@ -58,8 +58,8 @@
     let entry = cluster.entry("entry-1");
     let mut agent = cluster.engine("engine-1", slow_engine());
     cluster.deploy(&entry, 1);
-    let ending = stream_during(&entry, &agent, LONG_STREAM_TOKENS, || agent.signal(Signal::TERM));
-    assert_eq!(ending, Ending::Whole);
+    let outcome = stream_during(&entry, &agent, LONG_STREAM_TOKENS, || agent.signal(Signal::TERM));
+    assert_eq!(outcome, Outcome::Complete);
     assert_eq!(agent.wait_exit().code(), Some(0));
 }
 
@@ -69,8 +69,8 @@
     let mut entry = cluster.entry("entry-1");
     let agent = cluster.engine("engine-1", slow_engine());
     cluster.deploy(&entry, 1);
-    let ending = stream_during(&entry, &agent, LONG_STREAM_TOKENS, || entry.signal(Signal::TERM));
-    assert_eq!(ending, Ending::Whole);
+    let outcome = stream_during(&entry, &agent, LONG_STREAM_TOKENS, || entry.signal(Signal::TERM));
+    assert_eq!(outcome, Outcome::Complete);
     assert_eq!(entry.wait_exit().code(), Some(0));
 }
 
@@ -80,9 +80,9 @@
     let entry = cluster.entry("entry-1");
     let agent = cluster.engine("engine-1", slow_engine());
     cluster.deploy(&entry, 1);
-    let ending =
+    let outcome =
         stream_during(&entry, &agent, ENDLESS_STREAM_TOKENS, || agent.signal(Signal::KILL));
-    assert!(matches!(ending, Ending::Unknown(_)), "{ending:?}");
+    assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
 }
 
 #[test]
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use async_executor::Executor;
-use client::Operator;
+use client::OperatorClient;
 use fleet::{Hall, Instance, InstanceId, ListedState, Location, Manifest, Process, Region};
 use lab::Lab;
 use net::{Server, ServerLimits, Tasks};
@@ -174,8 +174,8 @@
 
 impl Daemon {
     /// A client for the operator address.
-    pub fn operator(&self, token: &str) -> Operator {
-        Operator::new(self.operators, token)
+    pub fn operator(&self, token: &str) -> OperatorClient {
+        OperatorClient::new(self.operators, token)
     }
 
     /// Sends a signal to the process.
--- a/examples/burst/callers.rs
+++ b/examples/burst/callers.rs
@@ -34,7 +34,7 @@
                     model: model.to_owned(),
                     tokens: ANSWER_TOKENS,
                     stream: number % 2 == 0,
-                    patience: ANSWER_TIMEOUT,
+                    timeout: ANSWER_TIMEOUT,
                 };
                 let received = received.clone();
                 let call = async move {
--- a/examples/burst/faults.rs
+++ b/examples/burst/faults.rs
@@ -42,7 +42,7 @@
                 agent.link.set_corrupt_percent(CORRUPT_PERCENT);
             }
             if faults.has(Fault::Stall) {
-                agent.link.set_stall(STALL_PERCENT, STALL);
+                agent.link.set_chunk_delay(STALL_PERCENT, STALL);
             }
         }
         let start = Instant::now();
--- a/examples/burst/report.rs
+++ b/examples/burst/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use lab::{ChatAnswer, Ending};
+use lab::{ChatAnswer, Outcome};
 use serde::Serialize;
 
 /// The results of one run.
@@ -55,15 +55,15 @@
     /// Counts one answer. `known_digests` holds the digests of the complete versions.
     pub fn count(&mut self, answer: &ChatAnswer, known_digests: &[String]) {
         self.requests += 1;
-        match answer.ending {
-            Ending::Whole if known_digests.contains(&answer.fingerprint) => self.whole += 1,
-            Ending::Whole | Ending::Partial => self.partial_served += 1,
-            Ending::Crossed => self.mixed_served += 1,
-            Ending::NotRun(code) => {
+        match answer.outcome {
+            Outcome::Complete if known_digests.contains(&answer.fingerprint) => self.whole += 1,
+            Outcome::Complete | Outcome::Truncated => self.partial_served += 1,
+            Outcome::Mixed => self.mixed_served += 1,
+            Outcome::NotRun(code) => {
                 self.not_run += 1;
                 *self.not_run_reasons.entry(code.name()).or_default() += 1;
             }
-            Ending::Unknown(_) => self.unknown += 1,
+            Outcome::Unknown(_) => self.unknown += 1,
         }
     }
 }
--- a/examples/control/daemons.rs
+++ b/examples/control/daemons.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-use client::Operator;
+use client::OperatorClient;
 use fleet::{Hall, Instance, InstanceId, ListedState, Location, Process, Region};
 use rustix::process::{kill_process, Pid, Signal};
 use standins::PlatformStandIn;
@@ -112,8 +112,8 @@
 
 impl Daemon {
     /// A client for the operator address.
-    pub fn operator(&self) -> Operator {
-        Operator::new(self.operators, OPERATOR_TOKEN)
+    pub fn operator(&self) -> OperatorClient {
+        OperatorClient::new(self.operators, OPERATOR_TOKEN)
     }
 
     /// Sends a signal to the process.
--- a/examples/control/run.rs
+++ b/examples/control/run.rs
@@ -98,7 +98,7 @@
         let percent_done = number * 100 / args.changes;
         platform.table.faults.set_down(args.has("table") && (20..40).contains(&percent_done));
         let lost = args.has("lost") && (40..70).contains(&percent_done);
-        platform.table.faults.set_lost_percent(if lost { LOST_PERCENT } else { 0 });
+        platform.table.faults.set_response_loss_percent(if lost { LOST_PERCENT } else { 0 });
         if args.has("pause") && percent_done >= 50 && paused.is_none() {
             daemons.all[2].signal(Signal::STOP)?;
             paused = Some(Instant::now());
@@ -118,7 +118,7 @@
         daemons.all[2].signal(Signal::CONT)?;
     }
     platform.table.faults.set_down(false);
-    platform.table.faults.set_lost_percent(0);
+    platform.table.faults.set_response_loss_percent(0);
     Ok(accepted)
 }
 
--- a/examples/requests/faults.rs
+++ b/examples/requests/faults.rs
@@ -42,7 +42,7 @@
         let table = &lab.platform.table.faults;
         table.set_down(args.has("table") && within(fraction(), TABLE_DOWN));
         let lost = args.has("lost") && within(fraction(), LOST);
-        table.set_lost_percent(if lost { LOST_PERCENT } else { 0 });
+        table.set_response_loss_percent(if lost { LOST_PERCENT } else { 0 });
         if args.has("leave") && fraction() >= LEAVE_AT && leaving.is_none() {
             leaving = leave(lab).await?;
         }
@@ -87,7 +87,7 @@
 impl LeavingEngine {
     /// Records the time if the engine has answered another request since the last call.
     fn poll(&mut self) {
-        let answered = self.engine.answered();
+        let answered = self.engine.completions_started();
         if answered != self.answered {
             self.answered = answered;
             self.last_answer_s = self.accepted.elapsed().as_secs_f64();
@@ -109,7 +109,7 @@
     let Some(engine) = agent.engine.clone() else {
         return Ok(None);
     };
-    let answered = engine.answered();
+    let answered = engine.completions_started();
     let accepted = Instant::now();
     Ok(Some(LeavingEngine { engine, accepted, answered, last_answer_s: 0.0 }))
 }
--- a/examples/requests/load.rs
+++ b/examples/requests/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use errors::Code;
-use lab::{ChatAnswer, ChatCaller, Ending};
+use lab::{ChatAnswer, ChatCaller, Outcome};
 use rand::rngs::StdRng;
 use rand::Rng;
 
@@ -23,8 +23,8 @@
 /// How long a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The ending that a caller records if it cannot connect to an entry.
-const ENTRY_UNREACHABLE: Ending = Ending::NotRun(Code::Unreachable);
+/// The outcome that a caller records if it cannot connect to an entry.
+const ENTRY_UNREACHABLE: Outcome = Outcome::NotRun(Code::Unreachable);
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,13 +86,13 @@
     }
 }
 
-/// The outcome of a request.
+/// The result of a request.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct RequestResult {
     /// The request.
     pub planned: PlannedRequest,
-    /// The ending of each attempt.
-    pub endings: Vec<Ending>,
+    /// The outcome of each attempt.
+    pub outcomes: Vec<Outcome>,
     /// Whether the first attempt was answered completely and in time.
     pub on_time: bool,
     /// Time to the first token, for completions.
@@ -107,49 +107,49 @@
     entries: &[SocketAddr],
     number: usize,
     late: Duration,
-) -> Outcome {
+) -> RequestResult {
     let entry = entries[number % entries.len()];
     if planned.kind == Kind::Chat {
-        let outcome = chat(planned.clone(), entry, late).await;
-        if outcome.endings[0] == ENTRY_UNREACHABLE {
+        let result = chat(planned.clone(), entry, late).await;
+        if result.outcomes[0] == ENTRY_UNREACHABLE {
             // A load balancer would retry at the next entry.
             return chat(planned, entries[(number + 1) % entries.len()], late).await;
         }
-        return outcome;
+        return result;
     }
     let start = std::time::Instant::now();
     let path = if planned.kind == Kind::Post { "/till/shift" } else { "/till/payslip/1" };
     let body = planned.text.clone().into_bytes();
     let headers: Vec<(&str, &str)> =
         planned.key.iter().map(|key| ("idempotency-key", key.as_str())).collect();
-    let mut ending = lab::post(entry, path, &headers, body.clone(), ANSWER_TIMEOUT).await;
-    if ending == ENTRY_UNREACHABLE {
+    let mut outcome = lab::post(entry, path, &headers, body.clone(), ANSWER_TIMEOUT).await;
+    if outcome == ENTRY_UNREACHABLE {
         let other = entries[(number + 1) % entries.len()];
-        ending = lab::post(other, path, &headers, body.clone(), ANSWER_TIMEOUT).await;
+        outcome = lab::post(other, path, &headers, body.clone(), ANSWER_TIMEOUT).await;
     }
-    let on_time = ending == Ending::Whole && start.elapsed() + late <= planned.kind.limit();
-    let mut endings = vec![ending];
+    let on_time = outcome == Outcome::Complete && start.elapsed() + late <= planned.kind.limit();
+    let mut outcomes = vec![outcome];
     if planned.key.is_some() {
         // The caller repeats the request through another entry, as a load balancer may choose one.
         let other = entries[(number + 1) % entries.len()];
-        endings.push(lab::post(other, path, &headers, body, ANSWER_TIMEOUT).await);
+        outcomes.push(lab::post(other, path, &headers, body, ANSWER_TIMEOUT).await);
     }
-    Outcome { planned, endings, on_time, first_token: None, longest_gap: Duration::ZERO }
+    RequestResult { planned, outcomes, on_time, first_token: None, longest_gap: Duration::ZERO }
 }
 
-async fn chat(planned: PlannedRequest, entry: SocketAddr, late: Duration) -> Outcome {
+async fn chat(planned: PlannedRequest, entry: SocketAddr, late: Duration) -> RequestResult {
     let caller = ChatCaller {
         address: entry,
         model: MODEL.to_owned(),
         tokens: ANSWER_TOKENS,
         stream: true,
-        patience: ANSWER_TIMEOUT,
+        timeout: ANSWER_TIMEOUT,
     };
-    let ChatAnswer { ending, first_token, longest_gap, .. } = caller.chat(&planned.text).await;
+    let ChatAnswer { outcome, first_token, longest_gap, .. } = caller.chat(&planned.text).await;
     let first_token = first_token.map(|span| span + late);
     let in_time = first_token.is_some_and(|span| span <= planned.kind.limit());
-    let on_time = ending == Ending::Whole && in_time;
-    Outcome { planned, endings: vec![ending], on_time, first_token, longest_gap }
+    let on_time = outcome == Outcome::Complete && in_time;
+    RequestResult { planned, outcomes: vec![outcome], on_time, first_token, longest_gap }
 }
 
 impl Kind {
--- a/examples/requests/overhead.rs
+++ b/examples/requests/overhead.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use lab::{Ending, Lab};
+use lab::{Lab, Outcome};
 
 /// Number of requests sent on each path, alternating so that a slowdown of the machine affects both.
 const REQUESTS: usize = 400;
@@ -54,6 +54,6 @@
 async fn measure_request(address: SocketAddr, number: usize) -> Option<u64> {
     let body = format!("{{\"overhead\":{number}}}").into_bytes();
     let start = Instant::now();
-    let ending = lab::post(address, "/till/payslip/1", &[], body, REQUEST_TIMEOUT).await;
-    (ending == Ending::Whole).then(|| start.elapsed().as_micros() as u64)
+    let outcome = lab::post(address, "/till/payslip/1", &[], body, REQUEST_TIMEOUT).await;
+    (outcome == Outcome::Complete).then(|| start.elapsed().as_micros() as u64)
 }
--- a/examples/requests/report.rs
+++ b/examples/requests/report.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hdrhistogram::Histogram;
-use lab::Ending;
+use lab::Outcome;
 use serde::Serialize;
 
-use crate::load::{Kind, Outcome};
+use crate::load::{Kind, RequestResult};
 
 /// The results of one run.
 #[derive(Debug, Default, Serialize)]
@@ -58,28 +58,28 @@
 }
 
 impl Report {
-    /// Counts the outcomes. `runs` holds how often each till request ran, by the digest of its body.
+    /// Counts the results. `runs` holds how often each till request ran, by the digest of its body.
     pub fn count(
         &mut self,
-        outcomes: &[Outcome],
+        results: &[RequestResult],
         runs: &HashMap<String, u64>,
         seconds: f64,
     ) -> eyre::Result<()> {
         let mut first = Histogram::<u64>::new(3)?;
         let mut gaps = Histogram::<u64>::new(3)?;
         let mut weighted = 0.0;
-        for outcome in outcomes {
-            self.count_endings(outcome);
-            if outcome.on_time {
+        for result in results {
+            self.count_outcomes(result);
+            if result.on_time {
                 self.on_time += 1;
-                weighted += outcome.planned.kind.weight();
+                weighted += result.planned.kind.weight();
             }
-            if let (Some(span), Ending::Whole) = (outcome.first_token, outcome.endings[0]) {
+            if let (Some(span), Outcome::Complete) = (result.first_token, result.outcomes[0]) {
                 first.record(span.as_micros() as u64)?;
-                gaps.record(outcome.longest_gap.as_micros() as u64)?;
+                gaps.record(result.longest_gap.as_micros() as u64)?;
             }
-            if outcome.planned.kind == Kind::Post {
-                self.count_runs(outcome, runs);
+            if result.planned.kind == Kind::Post {
+                self.count_runs(result, runs);
             }
         }
         self.on_time_weighted_per_s = weighted / seconds;
@@ -88,31 +88,31 @@
         Ok(())
     }
 
-    fn count_endings(&mut self, outcome: &Outcome) {
+    fn count_outcomes(&mut self, result: &RequestResult) {
         self.sent += 1;
-        match outcome.endings[0] {
-            Ending::Whole => self.whole += 1,
-            Ending::NotRun(code) => {
+        match result.outcomes[0] {
+            Outcome::Complete => self.whole += 1,
+            Outcome::NotRun(code) => {
                 self.not_run += 1;
                 *self.codes.entry(code.name().to_owned()).or_default() += 1;
             }
-            Ending::Unknown(code) => {
+            Outcome::Unknown(code) => {
                 self.unknown += 1;
                 *self.codes.entry(code.name().to_owned()).or_default() += 1;
             }
-            Ending::Partial => self.cut += 1,
-            Ending::Crossed => self.crossed += 1,
+            Outcome::Truncated => self.cut += 1,
+            Outcome::Mixed => self.crossed += 1,
         }
     }
 
     /// Compares what a caller was told with how often the request ran.
-    fn count_runs(&mut self, outcome: &Outcome, runs: &HashMap<String, u64>) {
-        let digest = blake3::hash(outcome.planned.text.as_bytes()).to_hex().to_string();
+    fn count_runs(&mut self, result: &RequestResult, runs: &HashMap<String, u64>) {
+        let digest = blake3::hash(result.planned.text.as_bytes()).to_hex().to_string();
         let ran = runs.get(&digest).copied().unwrap_or(0);
         self.ran_twice += usize::from(ran > 1);
         // Every attempt has its own answer. "Not run" is false only if no other attempt can be the one that
         // ran.
-        let told_not_run = outcome.endings.iter().all(|it| matches!(it, Ending::NotRun(_)));
+        let told_not_run = result.outcomes.iter().all(|it| matches!(it, Outcome::NotRun(_)));
         self.false_not_run += usize::from(told_not_run && ran > 0);
     }
 }
--- a/examples/requests/run.rs
+++ b/examples/requests/run.rs
@@ -17,7 +17,7 @@
 
 use crate::args::Args;
 use crate::faults::inject_faults;
-use crate::load::{send, Kind, Outcome, PlannedRequest, ANSWER_TOKENS, MODEL};
+use crate::load::{send, Kind, PlannedRequest, RequestResult, ANSWER_TOKENS, MODEL};
 use crate::overhead;
 use crate::report::Report;
 
@@ -57,7 +57,7 @@
     let per_s = chats_per_s / Kind::share(Kind::Chat);
     let entries: Vec<SocketAddr> = lab.entries.iter().map(|it| it.callers()).collect();
     let sending = send_all(executor, args, entries, per_s);
-    let (outcomes, observations) = zip(sending, inject_faults(&lab, args)).await;
+    let (results, observations) = zip(sending, inject_faults(&lab, args)).await;
     let observations = observations?;
     // With faults the fleet is incomplete, so the overhead would not be that of an idle, healthy fleet.
     let overhead = if args.faults.is_empty() { overhead::measure(&lab).await? } else { None };
@@ -73,7 +73,7 @@
         entry_overhead_ratio_p50: overhead.as_ref().map(|it| it.ratio_p50),
         ..Report::default()
     };
-    report.count(&outcomes, &count_runs(&lab), args.seconds)?;
+    report.count(&results, &count_runs(&lab), args.seconds)?;
     lab.stop();
     Ok(report)
 }
@@ -126,9 +126,9 @@
     args: &Args,
     entries: Vec<SocketAddr>,
     per_s: f64,
-) -> Vec<Outcome> {
+) -> Vec<RequestResult> {
     let mut random = StdRng::seed_from_u64(args.seed);
-    let outcomes = Arc::new(Mutex::new(Vec::new()));
+    let results = Arc::new(Mutex::new(Vec::new()));
     let entries = Arc::new(entries);
     let start = Instant::now();
     let mut next_send_s = 0.0;
@@ -137,10 +137,10 @@
         Timer::at(start + Duration::from_secs_f64(next_send_s)).await;
         let late = start.elapsed().saturating_sub(Duration::from_secs_f64(next_send_s));
         let planned = PlannedRequest::generate(&mut random, sent);
-        let (outcomes, entries) = (outcomes.clone(), entries.clone());
+        let (results, entries) = (results.clone(), entries.clone());
         let call = async move {
-            let outcome = send(planned, &entries, sent, late).await;
-            outcomes.lock().expect("the lock is never poisoned").push(outcome);
+            let result = send(planned, &entries, sent, late).await;
+            results.lock().expect("the lock is never poisoned").push(result);
         };
         executor.spawn(call).detach();
         sent += 1;
@@ -148,14 +148,14 @@
         next_send_s += -(1.0 - random.random::<f64>()).ln() / per_s;
     }
     let waiting = Instant::now();
-    while outcomes.lock().expect("the lock is never poisoned").len() < sent {
+    while results.lock().expect("the lock is never poisoned").len() < sent {
         if waiting.elapsed() > ANSWER_WAIT {
             break;
         }
         Timer::after(Duration::from_millis(20)).await;
     }
-    let outcomes = outcomes.lock().expect("the lock is never poisoned");
-    outcomes.clone()
+    let results = results.lock().expect("the lock is never poisoned");
+    results.clone()
 }
 
 /// How often each request body ran, over all instances of the service.
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -12,7 +12,7 @@
 
 use std::path::PathBuf;
 
-use client::Operator;
+use client::OperatorClient;
 use errors::{Code, Error, Result};
 
 use crate::cli::Cli;
@@ -23,7 +23,7 @@
 const TOKEN_FILE_VARIABLE: &str = "SILVERDOCK_TOKEN_FILE";
 
 /// Returns a client for the entry that the arguments or the environment specify.
-pub fn operator_client(cli: &Cli) -> Result<Operator> {
+pub fn operator_client(cli: &Cli) -> Result<OperatorClient> {
     let variable = std::env::var(ENTRY_VARIABLE).ok();
     let entry = cli.entry.or_else(|| variable.and_then(|text| text.parse().ok()));
     let entry =
@@ -35,7 +35,7 @@
     })?;
     let text = std::fs::read_to_string(&file);
     let text = text.map_err(|error| usage_error(&format!("{}: {error}", file.display())))?;
-    Ok(Operator::new(entry, text.lines().next().unwrap_or_default()))
+    Ok(OperatorClient::new(entry, text.lines().next().unwrap_or_default()))
 }
 
 /// Reads log files. Invalid UTF-8 is replaced, because a log may be truncated in the middle of a character.
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -124,7 +124,7 @@
     let test_fleet = TestFleet::new("lost");
     let version = test_fleet.publish("v1");
     let (plan, _) = test_fleet.deploy(&version, "1");
-    test_fleet.lab.platform.table.faults.set_lost_percent(60);
+    test_fleet.lab.platform.table.faults.set_response_loss_percent(60);
     let (mut answer, mut code) = test_fleet.confirm(&plan);
     // Code 306 asks the operator to confirm the same plan again; 305 reports that the table is unavailable.
     while code != 0 {
@@ -132,7 +132,7 @@
         (answer, code) = test_fleet.confirm(&plan);
     }
     assert_eq!(answer["revision"], 1);
-    assert!(test_fleet.lab.platform.table.faults.lost() > 0);
+    assert!(test_fleet.lab.platform.table.faults.dropped_responses() > 0);
 }
 
 #[test]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,7 +7,7 @@
 use async_io::block_on;
 use errors::Code;
 use fleet::{Intent, ServiceName};
-use lab::{ChatCaller, Ending, Lab, LabOptions};
+use lab::{ChatCaller, Lab, LabOptions, Outcome};
 use settings::RequestKind;
 
 /// Timeout of any single wait; a test that exceeds it fails.
@@ -40,7 +40,7 @@
         model: "tips".into(),
         tokens: 4,
         stream: true,
-        patience: TEST_TIMEOUT,
+        timeout: TEST_TIMEOUT,
     }
 }
 
@@ -52,9 +52,9 @@
     let content = content(1);
     go_live(&lab, &content);
     let answer = block_on(caller(&lab).chat("a question"));
-    assert_eq!(answer.ending, Ending::Whole);
+    assert_eq!(answer.outcome, Outcome::Complete);
     assert_eq!(answer.fingerprint, blake3::hash(&content).to_hex().to_string());
-    let damaged: u64 = lab.agents.iter().map(|agent| agent.link.corrupted()).sum();
+    let damaged: u64 = lab.agents.iter().map(|agent| agent.link.corrupted_chunks()).sum();
     assert!(damaged > 0);
 }
 
@@ -90,7 +90,7 @@
     let mut switched = false;
     while !switched {
         let answer = block_on(caller(&lab).chat("a question"));
-        assert_eq!(answer.ending, Ending::Whole);
+        assert_eq!(answer.outcome, Outcome::Complete);
         assert!(known.contains(&answer.fingerprint));
         switched = lab.live(manifest.version()).len() == 3;
     }
@@ -121,11 +121,11 @@
         let headers = [("idempotency-key", "shift-7")];
         block_on(lab::post(address, "/till/shift", &headers, b"total".to_vec(), TEST_TIMEOUT))
     };
-    assert_eq!(post(0), Ending::Whole);
+    assert_eq!(post(0), Outcome::Complete);
     // Until the answer is stored, a repeated request is refused with `InProgress`.
     let mut again = post(1);
-    while again != Ending::Whole {
-        assert_eq!(again, Ending::Unknown(Code::InProgress));
+    while again != Outcome::Complete {
+        assert_eq!(again, Outcome::Unknown(Code::InProgress));
         again = post(1);
     }
     let runs: u64 = lab
@@ -136,7 +136,7 @@
         .sum();
     assert_eq!(runs, 1);
     lab.platform.table.faults.set_down(true);
-    assert_eq!(post(0), Ending::NotRun(Code::ClaimUnavailable));
+    assert_eq!(post(0), Outcome::NotRun(Code::ClaimUnavailable));
 }
 
 #[test]
@@ -152,12 +152,12 @@
         || leaving_agent.node.with_state(|it| it.control.configuration().revision >= revision);
     block_on(lab.wait(TEST_TIMEOUT, has_applied_revision)).unwrap();
     let engine = leaving_agent.engine.as_ref().unwrap();
-    let before = engine.answered();
+    let before = engine.completions_started();
     for number in 0..20 {
         let answer = block_on(caller(&lab).chat(&format!("question {number}")));
-        assert_eq!(answer.ending, Ending::Whole);
+        assert_eq!(answer.outcome, Outcome::Complete);
     }
-    assert_eq!(engine.answered(), before);
+    assert_eq!(engine.completions_started(), before);
 }
 
 #[test]
--- a/tests/upstream_rest.rs
+++ b/tests/upstream_rest.rs
@@ -11,7 +11,7 @@
 use async_executor::Executor;
 use async_io::block_on;
 use fleet::ServiceName;
-use lab::{Ending, Lab, LabOptions};
+use lab::{Lab, LabOptions, Outcome};
 use settings::RequestKind;
 
 /// Timeout of any single wait; a test that exceeds it fails.
@@ -69,7 +69,7 @@
         }
     };
     std::thread::scope(|scope| (0..CALLER_COUNT).for_each(|_| drop(scope.spawn(call_repeatedly))));
-    let rejected = shedding.turned_away();
+    let rejected = shedding.rejected_at();
     assert!(!rejected.is_empty(), "it was asked");
     let count_during_rest =
         |at: Instant| rejected.iter().filter(|it| (at + TRANSIT..at + REST).contains(it)).count();
@@ -85,7 +85,7 @@
         for _ in 0..CALLER_COUNT {
             scope.spawn(|| {
                 for _ in 0..20 {
-                    assert_eq!(call(number.fetch_add(1, Ordering::Relaxed)), Ending::Whole);
+                    assert_eq!(call(number.fetch_add(1, Ordering::Relaxed)), Outcome::Complete);
                 }
             });
         }
