--- a/daemon/tests/deployment/evacuations.rs
+++ b/daemon/tests/deployment/evacuations.rs
@@ -36,7 +36,7 @@
     deployment.standin.evacuate("a");
     wait_until("the gateway knows of the evacuation", || is_evacuated(&deployment, gateway, 1));
     assert_eq!(calls_in_a(&deployment, gateway, "left"), 0);
-    deployment.standin.take_back("a");
+    deployment.standin.end_evacuation("a");
     wait_until("the gateway knows of its end", || is_evacuated(&deployment, gateway, 0));
     assert_eq!(calls_in_a(&deployment, gateway, "back"), CALL_COUNT);
 }
@@ -47,8 +47,8 @@
     deployment.standin.evacuate("a");
     wait_until("the gateway knows of the evacuation", || is_evacuated(&deployment, gateway, 1));
     deployment.standin.set_store_fault(StoreFault::Busy);
-    deployment.standin.take_back("a");
-    deployment.standin.forget_history();
+    deployment.standin.end_evacuation("a");
+    deployment.standin.discard_history();
     std::thread::sleep(Duration::from_millis(2500));
     assert_eq!(
         calls_in_a(&deployment, gateway, "out"),
@@ -75,7 +75,7 @@
     let runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    wait_until("a stream is served", || stream(gateway, "first").whole);
+    wait_until("a stream is served", || stream(gateway, "first").is_complete);
     deployment.standin.evacuate("a");
     wait_until("the sidecar knows of the evacuation", || is_evacuated(&deployment, runner, 1));
     let answer = stream(gateway, "refused");
--- a/daemon/tests/deployment/leaving.rs
+++ b/daemon/tests/deployment/leaving.rs
@@ -26,7 +26,7 @@
 /// before.
 fn silence_store(deployment: &Deployment) {
     let before = deployment.standin.unanswered_calls("servers");
-    deployment.standin.set_store_fault(StoreFault::Silent);
+    deployment.standin.set_store_fault(StoreFault::NoResponse);
     wait_until("the silent store has taken a call for the list", || {
         deployment.standin.unanswered_calls("servers") > before
     });
@@ -85,7 +85,7 @@
 ) {
     let method = if path.starts_with("/get") { Method::GET } else { Method::POST };
     silence_store(deployment);
-    deployment.standin.change_runner(runner, |it| it.draining = true);
+    deployment.standin.change_runner(runner, |it| it.is_leaving = true);
     let has_sidecar = deployment.standin.runner(runner).is_some_and(|it| it.model);
     let known_at = wait_for_leave_notice(gateway, &method, path, has_sidecar);
     let answers = call_repeatedly(gateway, &method, path, known_at);
@@ -131,7 +131,7 @@
         ran("e1") && ran("e2")
     });
     silence_store(&deployment);
-    deployment.standin.change_runner(model, |it| it.draining = true);
+    deployment.standin.change_runner(model, |it| it.is_leaving = true);
     std::thread::sleep(SIDECAR_NOTICE_PERIOD);
     let id = |number: u32| format!("heard-{number}");
     std::thread::scope(|scope| {
--- a/daemon/tests/deployment/limits.rs
+++ b/daemon/tests/deployment/limits.rs
@@ -189,7 +189,7 @@
         .collect();
     let refused: Vec<_> = answers.iter().filter(|it| it.status == 503).collect();
     assert!(refused.len() > 40, "{} of {} are refused", refused.len(), answers.len());
-    let refused_at_once = refused.iter().filter(|it| it.took < REFUSAL_BOUND).count();
+    let refused_at_once = refused.iter().filter(|it| it.duration < REFUSAL_BOUND).count();
     assert!(
         refused_at_once * 10 >= refused.len() * 9,
         "{refused_at_once} of {} were refused immediately",
--- a/daemon/tests/deployment/logs.rs
+++ b/daemon/tests/deployment/logs.rs
@@ -38,7 +38,7 @@
     wait_until("streams are served", || is_whole_stream(&stream(gateway, "w"), "w"));
     deployment.standin.change_runner(runner, |it| it.fault = RunnerFault::CutAfter(5));
     let answer = stream(gateway, "cut-1");
-    assert!(answer.status == 200 && !answer.whole, "{answer:?}");
+    assert!(answer.status == 200 && !answer.is_complete, "{answer:?}");
     let account = deployment.account("cut-1");
     assert!(account.cause.contains("broke off"), "{account}");
     assert!(account.cause.contains("e1 ended with CutShort"), "{account}");
--- a/daemon/tests/deployment/main.rs
+++ b/daemon/tests/deployment/main.rs
@@ -47,7 +47,7 @@
         let runs = deployment.standin.runs(&id);
         assert_eq!(runs.len(), 1);
         assert_eq!(runs[0].tenant.as_deref(), Some("t1"));
-        assert!(!runs[0].saw_key, "the gateway does not forward the key");
+        assert!(!runs[0].received_api_key, "the gateway does not forward the key");
     }
     let answer = Caller::new(Method::GET, "/get/x", "g1").call(gateway);
     assert_eq!((answer.status, answer.body.as_str()), (200, "ledger g1"));
@@ -112,7 +112,7 @@
     deployment.wait_until_ready(gateway);
     deployment.standin.change_runner(cutting_runner, |it| it.fault = RunnerFault::CutAfter(5));
     wait_until("a stream reaches the runner that cuts it off", || {
-        !stream(gateway, "first").whole && !deployment.standin.runs("first").is_empty()
+        !stream(gateway, "first").is_complete && !deployment.standin.runs("first").is_empty()
     });
     deployment.add_model_runner("e2", Some(1));
     let (mut resumed, mut number) = (0, 0);
@@ -142,7 +142,7 @@
     }
     let answer = Caller::new(Method::POST, "/post/x", "once").call(gateway);
     assert_eq!(deployment.standin.runs("once").len(), 1);
-    assert!(answer.status == 502 || answer.status == 0 || !answer.whole, "{answer:?}");
+    assert!(answer.status == 502 || answer.status == 0 || !answer.is_complete, "{answer:?}");
 }
 
 /// Returns the address of another machine of the gateway's deployment.
@@ -160,7 +160,7 @@
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     let full = std::net::SocketAddr::new(machine_address(gateway, 1), 8001);
-    deployment.standin.change_runner(full, |it| it.fault = RunnerFault::Full);
+    deployment.standin.change_runner(full, |it| it.fault = RunnerFault::RejectAll);
     for number in 0..10 {
         let id = format!("f{number}");
         assert_eq!(Caller::new(Method::POST, "/post/x", &id).call(gateway).status, 200);
@@ -174,7 +174,7 @@
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     let leaving = std::net::SocketAddr::new(machine_address(gateway, 1), 8001);
-    deployment.standin.change_runner(leaving, |it| it.draining = true);
+    deployment.standin.change_runner(leaving, |it| it.is_leaving = true);
     std::thread::sleep(Duration::from_millis(2000));
     for number in 0..20 {
         let id = format!("d{number}");
@@ -214,7 +214,7 @@
             known.is_some_and(|it| it.ends_with(" 1"))
         });
     }
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     for runner in [full, empty] {
         deployment.wait_for_version(runner, 2);
     }
@@ -232,7 +232,7 @@
     let read = deployment.standin.runner_reads();
     deployment.signal(gateway.ip(), Signal::KILL);
     let killed = Instant::now();
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     for runner in [full, empty] {
         deployment.wait_for_version(runner, 2);
     }
@@ -256,18 +256,18 @@
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     deployment.wait_for_version(empty, 1);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     for runner in [first, empty] {
         deployment.wait_for_version(runner, 2);
         let engine = deployment.standin.runner(runner).unwrap();
-        assert!(!engine.took_mixture, "the weights are complete and of one version");
+        assert!(!engine.loaded_mixed_weights, "the weights are complete and of one version");
     }
     // A chunk that is corrupted on the machine of the runner is not used.
-    deployment.standin.change_runner(empty, |it| it.spoil(7));
-    deployment.standin.name_version(3);
+    deployment.standin.change_runner(empty, |it| it.corrupt_chunk(7));
+    deployment.standin.announce_version(3);
     for runner in [first, empty] {
         deployment.wait_for_version(runner, 3);
-        assert!(!deployment.standin.runner(runner).unwrap().took_mixture);
+        assert!(!deployment.standin.runner(runner).unwrap().loaded_mixed_weights);
     }
     let answer = stream(gateway, "after");
     assert!(is_whole_stream(&answer, "after"), "{answer:?}");
--- a/daemon/tests/deployment/narrow_paths.rs
+++ b/daemon/tests/deployment/narrow_paths.rs
@@ -98,15 +98,15 @@
     let runner = deployment.add_model_runner("e1", Some(1));
     let proxy = HoldingProxy::start(runner);
     let listed = proxy.address;
-    deployment.standin.change_runner(runner, |it| it.listed_at = Some(listed));
+    deployment.standin.change_runner(runner, |it| it.advertised_address = Some(listed));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    wait_until("streams are served", || stream(gateway, "first").whole);
+    wait_until("streams are served", || stream(gateway, "first").is_complete);
     // No chunk of the new version is available.
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
     // Changes after this wait are not taken for changes from before the start of the gateway.
     thread::sleep(SETTLE_TIME);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
 
     sleep_until(bound - SENT_BEFORE_BOUND);
@@ -114,7 +114,7 @@
     let mut request = Caller::new(http::Method::POST, "/s/x", "late");
     request.deadline_ms = 1000;
     let answer = request.call(gateway);
-    assert!(!answer.whole || answer.status != 200, "no runner could serve it: {answer:?}");
+    assert!(!answer.is_complete || answer.status != 200, "no runner could serve it: {answer:?}");
     assert!(proxy.has_held.load(Ordering::SeqCst), "the request was sent to the runner");
     sleep_until(bound + DELIVERED_AFTER_BOUND);
     proxy.hold(false);
@@ -139,13 +139,13 @@
     let runner = deployment.add_model_runner("e1", Some(1));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    wait_until("streams are served", || stream(gateway, "first").whole);
+    wait_until("streams are served", || stream(gateway, "first").is_complete);
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
     thread::sleep(SETTLE_TIME);
     // The gateway learns of this change immediately and then pauses.
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(4001));
     thread::sleep(Duration::from_millis(30));
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
 
     sleep_until(bound - GIVEN_UP_BEFORE_BOUND);
--- a/daemon/tests/deployment/outages.rs
+++ b/daemon/tests/deployment/outages.rs
@@ -25,7 +25,7 @@
 /// last one arrives shortly before the end of the silence. Returns the time at which the store answers again.
 fn silence_store(deployment: &Deployment, table: &str, calls: u64) -> Instant {
     let before = deployment.standin.unanswered_calls(table);
-    deployment.standin.set_store_fault(StoreFault::Silent);
+    deployment.standin.set_store_fault(StoreFault::NoResponse);
     wait_until("the silent store has accepted the calls", || {
         deployment.standin.unanswered_calls(table) >= before + calls
     });
@@ -69,7 +69,7 @@
     deployment.wait_until_ready(gateway);
     let available_at = silence_store(&deployment, "servers", 1);
     let leaving = SocketAddr::new(machine_address(gateway, 1), 8001);
-    deployment.standin.change_runner(leaving, |it| it.draining = true);
+    deployment.standin.change_runner(leaving, |it| it.is_leaving = true);
     std::thread::sleep(CONTACT_BOUND.saturating_sub(available_at.elapsed()));
     for number in 0..20 {
         let id = format!("d{number}");
@@ -89,7 +89,7 @@
     let mut no_key = Caller::new(Method::GET, "/get/x", "k1");
     no_key.key = "new".into();
     assert_eq!((no_route.call(gateway).status, no_key.call(gateway).status), (404, 401));
-    deployment.standin.set_store_fault(StoreFault::Silent);
+    deployment.standin.set_store_fault(StoreFault::NoResponse);
     wait_until("the gateway notices the outage", || no_route.call(gateway).status == 503);
     for caller in [&no_route, &no_key] {
         let answer = caller.call(gateway);
@@ -110,9 +110,9 @@
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    deployment.standin.set_store_fault(StoreFault::Silent);
+    deployment.standin.set_store_fault(StoreFault::NoResponse);
     deployment.standin.reconfigure(|it| it["routes"][1]["pathPrefix"] = serde_json::json!("/new/"));
-    deployment.standin.forget_history();
+    deployment.standin.discard_history();
     deployment.standin.set_store_fault(StoreFault::None);
     wait_until("the new route is in force", || {
         Caller::new(Method::GET, "/new/x", "h1").call(gateway).status == 200
@@ -146,7 +146,7 @@
         });
     }
     deployment.standin.reconfigure(|it| it["routes"][1]["pathPrefix"] = json!("/new/"));
-    deployment.standin.forget_history();
+    deployment.standin.discard_history();
     deployment.standin.set_store_fault(StoreFault::None);
     wait_until("both tables are read", || {
         let log = deployment.log(gateway.ip());
@@ -175,12 +175,12 @@
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    deployment.standin.set_store_fault(StoreFault::Late);
+    deployment.standin.set_store_fault(StoreFault::DelayedResponses);
     let late_answers = || deployment.standin.late_answers("op");
     // The call of the first one may have been sent before answers were delayed.
     let before = late_answers();
     wait_until("an answer has been made", || late_answers() > before + 1);
-    deployment.standin.set_store_fault(StoreFault::Silent);
+    deployment.standin.set_store_fault(StoreFault::NoResponse);
     deployment.standin.reconfigure(|it| {
         let mut route = it["routes"][1].clone();
         route["name"] = json!("new");
@@ -206,7 +206,7 @@
     deployment.standin.set_store_fault(StoreFault::Busy);
     // The gateway's feed ends within five seconds, and then the gateway knows of the outage.
     std::thread::sleep(Duration::from_millis(6000));
-    machines.iter().for_each(|it| deployment.standin.unlist_runner(*it));
+    machines.iter().for_each(|it| deployment.standin.remove_runner_from_list(*it));
     deployment.standin.set_store_fault(StoreFault::None);
     for number in 0..15 {
         let id = format!("l{number}");
@@ -233,14 +233,16 @@
     let mut deployment = Deployment::start();
     let gateway = deployment.add_gateway();
     let machine = |it: u8| SocketAddr::new(machine_address(gateway, it), 8001);
-    deployment.standin.add_runner(machine(3), platform_standin::Engine::plain("l3", "ledger", "a"));
+    deployment
+        .standin
+        .add_runner(machine(3), platform_standin::RunnerStandin::plain("l3", "ledger", "a"));
     deployment.wait_until_ready(gateway);
     wait_until("the gateway knows all three", || {
         deployment.log(gateway.ip()).contains(r#""runner":"l3""#)
     });
     deployment.standin.set_store_fault(StoreFault::Busy);
     std::thread::sleep(Duration::from_millis(6000));
-    deployment.standin.unlist_runner(machine(1));
+    deployment.standin.remove_runner_from_list(machine(1));
     deployment.standin.set_store_fault(StoreFault::None);
     // The pause after a failed call is at most 1.4 s.
     std::thread::sleep(Duration::from_millis(1700));
@@ -257,7 +259,7 @@
 #[test]
 fn a_configuration_that_arrives_slowly_is_read_completely() {
     let mut deployment = Deployment::start();
-    deployment.standin.set_store_fault(StoreFault::Narrow);
+    deployment.standin.set_store_fault(StoreFault::SlowTransfer);
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
     assert_eq!(Caller::new(Method::GET, "/get/x", "slow").call(gateway).status, 200);
--- a/daemon/tests/deployment/rests.rs
+++ b/daemon/tests/deployment/rests.rs
@@ -49,7 +49,7 @@
         call(&format!("{id}-{number}"));
     }
     wait_for_run(deployment, &id, "before", &call);
-    deployment.standin.change_runner(runner, |it| it.sheds = Some(REST_PERIOD));
+    deployment.standin.change_runner(runner, |it| it.reject_with_retry_after = Some(REST_PERIOD));
     let begun = Instant::now();
     let mut refused = 0;
     for number in 0.. {
@@ -60,7 +60,7 @@
         std::thread::sleep(CALL_PAUSE);
     }
     let all: Vec<_> =
-        deployment.standin.turned_away().into_iter().filter(|it| it.runner == id).collect();
+        deployment.standin.rejected_requests().into_iter().filter(|it| it.runner == id).collect();
     assert!(!all.is_empty(), "{id} was asked");
     let max_requests = all.iter().map(|it| count_during_rest(it, &all)).max().unwrap_or(0);
     assert!(
@@ -68,7 +68,7 @@
         "{max_requests} requests reached {id} within {REST_PERIOD:?} of rest"
     );
     assert_eq!(refused, 0, "the other runners serve all requests");
-    deployment.standin.change_runner(runner, |it| it.sheds = None);
+    deployment.standin.change_runner(runner, |it| it.reject_with_retry_after = None);
     std::thread::sleep(REST_PERIOD);
     let rest_ended_at = Instant::now();
     wait_for_run(deployment, &id, "afterwards", &call);
--- a/daemon/tests/deployment/slow_callers.rs
+++ b/daemon/tests/deployment/slow_callers.rs
@@ -106,7 +106,7 @@
     let gateway = deployment.add_gateway();
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(TIMEOUT_MS));
     deployment.wait_until_ready(gateway);
-    wait_until("streams are served", || stream(gateway, "first").whole);
+    wait_until("streams are served", || stream(gateway, "first").is_complete);
     deployment.standin.change_runner(runner, |it| it.padding = HUGE_EVENT_BYTES);
     let _connection = Connection::begin(gateway, "POST", "/s/x", "unread", 8000, 0);
     let is_running = || deployment.standin.runner(runner).is_some_and(|it| it.running > 0);
@@ -130,7 +130,7 @@
         (it.fault, it.padding) = (RunnerFault::CutAfter(5), padding);
     });
     wait_until("a stream reaches the runner that cuts it off", || {
-        !stream(gateway, "first").whole && !deployment.standin.runs("first").is_empty()
+        !stream(gateway, "first").is_complete && !deployment.standin.runs("first").is_empty()
     });
     let second_runner = deployment.add_model_runner("e2", Some(1));
     deployment.standin.change_runner(second_runner, |it| it.padding = padding);
--- a/daemon/tests/deployment/starts_between_versions.rs
+++ b/daemon/tests/deployment/starts_between_versions.rs
@@ -32,13 +32,13 @@
     let (other_gateway, restarted_gateway) = (deployment.add_gateway(), deployment.add_gateway());
     deployment.wait_until_ready(other_gateway);
     deployment.wait_until_ready(restarted_gateway);
-    wait_until("streams are served", || stream(restarted_gateway, "first").whole);
+    wait_until("streams are served", || stream(restarted_gateway, "first").is_complete);
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
     thread::sleep(SETTLE_TIME);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
     thread::sleep(VERSION_INTERVAL);
-    deployment.standin.name_version(3);
+    deployment.standin.announce_version(3);
     thread::sleep(POWER_LOSS_DELAY);
     let mut lost_machines = vec![runner.ip(), restarted_gateway.ip()];
     if !other_gateway_survives {
--- a/daemon/tests/deployment/store_rollbacks.rs
+++ b/daemon/tests/deployment/store_rollbacks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use http::Method;
-use platform_standin::{Caller, Engine, StoreFault};
+use platform_standin::{Caller, RunnerStandin, StoreFault};
 use serde_json::json;
 
 use crate::machine_address;
@@ -59,11 +59,11 @@
     raise_revision(&deployment, gateway);
     deployment.standin.evacuate("b");
     wait_until("the gateway knows of the evacuation", || knows_evacuated(&deployment, gateway, 1));
-    deployment.standin.take_back("b");
+    deployment.standin.end_evacuation("b");
     wait_until("the gateway knows of its end", || knows_evacuated(&deployment, gateway, 0));
-    let lost = deployment.standin.go_back(COPY_AGE);
+    let lost = deployment.standin.restore_older_copy(COPY_AGE);
     std::thread::sleep(REFUSAL_PERIOD);
-    deployment.standin.write_again(lost);
+    deployment.standin.rewrite_lost_rows(lost);
     deployment.standin.evacuate("a");
     std::thread::sleep(CONTACT_BOUND);
     let runners = runners_of_calls(&deployment, gateway, "left");
@@ -76,7 +76,7 @@
     raise_revision(&deployment, gateway);
     std::thread::sleep(FEED_PERIOD);
     deployment.standin.set_store_fault(StoreFault::Busy);
-    drop(deployment.standin.go_back(COPY_AGE));
+    drop(deployment.standin.restore_older_copy(COPY_AGE));
     deployment.standin.reconfigure(|it| {
         let mut route = it["routes"][1].clone();
         route["name"] = json!("new");
@@ -94,10 +94,10 @@
 fn a_version_record_that_the_store_lost_is_written_again() {
     let (deployment, gateway) = start_older_than_copy();
     let recorded = || deployment.standin.row("silverdock_versions", "m").1;
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     wait_until("the version is recorded", || recorded().is_some());
-    let lost = deployment.standin.go_back(COPY_AGE);
-    deployment.standin.write_again(lost);
+    let lost = deployment.standin.restore_older_copy(COPY_AGE);
+    deployment.standin.rewrite_lost_rows(lost);
     assert_eq!(recorded(), None);
     wait_until("it is recorded again", || recorded().is_some());
     assert!(deployment.log(gateway.ip()).contains("store came back from an older copy"));
@@ -107,9 +107,9 @@
 fn a_runner_that_left_gets_no_requests_though_the_copy_lists_it_as_ready() {
     let (deployment, gateway) = start_older_than_copy();
     let leaving = SocketAddr::new(machine_address(gateway, 1), 8001);
-    deployment.standin.change_runner(leaving, |it| it.draining = true);
+    deployment.standin.change_runner(leaving, |it| it.is_leaving = true);
     std::thread::sleep(Duration::from_millis(1500));
-    drop(deployment.standin.go_back(COPY_AGE));
+    drop(deployment.standin.restore_older_copy(COPY_AGE));
     std::thread::sleep(REFUSAL_PERIOD);
     raise_revision(&deployment, gateway);
     std::thread::sleep(Duration::from_millis(800));
@@ -124,15 +124,15 @@
     deployment.standin.evacuate("a");
     wait_until("the gateway knows of the evacuation", || knows_evacuated(&deployment, gateway, 1));
     std::thread::sleep(Duration::from_millis(1500));
-    let lost = deployment.standin.go_back(COPY_AGE);
+    let lost = deployment.standin.restore_older_copy(COPY_AGE);
     std::thread::sleep(Duration::from_millis(1200));
     let runners = runners_of_calls(&deployment, gateway, "lost");
     assert!(runners.iter().all(|it| it.starts_with('b')), "{runners:?}");
-    deployment.standin.write_again(lost);
+    deployment.standin.rewrite_lost_rows(lost);
     std::thread::sleep(CONTACT_BOUND);
     let runners = runners_of_calls(&deployment, gateway, "again");
     assert!(runners.iter().all(|it| it.starts_with('b')), "{runners:?}");
-    deployment.standin.take_back("a");
+    deployment.standin.end_evacuation("a");
     wait_until("the gateway knows of its end", || knows_evacuated(&deployment, gateway, 0));
 }
 
@@ -140,15 +140,15 @@
 fn no_request_is_refused_during_a_rollback() {
     let (deployment, gateway) = start_older_than_copy();
     let new_runner = SocketAddr::new(machine_address(gateway, 33), 8001);
-    deployment.standin.add_runner(new_runner, Engine::plain("b3", "ledger", "b"));
-    deployment.standin.set_store_fault(StoreFault::Silent);
+    deployment.standin.add_runner(new_runner, RunnerStandin::plain("b3", "ledger", "b"));
+    deployment.standin.set_store_fault(StoreFault::NoResponse);
     std::thread::sleep(Duration::from_millis(700));
-    let lost = deployment.standin.go_back(COPY_AGE);
+    let lost = deployment.standin.restore_older_copy(COPY_AGE);
     deployment.standin.set_store_fault(StoreFault::None);
     for number in 0..3 {
         runners_of_calls(&deployment, gateway, &format!("drill-{number}-"));
         std::thread::sleep(Duration::from_millis(500));
     }
-    deployment.standin.write_again(lost);
+    deployment.standin.rewrite_lost_rows(lost);
     runners_of_calls(&deployment, gateway, "after-");
 }
--- a/daemon/tests/deployment/support.rs
+++ b/daemon/tests/deployment/support.rs
@@ -8,7 +8,7 @@
 
 use account::Account;
 use http::Method;
-use platform_standin::{Answer, Caller, Engine, Standin};
+use platform_standin::{Answer, Caller, RunnerStandin, Standin};
 
 use crate::machine_address;
 
@@ -58,7 +58,7 @@
         };
         for name in ["l1", "l2"] {
             let address = SocketAddr::new(deployment.new_machine(), RUNNER_PORT);
-            deployment.standin.add_runner(address, Engine::plain(name, "ledger", "a"));
+            deployment.standin.add_runner(address, RunnerStandin::plain(name, "ledger", "a"));
         }
         deployment
     }
@@ -75,7 +75,7 @@
         let gateway = deployment.add_gateway();
         for (id, machine) in [("b1", 31), ("b2", 32)] {
             let address = SocketAddr::new(machine_address(gateway, machine), RUNNER_PORT);
-            deployment.standin.add_runner(address, Engine::plain(id, "ledger", "b"));
+            deployment.standin.add_runner(address, RunnerStandin::plain(id, "ledger", "b"));
         }
         deployment.wait_until_ready(gateway);
         (deployment, gateway)
@@ -85,7 +85,7 @@
     pub fn add_model_runner(&mut self, id: &str, version: Option<u64>) -> SocketAddr {
         let machine = self.new_machine();
         let address = SocketAddr::new(machine, RUNNER_PORT);
-        self.standin.add_runner(address, Engine::model(id, "assistant", "a", version));
+        self.standin.add_runner(address, RunnerStandin::model(id, "assistant", "a", version));
         self.write_settings_and_start(
             machine,
             &format!("[sidecar]\nrunner = {address}\nservice = assistant\n"),
@@ -104,8 +104,8 @@
         let (machine, proxy_machine) = (self.new_machine(), self.new_machine());
         let address = SocketAddr::new(machine, RUNNER_PORT);
         let listed = path(proxy_machine, address);
-        let mut engine = Engine::model(id, "assistant", "a", version);
-        engine.listed_at = Some(listed);
+        let mut engine = RunnerStandin::model(id, "assistant", "a", version);
+        engine.advertised_address = Some(listed);
         self.standin.add_runner(address, engine);
         self.write_settings_and_start(
             machine,
@@ -297,5 +297,5 @@
 /// Whether an answer is the complete stream of this request: every event once and in order.
 pub fn is_whole_stream(answer: &Answer, id: &str) -> bool {
     let events: Vec<String> = (1..=12).map(|it| format!("id: {it}\ndata: {id}/{it}\n\n")).collect();
-    answer.status == 200 && answer.whole && answer.body == events.concat()
+    answer.status == 200 && answer.is_complete && answer.body == events.concat()
 }
--- a/daemon/tests/deployment/table_readers.rs
+++ b/daemon/tests/deployment/table_readers.rs
@@ -88,7 +88,7 @@
 fn followers_learn_of_leaving_runners_and_serve_while_the_store_is_down() {
     let (deployment, gateways) = start_hall();
     let leaving = SocketAddr::new(crate::machine_address(gateways[0], 1), 8001);
-    deployment.standin.change_runner(leaving, |it| it.draining = true);
+    deployment.standin.change_runner(leaving, |it| it.is_leaving = true);
     thread::sleep(CONFIGURATION_BOUND);
     for (number, gateway) in gateways.iter().enumerate() {
         let id = format!("left-{number}");
--- a/daemon/tests/deployment/version_ages.rs
+++ b/daemon/tests/deployment/version_ages.rs
@@ -35,7 +35,7 @@
 /// Waits until a gateway serves streams, and makes the origin unavailable.
 fn wait_and_close_origin(deployment: &Deployment, gateway: SocketAddr) {
     deployment.wait_until_ready(gateway);
-    wait_until("streams are served", || stream(gateway, "first").whole);
+    wait_until("streams are served", || stream(gateway, "first").is_complete);
     make_origin_unavailable(deployment);
 }
 
@@ -59,7 +59,7 @@
     // The gateway learns of this change immediately, pauses, and gets no answer to its next call for a while.
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(4001));
     thread::sleep(Duration::from_millis(30));
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
     thread::sleep(Duration::from_millis(1000));
     deployment.standin.set_store_fault(StoreFault::None);
@@ -137,7 +137,7 @@
     wait_and_close_origin(&deployment, gateway);
     thread::sleep(SETTLE_TIME);
     proxy.delay_ms.store(1000, Ordering::SeqCst);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
 
     expect_given_up(&deployment, runner, bound);
@@ -153,11 +153,11 @@
     let (deployment, runner, gateway) = start_on_version_one();
     deployment.standin.reconfigure(|it| it["routes"][0]["targetLatencyMs"] = json!(1500));
     thread::sleep(SETTLE_TIME);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
 
     sleep_until(bound - SENT_BEFORE_BOUND);
-    deployment.standin.change_runner(runner, |it| it.reading = READING_TIME);
+    deployment.standin.change_runner(runner, |it| it.prompt_read_time = READING_TIME);
     let caller = thread::spawn(move || {
         let mut request = Caller::new(http::Method::POST, "/s/x", "late");
         request.deadline_ms = 3500;
@@ -187,7 +187,7 @@
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(4001));
     deployment.standin.change_runner(runner, |_| {});
     thread::sleep(IDLE_TIME);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
 
     sleep_until(bound - KEPT_BEFORE_BOUND);
@@ -203,10 +203,10 @@
 fn a_rewritten_row_does_not_make_a_version_look_newer() {
     let (deployment, runner, _) = start_on_version_one();
     thread::sleep(SETTLE_TIME);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
     let bound = Instant::now() + VERSION_BOUND;
     thread::sleep(REWRITE_DELAY);
-    deployment.standin.name_version(2);
+    deployment.standin.announce_version(2);
 
     expect_given_up(&deployment, runner, bound);
 }
--- a/examples/soak/fault_injector.rs
+++ b/examples/soak/fault_injector.rs
@@ -173,7 +173,7 @@
             Fault::Reload(number) => self.process(number).signal(Signal::HUP),
             Fault::Settings(number, signalled) => self.rewrite_settings(number, signalled)?,
             Fault::Store(fault) => self.set_store_fault(fault, until),
-            Fault::ForgetHistory => self.fleet.standin.forget_history(),
+            Fault::ForgetHistory => self.fleet.standin.discard_history(),
             Fault::RollBackStore(age_ms) => {
                 self.roll_back_store(Duration::from_millis(age_ms), until)
             }
@@ -190,7 +190,9 @@
             Fault::RestartWithSameId(number) => self.restart_with_same_id(number, until),
             Fault::ColdStart(number) => self.start_cold_runner(number),
             Fault::Drain(number) => self.drain_runner(number, until),
-            Fault::CorruptChunk(number, index) => self.change_runner(number, |it| it.spoil(index)),
+            Fault::CorruptChunk(number, index) => {
+                self.change_runner(number, |it| it.corrupt_chunk(index))
+            }
             Fault::CrashRequests => self.send_crash_requests(until),
             Fault::ForeignRows(number) => self.write_foreign_rows(number, until),
             Fault::Shed(number, rest_ms) => {
@@ -211,7 +213,9 @@
                 );
             }
             Fault::SlowReading(number, millis) => {
-                self.change_runner(number, |it| it.reading = Duration::from_millis(millis));
+                self.change_runner(number, |it| {
+                    it.prompt_read_time = Duration::from_millis(millis)
+                });
                 self.schedule(until + MIN_SLOW_READING, DelayedAction::EndSlowReading(number));
             }
             Fault::Configure => self.add_configuration(),
@@ -261,15 +265,17 @@
                 self.change_runner(number, |it| it.padding = 0)
             }
             DelayedAction::EndSlowReading(number) => {
-                self.change_runner(number, |it| it.reading = Duration::ZERO)
+                self.change_runner(number, |it| it.prompt_read_time = Duration::ZERO)
+            }
+            DelayedAction::EndShedding(number) => {
+                self.change_runner(number, |it| it.reject_with_retry_after = None)
             }
-            DelayedAction::EndShedding(number) => self.change_runner(number, |it| it.sheds = None),
             DelayedAction::ClearLimit(number, limit) => self.clear_limit(number, &limit),
             DelayedAction::ReplaceRunner(number) => self.replace_runner(number),
             DelayedAction::EndCrashRequests => {
                 self.shared.crash_request.store(0, Ordering::Relaxed)
             }
-            DelayedAction::RewriteLostRows(lost) => self.fleet.standin.write_again(lost),
+            DelayedAction::RewriteLostRows(lost) => self.fleet.standin.rewrite_lost_rows(lost),
             DelayedAction::EvacuateAfterRollback(hall) => self.evacuate_hall(hall, self.now()),
             DelayedAction::EndEvacuation(hall) => self.end_evacuation(hall),
         }
--- a/examples/soak/fault_injector/operators.rs
+++ b/examples/soak/fault_injector/operators.rs
@@ -54,7 +54,7 @@
     /// Sets a new target version of the weights.
     pub(super) fn set_target_version(&mut self) {
         self.version += 1;
-        self.fleet.standin.name_version(self.version);
+        self.fleet.standin.announce_version(self.version);
         self.history
             .target_versions
             .push(TargetVersion { version: self.version, taken: self.now() });
@@ -90,6 +90,6 @@
         evacuations
             .filter(|it| it.hall == name && it.until.is_none())
             .for_each(|it| it.until = Some(now));
-        self.fleet.standin.take_back(name);
+        self.fleet.standin.end_evacuation(name);
     }
 }
--- a/examples/soak/fault_injector/runners.rs
+++ b/examples/soak/fault_injector/runners.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use platform_standin::{Engine, RunnerFault};
+use platform_standin::{RunnerFault, RunnerStandin};
 use serde_json::{json, Value};
 
 use super::{DelayedAction, FaultInjector, RESTART_DELAY};
@@ -22,7 +22,7 @@
 
 impl FaultInjector<'_> {
     /// Changes a runner and its entry in the list of runners.
-    pub(super) fn change_runner(&mut self, number: usize, change: impl FnOnce(&mut Engine)) {
+    pub(super) fn change_runner(&mut self, number: usize, change: impl FnOnce(&mut RunnerStandin)) {
         let engine = self.fleet.runners[number].engine;
         self.fleet.standin.change_runner(engine, change);
     }
@@ -72,7 +72,7 @@
 
     /// Has a runner report that it leaves, and schedules its replacement.
     pub(super) fn drain_runner(&mut self, number: usize, until: Duration) {
-        self.change_runner(number, |it| it.draining = true);
+        self.change_runner(number, |it| it.is_leaving = true);
         let runner = self.fleet.runners[number].id();
         self.history.leaving.push(Leaving { runner, at: self.now(), until: None });
         self.schedule(until + RESTART_DELAY, DelayedAction::ReplaceRunner(number));
@@ -94,7 +94,7 @@
 
     /// Has a runner reject all requests until `until` and ask for a rest period each time.
     pub(super) fn shed_load(&mut self, number: usize, rest: Duration, until: Duration) {
-        self.change_runner(number, |it| it.sheds = Some(rest));
+        self.change_runner(number, |it| it.reject_with_retry_after = Some(rest));
         self.record_disruption(Target::Runner(number), until);
         self.schedule(until, DelayedAction::EndShedding(number));
     }
@@ -116,7 +116,7 @@
         };
         self.change_runner(number, |it| {
             it.limit = Some(limit.clone());
-            it.reports_name_limit = reported;
+            it.advertises_limit_in_reports = reported;
         });
         self.schedule(until + MIN_LIMIT, DelayedAction::ClearLimit(number, limit));
     }
--- a/examples/soak/fault_injector/store.rs
+++ b/examples/soak/fault_injector/store.rs
@@ -69,7 +69,7 @@
         // Creates revisions that are lost, so that revisions issued after the rollback have been read before.
         let engine = self.fleet.runners[0].engine;
         (0..LOST_REVISIONS).for_each(|_| self.fleet.standin.change_runner(engine, |_| {}));
-        let lost = self.fleet.standin.go_back(age);
+        let lost = self.fleet.standin.restore_older_copy(age);
         let rewrite_at = self.now() + MAX_REWRITE_DELAY.min(until.saturating_sub(self.now()));
         self.record_disruption(Target::Store, rewrite_at);
         self.schedule(rewrite_at, DelayedAction::RewriteLostRows(lost));
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -209,8 +209,8 @@
         "hup" => Fault::Reload(process),
         "store" => match random.random_range(0..4) {
             0 => Fault::Store(StoreFault::Busy),
-            1 => Fault::Store(StoreFault::Silent),
-            2 => Fault::Store(StoreFault::Narrow),
+            1 => Fault::Store(StoreFault::NoResponse),
+            2 => Fault::Store(StoreFault::SlowTransfer),
             _ => Fault::ForgetHistory,
         },
         "store_link" => Fault::StoreLink(process, random_link_fault(random)),
@@ -276,10 +276,10 @@
 fn random_runner_fault(random: &mut SmallRng) -> RunnerFault {
     match random.random_range(0..6) {
         0 => RunnerFault::CutAfter(random.random_range(1..10)),
-        1 => RunnerFault::Full,
+        1 => RunnerFault::RejectAll,
         2 => RunnerFault::AnswerLost,
         3 => RunnerFault::Hang,
-        4 => RunnerFault::Unframed,
+        4 => RunnerFault::NoFraming,
         _ => RunnerFault::Fail,
     }
 }
--- a/examples/soak/fleet.rs
+++ b/examples/soak/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use eyre::{ensure, WrapErr};
-use platform_standin::{Engine, Standin};
+use platform_standin::{RunnerStandin, Standin};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
@@ -122,7 +122,7 @@
             let version = (number % 3 != 2).then_some(1);
             let name = format!("e{number}");
             let machine = fleet.add_runner(&name, |id| {
-                Engine::model(id, "assistant", hall_name(number), version)
+                RunnerStandin::model(id, "assistant", hall_name(number), version)
             })?;
             let runner = SocketAddr::new(machine, RUNNER_PORT);
             let role = format!("[sidecar]\nrunner = {runner}\nservice = assistant\n");
@@ -131,7 +131,7 @@
         }
         for number in 0..PLAIN_RUNNER_COUNT {
             fleet.add_runner(&format!("l{number}"), |id| {
-                Engine::plain(id, "ledger", hall_name(number))
+                RunnerStandin::plain(id, "ledger", hall_name(number))
             })?;
         }
         for number in 0..gateways {
@@ -159,14 +159,14 @@
     fn add_runner(
         &mut self,
         name: &str,
-        engine: impl FnOnce(&str) -> Engine,
+        engine: impl FnOnce(&str) -> RunnerStandin,
     ) -> eyre::Result<IpAddr> {
         let machine = self.new_machine();
         let listed = SocketAddr::new(machine, RUNNER_PORT);
         let mut engine = engine(&format!("{name}-0"));
-        engine.listed_at = Some(listed);
+        engine.advertised_address = Some(listed);
         if engine.model {
-            engine.born = Some(FIRST_START_MS);
+            engine.started_at_ms = Some(FIRST_START_MS);
             engine.crashes_on = Some(CRASH_PATH.into());
         }
         let address = SocketAddr::new(machine, ENGINE_PORT);
--- a/examples/soak/run.rs
+++ b/examples/soak/run.rs
@@ -133,7 +133,7 @@
             service: run.service,
             tenant: run.tenant,
             version: run.version,
-            saw_key: run.saw_key,
+            saw_key: run.received_api_key,
             hall: run.zone,
         });
         history.runs.insert(request, runs.collect());
@@ -146,7 +146,7 @@
     }));
     history.turned_away = fleet
         .standin
-        .turned_away()
+        .rejected_requests()
         .into_iter()
         .map(|it| TurnedAway {
             runner: it.runner,
@@ -167,7 +167,7 @@
         .collect();
     for runner in &fleet.runners {
         let engine = fleet.standin.runner(runner.engine);
-        if engine.is_some_and(|it| it.took_mixture) {
+        if engine.is_some_and(|it| it.loaded_mixed_weights) {
             history.mixed_weights.push(runner.id());
         }
     }
