--- a/components/edge/src/delayed_returns/tests.rs
+++ b/components/edge/src/delayed_returns/tests.rs
@@ -8,7 +8,7 @@
 fn row(id: &str) -> Change {
     Change::Runner(RunnerRecord {
         id: id.into(),
-        life: IncarnationReport::default(),
+        incarnation: IncarnationReport::default(),
         service: "ledger".into(),
         address: ([127, 0, 0, 1], 1).into(),
         hall: "a".into(),
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -121,15 +121,17 @@
                 }
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
                 Effect::ReportHomeFaults(faults) => home_fault_log::log_home_faults(&faults),
-                Effect::LogIncarnationChange(news) => log_incarnation_change(&self.metrics, &news),
-                Effect::Notice(news) => log_notice(&news),
-                Effect::Crash(news) => {
-                    record_crash(&self.metrics, &news);
-                    if news.is_own() {
+                Effect::LogIncarnationChange(event) => {
+                    log_incarnation_change(&self.metrics, &event)
+                }
+                Effect::Notice(change) => log_notice(&change),
+                Effect::Crash(event) => {
+                    record_crash(&self.metrics, &event);
+                    if event.is_own() {
                         self.notify_sidecars();
                     }
                     // The receiver exists until the process ends.
-                    let _ = self.crash_changes.try_send(news);
+                    let _ = self.crash_changes.try_send(event);
                 }
                 Effect::Evacuation(change) => {
                     record_evacuation(&self.metrics, &change);
--- a/components/edge/src/gateway/follow_table.rs
+++ b/components/edge/src/gateway/follow_table.rs
@@ -218,15 +218,15 @@
         Change::Version { model, version, .. } => {
             // The deadline runs from the time of naming, not from when this process received it.
             let age_ms = date.age.map(|it| it.as_millis() as u64 + 1);
-            let named = AnnouncedVersion { model, version, age_ms, after_ms: date.after_ms };
-            let named = if named.known_age_extends_deadline(version_ms) {
-                named
+            let announced = AnnouncedVersion { model, version, age_ms, after_ms: date.after_ms };
+            let announced = if announced.known_age_extends_deadline(version_ms) {
+                announced
             } else {
-                AnnouncedVersion { age_ms: None, after_ms: None, ..named }
+                AnnouncedVersion { age_ms: None, after_ms: None, ..announced }
             };
-            let model = named.model.0.as_str();
-            log::info!(model = model, version = version, age_ms = named.age_ms; "version named");
-            Event::VersionAnnounced(named)
+            let model = announced.model.0.as_str();
+            log::info!(model = model, version = version, age_ms = announced.age_ms; "version named");
+            Event::VersionAnnounced(announced)
         }
         Change::Evacuated(_) | Change::EvacuationEnded(_) => return None,
         Change::Runner(record) => {
--- a/components/edge/src/gateway/sidecar_datagrams.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -137,7 +137,7 @@
 /// The content of the subscriptions of one round.
 struct Subscription {
     hall: Hall,
-    named: Vec<AnnouncedVersion>,
+    announced: Vec<AnnouncedVersion>,
     services: Vec<WeightsService>,
     evacuations: EvacuationList,
     crashes: CrashList,
@@ -157,7 +157,7 @@
         Self {
             clock_ms: core.tables.time.borrow().clock_ms_to_report(Instant::now()),
             cold,
-            named: core.read(|gateway| gateway.announced_versions(now)),
+            announced: core.read(|gateway| gateway.announced_versions(now)),
             services: core.catalog().map(|it| weights_services(&it)).unwrap_or_default(),
             hall: core.read(|gateway| gateway.hall().clone()),
             evacuations: core.read(|gateway| gateway.evacuations(now)),
@@ -171,7 +171,7 @@
         let left = self.cold.get(&sidecar.ip());
         Datagram::Subscribe {
             hall: self.hall.clone(),
-            named: self.named.clone(),
+            named: self.announced.clone(),
             services: self.services.clone(),
             evacuations: self.evacuations.clone(),
             crashes: self.crashes.clone(),
--- a/components/edge/src/gateway/sidecar_datagrams/tests.rs
+++ b/components/edge/src/gateway/sidecar_datagrams/tests.rs
@@ -33,9 +33,9 @@
         ablation: Ablation::default(),
     };
     let metrics = Rc::new(telemetry::Metrics::start().unwrap());
-    let news = DatagramSocket::bind(([127, 0, 0, 1], 0).into(), metrics.clone()).await.unwrap();
+    let socket = DatagramSocket::bind(([127, 0, 0, 1], 0).into(), metrics.clone()).await.unwrap();
     let tables = Rc::new(Tables::new(|_| Duration::from_secs(6), Era::new(metrics.clone())));
-    let reservations = Reservations::new(news, 1);
+    let reservations = Reservations::new(socket, 1);
     let core = Core::new(options, Clock::start(), metrics, "g", reservations, tables);
     let engine = EngineProfile {
         model: "m".into(),
@@ -50,7 +50,7 @@
     let parts = CatalogParts { version: 1, services: vec![service], ..CatalogParts::default() };
     core.dispatch(Event::Configured(Arc::new(Catalog::new(parts))));
     core.dispatch(Event::Listed(RunnerRecord {
-        life: Default::default(),
+        incarnation: Default::default(),
         id: "r".into(),
         service: "s".into(),
         address: RUNNER.into(),
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -35,7 +35,7 @@
     by_address: HashMap<SocketAddr, BTreeMap<ServiceName, InstanceId>>,
     /// Information sent by runners that are no longer listed, and when their entries were removed.
     unlisted: BTreeMap<InstanceId, (RunnerIncarnation, Notices, Millis)>,
-    named: AnnouncedVersions,
+    announced: AnnouncedVersions,
     /// The evacuated data halls.
     pub evacuations: Evacuations,
     /// The silent data halls.
@@ -47,7 +47,7 @@
     pub fn new(options: &GatewayOptions) -> Self {
         Self {
             own_name: options.name.clone(),
-            named: AnnouncedVersions::new(options.version_ms),
+            announced: AnnouncedVersions::new(options.version_ms),
             evacuations: Evacuations::new(options.evacuate_ms, &options.ablation),
             ..Self::default()
         }
@@ -55,7 +55,7 @@
 
     /// Changes how long requests may start on an older version, in milliseconds.
     pub fn set_version_ms(&mut self, version_ms: u64) {
-        self.named.set_version_ms(version_ms);
+        self.announced.set_version_ms(version_ms);
     }
 
     /// Applies an entry of the runner list. Returns a report if the entry's incarnation differs
@@ -65,15 +65,15 @@
             self.add(now, record, 0);
             return None;
         };
-        let restarts = runner.life.restarts;
+        let restarts = runner.incarnation.restarts;
         // A runner never changes its service, so an entry with another service is not its own,
         // whatever incarnation it contains.
         if runner.record.service != record.service {
             self.replace(now, record, restarts);
             return None;
         }
-        let news = incarnation_event(runner, record.life, true);
-        match news.as_ref().map(|it| it.change) {
+        let event = incarnation_event(runner, record.incarnation, true);
+        match event.as_ref().map(|it| it.change) {
             None | Some(IncarnationChange::Same) if runner.record.address != record.address => {
                 self.replace(now, record, restarts);
             }
@@ -84,7 +84,7 @@
             Some(IncarnationChange::Restarted) => self.replace(now, record, restarts + 1),
             Some(IncarnationChange::Earlier | IncarnationChange::StartTimeMissing) => {}
         }
-        news
+        event
     }
 
     /// Replaces the known entry of a runner, including the indexes by service and address.
@@ -105,9 +105,9 @@
         // at once, so that the versions its runner should hold are received.
         let listed = self.by_service.get(&runner.record.service).map_or(0, Vec::len);
         runner.is_followed = listed <= followed::most(listed, None);
-        if let Some((life, notices, _)) = self.unlisted.remove(&id) {
+        if let Some((incarnation, notices, _)) = self.unlisted.remove(&id) {
             // The entry has come back, and its incarnation is the same.
-            if life == runner.life {
+            if incarnation == runner.incarnation {
                 runner.notices = notices;
             }
         }
@@ -123,7 +123,7 @@
         };
         self.unlisted.retain(|_, (_, _, at)| now.since(*at).0 <= UNLISTED_MEMORY_MS);
         if runner.notices.has_effect(now) {
-            self.unlisted.insert(id.clone(), (runner.life, runner.notices, now));
+            self.unlisted.insert(id.clone(), (runner.incarnation, runner.notices, now));
         }
         if let Some(at_address) = self.by_address.get_mut(&runner.record.address) {
             at_address.retain(|_, it| it != id);
@@ -144,13 +144,13 @@
         address: SocketAddr,
         load: RunnerLoad,
     ) -> Vec<IncarnationEvent> {
-        if let Some(named) = load.named.clone() {
-            self.named.record(now, named);
+        if let Some(announced) = load.named.clone() {
+            self.announced.record(now, announced);
         }
         let at_address = self.by_address.get(&address).into_iter().flat_map(BTreeMap::values);
         let ids: Vec<InstanceId> = at_address.cloned().collect();
-        let news = ids.into_iter().filter_map(|id| self.apply_load_of(now, id, load.clone()));
-        news.collect()
+        let events = ids.into_iter().filter_map(|id| self.apply_load_of(now, id, load.clone()));
+        events.collect()
     }
 
     /// Applies the rate limit that the sidecar of the runner at an address reported.
@@ -177,18 +177,18 @@
         reported: &IncarnationLimit,
     ) -> Vec<NoticeChange> {
         let of_incarnation =
-            self.runners.iter_mut().filter(|(_, it)| it.life.digest == reported.life);
-        let news = of_incarnation.filter_map(|(id, runner)| {
+            self.runners.iter_mut().filter(|(_, it)| it.incarnation.digest == reported.life);
+        let changes = of_incarnation.filter_map(|(id, runner)| {
             let limit = runner.learn_limit(now, reported.limit);
             let notice = Notice { limit, ..Notice::default() };
             (!notice.is_empty()).then(|| NoticeChange { runner: id.clone(), notice })
         });
-        news.collect()
+        changes.collect()
     }
 
     /// The runners in a given incarnation.
-    pub fn of_incarnation(&self, life: IncarnationDigest) -> impl Iterator<Item = &Runner> {
-        self.runners.values().filter(move |it| it.life.digest == life)
+    pub fn of_incarnation(&self, incarnation: IncarnationDigest) -> impl Iterator<Item = &Runner> {
+        self.runners.values().filter(move |it| it.incarnation.digest == incarnation)
     }
 
     /// Applies a load report for a runner.
@@ -200,15 +200,15 @@
     ) -> Option<IncarnationEvent> {
         let runner = self.runners.get_mut(&id)?;
         self.silent.note_heard(&runner.record.hall);
-        let news = incarnation_event(runner, load.life, false);
-        match news.as_ref().map(|it| it.change) {
+        let event = incarnation_event(runner, load.life, false);
+        match event.as_ref().map(|it| it.change) {
             None | Some(IncarnationChange::Same) => runner.apply_load(now, load),
             Some(IncarnationChange::Restarted) => {
                 // The entry is still that of the previous incarnation: the weights in it no longer
                 // apply.
                 let entry = runner.record.clone();
-                let record = RunnerRecord { life: load.life, weights: None, ..entry };
-                let restarts = runner.life.restarts + 1;
+                let record = RunnerRecord { incarnation: load.life, weights: None, ..entry };
+                let restarts = runner.incarnation.restarts + 1;
                 let previous_born =
                     runner.born.or(runner.previous_born).filter(|_| load.life.born.is_none());
                 self.replace(now, record, restarts);
@@ -218,12 +218,12 @@
             }
             Some(IncarnationChange::Earlier | IncarnationChange::StartTimeMissing) => {}
         }
-        news
+        event
     }
 
     /// Records that a runner or its sidecar answered.
-    pub fn note_answered(&mut self, now: Millis, id: &InstanceId, life: RunnerIncarnation) {
-        if let Some(runner) = self.runners.get_mut(id).filter(|it| it.life == life) {
+    pub fn note_answered(&mut self, now: Millis, id: &InstanceId, incarnation: RunnerIncarnation) {
+        if let Some(runner) = self.runners.get_mut(id).filter(|it| it.incarnation == incarnation) {
             runner.last_alive_at = now;
             self.silent.note_heard(&runner.record.hall);
         }
@@ -237,25 +237,25 @@
     }
 
     /// Records an announced version.
-    pub fn announce_version(&mut self, now: Millis, named: AnnouncedVersion) {
-        self.named.record(now, named);
+    pub fn announce_version(&mut self, now: Millis, announced: AnnouncedVersion) {
+        self.announced.record(now, announced);
     }
 
     /// The oldest version of a model that a request may start on now.
     pub fn required_version(&self, now: Millis, model: &ModelName) -> u64 {
-        self.named.required(now, model)
+        self.announced.required(now, model)
     }
 
     /// The time from which no request may start on the weights that a runner holds. `None` if it
     /// holds none or no newer version is announced.
     pub fn deadline_of(&self, now: Millis, runner: &Runner) -> Option<Millis> {
         let held = runner.weights(now)?;
-        self.named.deadline_of(&held.model, held.version)
+        self.announced.deadline_of(&held.model, held.version)
     }
 
     /// The versions of each model to report to other processes, oldest first.
     pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
-        self.named.to_report(now)
+        self.announced.to_report(now)
     }
 
     /// Returns a runner by name.
@@ -267,9 +267,9 @@
     pub fn incarnation_mut(
         &mut self,
         id: &InstanceId,
-        life: RunnerIncarnation,
+        incarnation: RunnerIncarnation,
     ) -> Option<&mut Runner> {
-        self.runners.get_mut(id).filter(|it| it.life == life)
+        self.runners.get_mut(id).filter(|it| it.incarnation == incarnation)
     }
 
     /// The number of runners whose start time is unknown.
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordRow {
     /// Content of the row. `None` if it cannot be parsed; it is then overwritten.
-    pub heard: Option<FirstSeenVersion>,
+    pub first_seen: Option<FirstSeenVersion>,
     /// Revision of the row in the store.
     pub revision: u64,
 }
@@ -80,7 +80,7 @@
 /// A row that is to be written.
 #[derive(Clone, Debug)]
 struct Pending {
-    heard: FirstSeenVersion,
+    first_seen: FirstSeenVersion,
     /// When the call is due.
     at: Millis,
     /// When the row stops being useful.
@@ -159,11 +159,11 @@
             return;
         };
         self.remember(now, &model, OlderVersion { version, not_before_ms });
-        let heard =
+        let first_seen =
             FirstSeenVersion { model: model.clone(), version, not_before_ms, older: Vec::new() };
         let at = now.plus(seed % WRITE_SPREAD_MS);
         let until = now.plus(self.version_ms);
-        self.pending.insert(model, Pending { heard, at, until, has_differed: false });
+        self.pending.insert(model, Pending { first_seen, at, until, has_differed: false });
     }
 
     /// Records that the store was restored from an older copy: rows may be missing, and revisions
@@ -178,17 +178,17 @@
         self.revisions.clear();
         let written = std::mem::take(&mut self.written);
         let at = now.plus(seed % WRITE_SPREAD_MS);
-        for (model, (heard, until)) in written {
+        for (model, (first_seen, until)) in written {
             if now < until && is_mine(&model) {
-                let pending = Pending { heard, at, until, has_differed: false };
+                let pending = Pending { first_seen, at, until, has_differed: false };
                 self.pending.entry(model).or_insert(pending);
             }
         }
     }
 
     /// Records the ages of versions that processes reported; these need not be read.
-    pub fn note_known(&mut self, named: &[AnnouncedVersion]) {
-        for reported in named.iter().filter(|it| it.age_ms.is_some()) {
+    pub fn note_known(&mut self, announced: &[AnnouncedVersion]) {
+        for reported in announced.iter().filter(|it| it.age_ms.is_some()) {
             if self.unknown.get(&reported.model).is_some_and(|it| *it <= reported.version) {
                 self.unknown.remove(&reported.model);
             }
@@ -210,9 +210,9 @@
             return Some(RecordCall::Read);
         }
         let pending = self.pending.values().find(|it| it.at <= now)?;
-        let revision = self.revisions.get(&pending.heard.model).copied().unwrap_or(0);
-        let older = self.older(now, &pending.heard);
-        Some(RecordCall::Write(FirstSeenVersion { older, ..pending.heard.clone() }, revision))
+        let revision = self.revisions.get(&pending.first_seen.model).copied().unwrap_or(0);
+        let older = self.older(now, &pending.first_seen);
+        Some(RecordCall::Write(FirstSeenVersion { older, ..pending.first_seen.clone() }, revision))
     }
 
     /// Remembers a version for as long as its version deadline can apply.
@@ -255,13 +255,13 @@
                 let clock_ms = clock_ms.saturating_add(now.since(self.called_at).0);
                 return self.apply_rows(now, rows, clock_ms);
             }
-            (RecordCall::Write(heard, _), RecordAnswer::Written(revision)) => {
+            (RecordCall::Write(first_seen, _), RecordAnswer::Written(revision)) => {
                 self.failures = 0;
-                self.revisions.insert(heard.model.clone(), revision);
-                self.mark_written(heard);
+                self.revisions.insert(first_seen.model.clone(), revision);
+                self.mark_written(first_seen);
             }
-            (RecordCall::Write(heard, expected), RecordAnswer::Differs(row)) => {
-                self.apply_found_row(now, heard, *expected, row);
+            (RecordCall::Write(first_seen, expected), RecordAnswer::Differs(row)) => {
+                self.apply_found_row(now, first_seen, *expected, row);
                 self.delay_if_differs_again(now, seed, call);
             }
             // The result does not match the call.
@@ -283,27 +283,32 @@
         self.read_at = None;
         let unknown = std::mem::take(&mut self.unknown);
         let mut ages = Vec::new();
-        for RecordRow { heard, revision } in rows {
-            let Some(heard) = heard else {
+        for RecordRow { first_seen, revision } in rows {
+            let Some(first_seen) = first_seen else {
                 continue;
             };
-            self.revisions.insert(heard.model.clone(), revision);
-            self.remember_row(now, &heard);
-            if unknown.get(&heard.model) == Some(&heard.version) {
+            self.revisions.insert(first_seen.model.clone(), revision);
+            self.remember_row(now, &first_seen);
+            if unknown.get(&first_seen.model) == Some(&first_seen.version) {
                 ages.extend(
-                    heard.older.iter().map(|it| self.older_age(&heard.model, it, clock_ms)),
+                    first_seen
+                        .older
+                        .iter()
+                        .map(|it| self.older_age(&first_seen.model, it, clock_ms)),
                 );
-                ages.extend(self.age(&heard, clock_ms));
+                ages.extend(self.age(&first_seen, clock_ms));
             }
         }
         ages
     }
 
     /// Remembers the versions in a row.
-    fn remember_row(&mut self, now: Millis, heard: &FirstSeenVersion) {
-        let FirstSeenVersion { version, not_before_ms, .. } = *heard;
-        for name in heard.older.iter().copied().chain([OlderVersion { version, not_before_ms }]) {
-            self.remember(now, &heard.model, name);
+    fn remember_row(&mut self, now: Millis, first_seen: &FirstSeenVersion) {
+        let FirstSeenVersion { version, not_before_ms, .. } = *first_seen;
+        for name in
+            first_seen.older.iter().copied().chain([OlderVersion { version, not_before_ms }])
+        {
+            self.remember(now, &first_seen.model, name);
         }
     }
 
@@ -312,52 +317,52 @@
     /// same.
     fn older_age(&self, model: &ModelName, name: &OlderVersion, clock_ms: u64) -> AnnouncedVersion {
         let OlderVersion { version, not_before_ms } = *name;
-        let heard =
+        let first_seen =
             FirstSeenVersion { model: model.clone(), version, not_before_ms, older: Vec::new() };
         let unknown =
             AnnouncedVersion { model: model.clone(), version, age_ms: None, after_ms: None };
-        self.age(&heard, clock_ms).unwrap_or(unknown)
+        self.age(&first_seen, clock_ms).unwrap_or(unknown)
     }
 
     /// The age of a version according to its row. `None` if it is not useful: the store's clock has
     /// gone back, or an unknown age would let a process that has just started use older versions at
     /// least as long.
-    fn age(&self, heard: &FirstSeenVersion, clock_ms: u64) -> Option<AnnouncedVersion> {
-        let age_ms = clock_ms.checked_sub(heard.not_before_ms)?;
-        let (model, version) = (heard.model.clone(), heard.version);
+    fn age(&self, first_seen: &FirstSeenVersion, clock_ms: u64) -> Option<AnnouncedVersion> {
+        let age_ms = clock_ms.checked_sub(first_seen.not_before_ms)?;
+        let (model, version) = (first_seen.model.clone(), first_seen.version);
         // Rows of earlier builds may contain a later time than the true announcement, so no row is
         // treated as history from the store.
-        let named = AnnouncedVersion { model, version, age_ms: Some(age_ms), after_ms: None };
-        named.known_age_extends_deadline(self.version_ms).then_some(named)
+        let announced = AnnouncedVersion { model, version, age_ms: Some(age_ms), after_ms: None };
+        announced.known_age_extends_deadline(self.version_ms).then_some(announced)
     }
 
     /// Applies the row that was found instead of the expected one.
     fn apply_found_row(
         &mut self,
         now: Millis,
-        heard: &FirstSeenVersion,
+        first_seen: &FirstSeenVersion,
         expected: u64,
         row: Option<RecordRow>,
     ) {
         let found = row.as_ref().map_or(0, |it| it.revision);
-        if let Some(reported) = row.as_ref().and_then(|it| it.heard.as_ref()) {
+        if let Some(reported) = row.as_ref().and_then(|it| it.first_seen.as_ref()) {
             self.remember_row(now, reported);
         }
-        self.revisions.insert(heard.model.clone(), found);
-        let found_version = row.and_then(|it| it.heard).map_or(0, |it| it.version);
+        self.revisions.insert(first_seen.model.clone(), found);
+        let found_version = row.and_then(|it| it.first_seen).map_or(0, |it| it.version);
         // The same condition would fail forever: the store contradicts itself.
-        if found_version >= heard.version || found == expected {
-            self.mark_written(heard);
+        if found_version >= first_seen.version || found == expected {
+            self.mark_written(first_seen);
         }
     }
 
     /// Delays the next write of a row that differed again although the write expected its reported
     /// state; otherwise writes would repeat without end.
     fn delay_if_differs_again(&mut self, now: Millis, seed: u64, call: &RecordCall) {
-        let RecordCall::Write(heard, _) = call else {
+        let RecordCall::Write(first_seen, _) = call else {
             return;
         };
-        let pending = self.pending.get_mut(&heard.model);
+        let pending = self.pending.get_mut(&first_seen.model);
         let differed = pending.map(|it| std::mem::replace(&mut it.has_differed, true));
         match differed {
             Some(true) => self.retry_later(now, seed, call),
@@ -366,11 +371,11 @@
     }
 
     /// Marks a row as written.
-    fn mark_written(&mut self, heard: &FirstSeenVersion) {
-        let is_it = |it: &Pending| it.heard.version <= heard.version;
-        if self.pending.get(&heard.model).is_some_and(is_it) {
-            let done = self.pending.remove(&heard.model).map(|it| (it.heard, it.until));
-            self.written.extend(done.map(|it| (heard.model.clone(), it)));
+    fn mark_written(&mut self, first_seen: &FirstSeenVersion) {
+        let is_it = |it: &Pending| it.first_seen.version <= first_seen.version;
+        if self.pending.get(&first_seen.model).is_some_and(is_it) {
+            let done = self.pending.remove(&first_seen.model).map(|it| (it.first_seen, it.until));
+            self.written.extend(done.map(|it| (first_seen.model.clone(), it)));
         }
     }
 
@@ -382,8 +387,8 @@
         let retry_at = now.plus(delay / 2 + seed % delay);
         match call {
             RecordCall::Read => self.read_at = self.read_at.map(|_| retry_at),
-            RecordCall::Write(heard, _) => {
-                if let Some(pending) = self.pending.get_mut(&heard.model) {
+            RecordCall::Write(first_seen, _) => {
+                if let Some(pending) = self.pending.get_mut(&first_seen.model) {
                     pending.at = retry_at;
                 }
             }
--- a/components/gateway/src/reducer.rs
+++ b/components/gateway/src/reducer.rs
@@ -114,11 +114,11 @@
     /// The announced versions of each model whose version deadlines still apply, as reported to
     /// other processes.
     pub fn announced_versions(&self, now: Millis) -> Vec<AnnouncedVersion> {
-        let mut named = self.pool.announced_versions(now);
+        let mut announced = self.pool.announced_versions(now);
         if !self.options.ablation.is_enabled(Mechanism::VersionAges) {
-            named.iter_mut().for_each(|it| (it.age_ms, it.after_ms) = (None, None));
+            announced.iter_mut().for_each(|it| (it.age_ms, it.after_ms) = (None, None));
         }
-        named
+        announced
     }
 
     /// Whether a runner is known to have a rate limit.
@@ -177,8 +177,8 @@
                 self.budgets.values_mut().for_each(|it| it.set_limits(limits));
                 self.dispatch(now, &mut random)
             }
-            Event::VersionAnnounced(named) => {
-                self.pool.announce_version(now, named);
+            Event::VersionAnnounced(announced) => {
+                self.pool.announce_version(now, announced);
                 Vec::new()
             }
             Event::Evacuations(list) => {
@@ -204,8 +204,8 @@
                 Vec::new()
             }
             Event::Listed(record) => {
-                let news = self.pool.list(now, record);
-                let mut effects = self.handle_incarnation_events(news);
+                let events = self.pool.list(now, record);
+                let mut effects = self.handle_incarnation_events(events);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
@@ -215,14 +215,14 @@
                 Vec::new()
             }
             Event::Load(address, load) => {
-                let news = self.pool.apply_load(now, address, load);
-                let mut effects = self.handle_incarnation_events(news);
+                let events = self.pool.apply_load(now, address, load);
+                let mut effects = self.handle_incarnation_events(events);
                 effects.extend(self.dispatch(now, &mut random));
                 effects
             }
             Event::LimitReported(address, reported) => {
-                let news = self.pool.apply_limit(now, address, reported);
-                self.note_limits(now, news)
+                let changes = self.pool.apply_limit(now, address, reported);
+                self.note_limits(now, changes)
             }
             Event::Limits(reported) => self.apply_limits(now, &reported),
             Event::Gateways(list) => {
@@ -326,7 +326,9 @@
         self.queue.retain(|position| position.key != key);
         self.crashes.remove(key, progress.arrival.digest);
         let current = progress.current.as_ref();
-        if let Some(runner) = current.and_then(|it| self.pool.incarnation_mut(&it.id, it.life)) {
+        if let Some(runner) =
+            current.and_then(|it| self.pool.incarnation_mut(&it.id, it.incarnation))
+        {
             runner.end_request(progress.is_suspect);
             runner.notices.backoff.note_end(key);
         }
@@ -336,7 +338,7 @@
     /// Applies reports of incarnations of runners that differ from the known ones.
     fn handle_incarnation_events(
         &mut self,
-        news: impl IntoIterator<Item = IncarnationEvent>,
+        events: impl IntoIterator<Item = IncarnationEvent>,
     ) -> Vec<Effect> {
         let note = |it: IncarnationEvent| {
             if it.change == IncarnationChange::Restarted {
@@ -344,7 +346,7 @@
             }
             Effect::LogIncarnationChange(it)
         };
-        news.into_iter().map(note).collect()
+        events.into_iter().map(note).collect()
     }
 
     /// Applies information that the runner of an attempt sent about itself. Information from before
@@ -357,12 +359,12 @@
         let Some(selected) = current else {
             return Vec::new();
         };
-        let runner = self.pool.incarnation_mut(&selected.id, selected.life);
-        let news = runner.map_or(Notice::default(), |it| it.notices.apply(now, sent_at, notice));
-        if news.is_empty() {
+        let runner = self.pool.incarnation_mut(&selected.id, selected.incarnation);
+        let change = runner.map_or(Notice::default(), |it| it.notices.apply(now, sent_at, notice));
+        if change.is_empty() {
             return Vec::new();
         }
-        self.note_notice(now, selected.id, news)
+        self.note_notice(now, selected.id, change)
     }
 
     /// Resumes sending after a hold. Each queued request gets a little more time to find a slot.
--- a/components/gateway/src/reducer/attempts.rs
+++ b/components/gateway/src/reducer/attempts.rs
@@ -37,8 +37,8 @@
             progress.may_have_run = true;
             progress.answered = true;
             let took = now.since(progress.sent_at);
-            self.pool.note_answered(now, &selected.id, selected.life);
-            if let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) {
+            self.pool.note_answered(now, &selected.id, selected.incarnation);
+            if let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.incarnation) {
                 runner.notices.backoff.note_run(key);
             }
             self.note_wait(now, &selected, took);
@@ -79,7 +79,7 @@
 
     /// Records how long a request waited at a runner.
     fn note_wait(&mut self, now: Millis, selected: &SelectedRunner, waited: Millis) {
-        if let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) {
+        if let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.incarnation) {
             runner.note_first_byte(now, waited);
         }
     }
@@ -95,7 +95,7 @@
     ) {
         let is_suspicion_enabled = self.is_enabled(Mechanism::Suspicion);
         // Results of an earlier incarnation say nothing about the current one.
-        let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.life) else {
+        let Some(runner) = self.pool.incarnation_mut(&selected.id, selected.incarnation) else {
             return;
         };
         runner.end_request(was_suspect);
@@ -134,7 +134,7 @@
             | AttemptOutcome::VersionDeadlinePassed => {}
         }
         if outcome.was_answered() {
-            self.pool.note_answered(now, &selected.id, selected.life);
+            self.pool.note_answered(now, &selected.id, selected.incarnation);
         } else if is_suspicion_enabled
             && matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Silent)
         {
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -11,8 +11,8 @@
 use super::{Gateway, Progress, SelectedRunner};
 use crate::event::{Arrival, AttemptOutcome, Effect, NextStep, RequestKey};
 
-fn effects(news: impl IntoIterator<Item = CrashEvent>) -> Vec<Effect> {
-    news.into_iter().map(Effect::Crash).collect()
+fn effects(events: impl IntoIterator<Item = CrashEvent>) -> Vec<Effect> {
+    events.into_iter().map(Effect::Crash).collect()
 }
 
 impl Gateway {
@@ -68,7 +68,12 @@
         outcome: AttemptOutcome,
     ) -> Vec<Effect> {
         if outcome.may_have_crashed() {
-            self.crashes.record_suspicion(now, digest, selected.id.clone(), selected.life.digest);
+            self.crashes.record_suspicion(
+                now,
+                digest,
+                selected.id.clone(),
+                selected.incarnation.digest,
+            );
         }
         if !outcome.has_ended_well() {
             return Vec::new();
@@ -80,8 +85,8 @@
     pub(super) fn classify_crashes(&mut self, now: Millis) -> Vec<Effect> {
         self.crashes.ledger.forget_old(now);
         let pool = &self.pool;
-        let liveness = |id: &InstanceId, life: IncarnationDigest| match pool.runner(id) {
-            Some(runner) if runner.life.digest == life => {
+        let liveness = |id: &InstanceId, incarnation: IncarnationDigest| match pool.runner(id) {
+            Some(runner) if runner.incarnation.digest == incarnation => {
                 RunnerLiveness::ReportedAt(runner.last_alive_at)
             }
             Some(_) | None => RunnerLiveness::Gone,
--- a/components/gateway/src/reducer/limits.rs
+++ b/components/gateway/src/reducer/limits.rs
@@ -16,24 +16,24 @@
         now: Millis,
         reported: &[IncarnationLimit],
     ) -> Vec<Effect> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for it in reported {
-            news.extend(self.pool.apply_incarnation_limit(now, it));
+            changes.extend(self.pool.apply_incarnation_limit(now, it));
             // A process may not know that a limit has ended, so the runner is added again and its
             // end is reported once more.
             let runners = self.pool.of_incarnation(it.life).map(|it| it.record.id.clone());
             runners.for_each(|id| self.limits.add(&id));
         }
-        self.note_limits(now, news)
+        self.note_limits(now, changes)
     }
 
     /// Updates the rate shares for limits that have changed.
-    pub(super) fn note_limits(&mut self, now: Millis, news: Vec<NoticeChange>) -> Vec<Effect> {
-        for NoticeChange { runner, .. } in &news {
+    pub(super) fn note_limits(&mut self, now: Millis, changes: Vec<NoticeChange>) -> Vec<Effect> {
+        for NoticeChange { runner, .. } in &changes {
             self.limits.add(runner);
             self.update_limit_share(now, runner);
         }
-        news.into_iter().map(Effect::Notice).collect()
+        changes.into_iter().map(Effect::Notice).collect()
     }
 
     /// Applies new information that a runner sent about itself.
@@ -41,14 +41,14 @@
         &mut self,
         now: Millis,
         runner: InstanceId,
-        news: Notice,
+        notice: Notice,
     ) -> Vec<Effect> {
-        let has_limit_changed = news.limit.is_some();
-        let news = NoticeChange { runner, notice: news };
+        let has_limit_changed = notice.limit.is_some();
+        let change = NoticeChange { runner, notice };
         if has_limit_changed {
-            return self.note_limits(now, vec![news]);
+            return self.note_limits(now, vec![change]);
         }
-        vec![Effect::Notice(news)]
+        vec![Effect::Notice(change)]
     }
 
     /// Updates the rate share for each runner that has a rate limit.
@@ -81,7 +81,7 @@
     pub fn limits_to_report(&self, now: Millis, random: &mut impl Rng) -> Vec<IncarnationLimit> {
         let runners = self.limits.runners().filter_map(|id| self.pool.runner(id));
         let reported = runners.filter(|it| !it.is_limit_enforced).filter_map(|it| {
-            Some(IncarnationLimit { life: it.life.digest, limit: it.limit_to_report(now)? })
+            Some(IncarnationLimit { life: it.incarnation.digest, limit: it.limit_to_report(now)? })
         });
         draw_limits(reported, random)
     }
--- a/components/gateway/src/reducer/progress.rs
+++ b/components/gateway/src/reducer/progress.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct SelectedRunner {
     pub(super) id: InstanceId,
-    pub(super) life: RunnerIncarnation,
+    pub(super) incarnation: RunnerIncarnation,
     /// Whether this gateway may send the request without the sidecar, although the runner has a
     /// rate limit.
     pub(super) has_token: bool,
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -225,7 +225,8 @@
         runner.notices.backoff.note_sent(key);
         let address = runner.record.address;
         let limit = runner.limit_to_report(now);
-        let selected = SelectedRunner { id: id.clone(), life: runner.life, has_token };
+        let selected =
+            SelectedRunner { id: id.clone(), incarnation: runner.incarnation, has_token };
         progress.tried.push(id.clone());
         progress.current = Some(selected);
         progress.is_suspect = is_suspect;
--- a/components/gateway/src/reducer/send_checks.rs
+++ b/components/gateway/src/reducer/send_checks.rs
@@ -15,8 +15,10 @@
             return false;
         };
         let current = progress.current.as_ref();
-        let runner = current.and_then(|it| Some((self.pool.runner(&it.id)?, it.life)));
-        let runner = runner.filter(|(runner, life)| runner.life == *life).map(|it| it.0);
+        let runner = current.and_then(|it| Some((self.pool.runner(&it.id)?, it.incarnation)));
+        let runner = runner
+            .filter(|(runner, incarnation)| runner.incarnation == *incarnation)
+            .map(|it| it.0);
         let is_barred = Self::is_barred(&self.crashes, now, key, progress);
         !is_barred
             && !self.resume_hold.is_holding()
--- a/components/gateway/src/runner.rs
+++ b/components/gateway/src/runner.rs
@@ -64,7 +64,7 @@
     /// Name of the runner. It may restart under the same name.
     pub id: InstanceId,
     /// The incarnation that the entry is from.
-    pub life: IncarnationReport,
+    pub incarnation: IncarnationReport,
     /// The service that it belongs to.
     pub service: ServiceName,
     /// The address that it listens on.
@@ -128,7 +128,7 @@
     /// Its entry in the list.
     pub record: RunnerRecord,
     /// Its current incarnation.
-    pub life: RunnerIncarnation,
+    pub incarnation: RunnerIncarnation,
     /// Start time of that incarnation, from any report about it.
     pub born: Option<u64>,
     /// Start time of the previous incarnation, if the sidecar reported the start of this
@@ -177,15 +177,15 @@
     /// of a runner that does not report its start time.
     pub fn new(now: Millis, record: RunnerRecord, restarts: u32) -> Self {
         Self {
-            life: RunnerIncarnation {
-                digest: IncarnationDigest::of(&record.id, record.life.born),
+            incarnation: RunnerIncarnation {
+                digest: IncarnationDigest::of(&record.id, record.incarnation.born),
                 // The start time distinguishes its incarnations, also if the entry was missing for
                 // a while.
-                restarts: if record.life.born.is_some() { 0 } else { restarts },
+                restarts: if record.incarnation.born.is_some() { 0 } else { restarts },
             },
-            born: record.life.born,
+            born: record.incarnation.born,
             previous_born: None,
-            listed_incarnation: record.life,
+            listed_incarnation: record.incarnation,
             reported_incarnation: None,
             cold_until: now.plus(record.cold_ms),
             maybe_cold_until: Millis(0),
@@ -231,7 +231,7 @@
 
     /// Applies a newer list entry.
     pub fn update_entry(&mut self, now: Millis, record: RunnerRecord) {
-        self.listed_incarnation = record.life;
+        self.listed_incarnation = record.incarnation;
         self.cold_until = now.plus(record.cold_ms);
         self.record = record;
         self.note_listed_state(now);
--- a/components/gateway/tests/foreign_entries.rs
+++ b/components/gateway/tests/foreign_entries.rs
@@ -41,13 +41,13 @@
 #[test]
 fn an_entry_with_an_unknown_service_and_no_start_time_is_not_used_either() {
     let born = |born| IncarnationReport { born, sequence: 2 };
-    for life in [born(None), born(Some(3)), born(Some(9))] {
+    for incarnation in [born(None), born(Some(3)), born(Some(9))] {
         let mut fixture = Fixture::new();
-        let good = RunnerRecord { life: born(Some(5)), ..record("r1", PLAIN_SERVICE, PORT) };
+        let good = RunnerRecord { incarnation: born(Some(5)), ..record("r1", PLAIN_SERVICE, PORT) };
         fixture.feed(Event::Listed(good));
-        let foreign = RunnerRecord { life, ..record("r1", UNKNOWN_SERVICE, PORT) };
+        let foreign = RunnerRecord { incarnation, ..record("r1", UNKNOWN_SERVICE, PORT) };
         fixture.feed(Event::Listed(foreign));
-        assert_eq!(send_request(&mut fixture, 1, PLAIN_SERVICE), None, "{life:?}");
+        assert_eq!(send_request(&mut fixture, 1, PLAIN_SERVICE), None, "{incarnation:?}");
     }
 }
 
--- a/components/gateway/tests/fuzz.rs
+++ b/components/gateway/tests/fuzz.rs
@@ -170,8 +170,8 @@
     /// The list entry of a runner in its current incarnation.
     fn listed(&self, runner: u8) -> RunnerRecord {
         let lives = self.lives.get(&id(runner)).copied().unwrap_or(0);
-        let life = IncarnationReport { born: Some(lives), sequence: 0 };
-        RunnerRecord { life, ..listed(runner) }
+        let incarnation = IncarnationReport { born: Some(lives), sequence: 0 };
+        RunnerRecord { incarnation, ..listed(runner) }
     }
 
     /// Checks that a request may still be sent to its selected runner exactly if that runner could
@@ -242,7 +242,7 @@
             Action::Load { runner, running, version, busy } => {
                 let mut load = load(u64::from(version), u32::from(running));
                 load.busy = busy;
-                load.life = model.listed(runner).life;
+                load.life = model.listed(runner).incarnation;
                 let address = ([127, 0, 0, 1], u16::from(runner % 6) + 1).into();
                 fixture.feed(Event::Load(address, load))
             }
--- a/components/gateway/tests/limits.rs
+++ b/components/gateway/tests/limits.rs
@@ -400,8 +400,9 @@
     fixture.feed(Event::Unlisted("other".into()));
     sent_to(fixture.arrive(arrival(1, PLAIN_SERVICE, RouteKind::Safe)));
     receive_limit(fixture, 1, AdvertisedLimit::Limited(rate(0.5)));
-    let life = fleet::IncarnationReport { born: Some(9), sequence: 0 };
-    fixture.feed(Event::Listed(RunnerRecord { life, ..record("limited", PLAIN_SERVICE, 1) }));
+    let incarnation = fleet::IncarnationReport { born: Some(9), sequence: 0 };
+    fixture
+        .feed(Event::Listed(RunnerRecord { incarnation, ..record("limited", PLAIN_SERVICE, 1) }));
     fixture.feed(Event::Tick);
     for key in 2..5 {
         assert_eq!(
--- a/components/gateway/tests/notices.rs
+++ b/components/gateway/tests/notices.rs
@@ -101,8 +101,8 @@
     for notice in [DRAINING, ASKS_FOR_BACKOFF] {
         let mut fixture = fixture(1);
         reject_with(&mut fixture, 0, notice);
-        let life = IncarnationReport { born: Some(9), sequence: 0 };
-        fixture.feed(Event::Listed(RunnerRecord { life, ..record("r1", MODEL_SERVICE, 1) }));
+        let incarnation = IncarnationReport { born: Some(9), sequence: 0 };
+        fixture.feed(Event::Listed(RunnerRecord { incarnation, ..record("r1", MODEL_SERVICE, 1) }));
         assert_eq!(sent_to(send_request(&mut fixture, 1)).0, "r1");
     }
 }
@@ -111,8 +111,8 @@
 fn a_notice_from_an_earlier_life_does_not_apply_to_the_later_one() {
     let mut fixture = fixture(1);
     sent_to(send_request(&mut fixture, 0));
-    let life = IncarnationReport { born: Some(9), sequence: 0 };
-    fixture.feed(Event::Listed(RunnerRecord { life, ..record("r1", MODEL_SERVICE, 1) }));
+    let incarnation = IncarnationReport { born: Some(9), sequence: 0 };
+    fixture.feed(Event::Listed(RunnerRecord { incarnation, ..record("r1", MODEL_SERVICE, 1) }));
     fixture.feed(Event::NoticeReceived(RequestKey(0), DRAINING));
     assert_eq!(sent_to(send_request(&mut fixture, 1)).0, "r1");
 }
--- a/components/gateway/tests/record.rs
+++ b/components/gateway/tests/record.rs
@@ -12,19 +12,19 @@
     ModelName("m".into())
 }
 
-fn first_heard(version: u64, not_before_ms: u64) -> FirstSeenVersion {
+fn first_seen_version(version: u64, not_before_ms: u64) -> FirstSeenVersion {
     FirstSeenVersion { model: model(), version, not_before_ms, older: Vec::new() }
 }
 
 /// The same with an earlier version whose version deadline still applies.
-fn first_heard_with_older(version: u64, not_before_ms: u64, older: (u64, u64)) -> FirstSeenVersion {
+fn first_seen_with_older(version: u64, not_before_ms: u64, older: (u64, u64)) -> FirstSeenVersion {
     let (older, before) = older;
     let older = vec![OlderVersion { version: older, not_before_ms: before }];
-    FirstSeenVersion { older, ..first_heard(version, not_before_ms) }
+    FirstSeenVersion { older, ..first_seen_version(version, not_before_ms) }
 }
 
 fn row(version: u64, not_before_ms: u64, revision: u64) -> RecordRow {
-    RecordRow { heard: Some(first_heard(version, not_before_ms)), revision }
+    RecordRow { first_seen: Some(first_seen_version(version, not_before_ms)), revision }
 }
 
 /// A gateway that received the announcement of version 2, when the store's clock showed 5000.
@@ -60,7 +60,7 @@
 fn a_version_is_written_once_within_half_a_second_of_its_announcement() {
     let mut record = record_of_announcement();
     let due = record.due(Millis(LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard(2, 5000), 0)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_version(2, 5000), 0)));
     answer(&mut record, LATER_MS, RecordAnswer::Written(9));
     record.record_version(Millis(600), 7, model(), 2, Some(5600));
     assert_eq!(record.next_at(), None);
@@ -72,7 +72,7 @@
     answer(&mut record, LATER_MS, RecordAnswer::Written(9));
     record.record_version(Millis(2000), 7, model(), 3, Some(7000));
     let due = record.due(Millis(2000 + LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard_with_older(3, 7000, (2, 5000)), 9)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_with_older(3, 7000, (2, 5000)), 9)));
 }
 
 #[test]
@@ -88,16 +88,16 @@
     let mut record = record_of_announcement();
     answer(&mut record, LATER_MS, RecordAnswer::Differs(Some(row(1, 100, 4))));
     let due = record.due(Millis(LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard_with_older(2, 5000, (1, 100)), 4)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_with_older(2, 5000, (1, 100)), 4)));
 }
 
 #[test]
 fn an_unreadable_row_is_replaced() {
     let mut record = record_of_announcement();
-    let garbled = RecordRow { heard: None, revision: 4 };
+    let garbled = RecordRow { first_seen: None, revision: 4 };
     answer(&mut record, LATER_MS, RecordAnswer::Differs(Some(garbled)));
     let due = record.due(Millis(LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard(2, 5000), 4)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_version(2, 5000), 4)));
 }
 
 #[test]
@@ -107,7 +107,7 @@
     record.record_version(Millis(2000), 7, model(), 3, Some(7000));
     answer(&mut record, 2000 + LATER_MS, RecordAnswer::Differs(None));
     let due = record.due(Millis(2000 + LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard_with_older(3, 7000, (2, 5000)), 0)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_with_older(3, 7000, (2, 5000)), 0)));
 }
 
 #[test]
@@ -124,7 +124,11 @@
     let again = record.next_at().expect("it is repeated").0;
     assert!(again > LATER_MS && again <= LATER_MS + 500, "after a delay: {again}");
     let due = record.due(Millis(again));
-    assert_eq!(due, Some(RecordCall::Write(first_heard(2, 5000), 0)), "under the same condition");
+    assert_eq!(
+        due,
+        Some(RecordCall::Write(first_seen_version(2, 5000), 0)),
+        "under the same condition"
+    );
     answer(&mut record, again, RecordAnswer::Differs(Some(row(2, 5000, 9))));
     assert_eq!(record.next_at(), None);
 }
@@ -151,7 +155,7 @@
     answer(&mut record, LATER_MS, RecordAnswer::Failed);
     record.record_version(Millis(2000), 7, model(), 3, Some(7000));
     let due = record.due(Millis(2000 + LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard_with_older(3, 7000, (2, 5000)), 0)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_with_older(3, 7000, (2, 5000)), 0)));
 }
 
 #[test]
@@ -239,7 +243,7 @@
     assert!(again.0 > LATER_MS, "after a delay");
     assert_eq!(
         record.due(again),
-        Some(RecordCall::Write(first_heard_with_older(2, 5000, (1, 100)), 5))
+        Some(RecordCall::Write(first_seen_with_older(2, 5000, (1, 100)), 5))
     );
 }
 
@@ -250,11 +254,11 @@
     record.record_store_restore(Millis(LATER_MS + 1000), 0, |_| true);
     let at = record.next_at().expect("it is written again").0;
     // The revision that it had may have been assigned to something else.
-    assert_eq!(record.due(Millis(at)), Some(RecordCall::Write(first_heard(2, 5000), 0)));
+    assert_eq!(record.due(Millis(at)), Some(RecordCall::Write(first_seen_version(2, 5000), 0)));
     answer(&mut record, at, RecordAnswer::Differs(Some(row(1, 100, 4))));
     assert_eq!(
         record.due(Millis(at)),
-        Some(RecordCall::Write(first_heard_with_older(2, 5000, (1, 100)), 4))
+        Some(RecordCall::Write(first_seen_with_older(2, 5000, (1, 100)), 4))
     );
 }
 
@@ -277,19 +281,20 @@
     // Received within the time span, but announced too long before by the store's clock.
     record.record_version(Millis(2000), 7, model(), 3, Some(5000 + VERSION_MS));
     let due = record.due(Millis(2000 + LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard(3, 5000 + VERSION_MS), 9)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_version(3, 5000 + VERSION_MS), 9)));
     let mut record = record_of_announcement();
     answer(&mut record, LATER_MS, RecordAnswer::Written(9));
     record.record_version(Millis(VERSION_MS + 1), 7, model(), 3, Some(5000 + VERSION_MS - 1));
     let due = record.due(Millis(VERSION_MS + 1 + LATER_MS));
-    assert_eq!(due, Some(RecordCall::Write(first_heard(3, 5000 + VERSION_MS - 1), 9)));
+    assert_eq!(due, Some(RecordCall::Write(first_seen_version(3, 5000 + VERSION_MS - 1), 9)));
 }
 
 #[test]
 fn a_process_that_reads_a_row_learns_the_earlier_versions_too() {
     let mut record = VersionRecord::new(VERSION_MS);
     record.record_version(Millis(0), 7, model(), 3, None);
-    let found = RecordRow { heard: Some(first_heard_with_older(3, 7000, (2, 5000))), revision: 9 };
+    let found =
+        RecordRow { first_seen: Some(first_seen_with_older(3, 7000, (2, 5000))), revision: 9 };
     let reported = answer(&mut record, 0, RecordAnswer::Rows(vec![found.clone()], 8000));
     let reported: Vec<(u64, Option<u64>)> =
         reported.iter().map(|it| (it.version, it.age_ms)).collect();
--- a/components/gateway/tests/runner_incarnations.rs
+++ b/components/gateway/tests/runner_incarnations.rs
@@ -13,12 +13,12 @@
 }
 
 /// A list entry of an incarnation of `r1`.
-fn entry(life: IncarnationReport) -> RunnerRecord {
-    RunnerRecord { life, ..record("r1", MODEL_SERVICE, 1) }
+fn entry(incarnation: IncarnationReport) -> RunnerRecord {
+    RunnerRecord { incarnation, ..record("r1", MODEL_SERVICE, 1) }
 }
 
-fn load_report(life: IncarnationReport, running: u32) -> Event {
-    Event::Load(([127, 0, 0, 1], 1).into(), RunnerLoad { life, ..load(1, running) })
+fn load_report(incarnation: IncarnationReport, running: u32) -> Event {
+    Event::Load(([127, 0, 0, 1], 1).into(), RunnerLoad { life: incarnation, ..load(1, running) })
 }
 
 /// A gateway that knows an incarnation of `r1` with start time 5, and has sent this number of
--- a/components/gateway/tests/support/mod.rs
+++ b/components/gateway/tests/support/mod.rs
@@ -95,7 +95,7 @@
         (service == MODEL_SERVICE).then(|| WeightsHeld { model: model(), version: 1, whole: true });
     RunnerRecord {
         id: id.into(),
-        life: IncarnationReport::default(),
+        incarnation: IncarnationReport::default(),
         service: service.into(),
         address: ([127, 0, 0, 1], port).into(),
         hall: "a".into(),
--- a/components/node/src/entry/mod.rs
+++ b/components/node/src/entry/mod.rs
@@ -220,7 +220,7 @@
         // The task of the request and its connection ended when the caller disconnected; only the queue may remain.
         EntryEffect::Cancel(attempt) => shared.requests.remove(attempt.request),
         EntryEffect::CountRetry(code) => services.metrics.count_retry(code),
-        EntryEffect::Crash(news) => telemetry::record_crash(&services.metrics, &news),
+        EntryEffect::Crash(event) => telemetry::record_crash(&services.metrics, &event),
         EntryEffect::Drained => {
             let _ = drain.try_send(());
         }
