--- a/components/edge/src/gateway/attempt.rs
+++ b/components/edge/src/gateway/attempt.rs
@@ -128,8 +128,8 @@
         if !self.target.reserve {
             return Ok(());
         }
-        let facts = &self.context.facts;
-        let id = facts.id.as_deref().unwrap_or("");
+        let request_headers = &self.context.request_headers;
+        let id = request_headers.id.as_deref().unwrap_or("");
         let reservations = &self.core.reservations;
         let prompt_tokens = self.context.prompt_tokens;
         let RunnerTarget { rank, left_ms, wait_ms, limit, .. } = *self.target;
@@ -202,24 +202,25 @@
     }
 
     /// What an answer says about its runner. A misdirected answer comes from another runner.
-    fn notice(&self, status: StatusCode, facts: &ResponseHeaders) -> Notice {
+    fn notice(&self, status: StatusCode, response_headers: &ResponseHeaders) -> Notice {
         if status == StatusCode::MISDIRECTED_REQUEST {
             return Notice::default();
         }
         let asks_for_backoff = status == StatusCode::SERVICE_UNAVAILABLE;
         Notice {
-            is_leaving: facts.is_leaving,
-            backoff_ms: facts.retry_after_ms.filter(|_| asks_for_backoff),
-            limit: self.limit_change(facts),
+            is_leaving: response_headers.is_leaving,
+            backoff_ms: response_headers.retry_after_ms.filter(|_| asks_for_backoff),
+            limit: self.limit_change(response_headers),
         }
     }
 
     /// What an answer says about the runner's rate limit. That there is no limit matters only if one is
     /// known, and only if it is the answer to this request.
-    fn limit_change(&self, facts: &ResponseHeaders) -> Option<AdvertisedLimit> {
-        let is_own = facts.id.is_some() && facts.id == self.context.facts.id;
+    fn limit_change(&self, response_headers: &ResponseHeaders) -> Option<AdvertisedLimit> {
+        let is_own =
+            response_headers.id.is_some() && response_headers.id == self.context.request_headers.id;
         let is_limited = || self.core.read(|gateway| gateway.is_limited(&self.target.id));
-        match facts.limit {
+        match response_headers.limit {
             AdvertisedLimit::Unlimited if !is_own || !is_limited() => None,
             word => Some(word),
         }
@@ -231,13 +232,14 @@
         answer: Response<Incoming>,
     ) -> AttemptResult {
         let (head, mut body) = answer.into_parts();
-        let facts = headers::read_response(&head.headers);
-        self.record_notice(self.notice(head.status, &facts));
-        if let Some(outcome) = refusal_outcome(head.status, &facts) {
+        let response_headers = headers::read_response(&head.headers);
+        self.record_notice(self.notice(head.status, &response_headers));
+        if let Some(outcome) = refusal_outcome(head.status, &response_headers) {
             return outcome.into();
         }
-        let is_for_other_request = facts.id.is_some() && facts.id != self.context.facts.id;
-        if is_for_other_request || !facts.signed {
+        let is_for_other_request =
+            response_headers.id.is_some() && response_headers.id != self.context.request_headers.id;
+        if is_for_other_request || !response_headers.signed {
             return AttemptOutcome::Lost.into();
         }
         let headers = headers::without_hop_by_hop(&head.headers);
@@ -260,9 +262,12 @@
 }
 
 /// The outcome if the runner refused the request.
-fn refusal_outcome(status: StatusCode, facts: &ResponseHeaders) -> Option<AttemptOutcome> {
+fn refusal_outcome(
+    status: StatusCode,
+    response_headers: &ResponseHeaders,
+) -> Option<AttemptOutcome> {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptOutcome::Misdirected);
     }
-    facts.not_executed.then_some(AttemptOutcome::Full)
+    response_headers.not_executed.then_some(AttemptOutcome::Full)
 }
--- a/components/edge/src/gateway/relay.rs
+++ b/components/edge/src/gateway/relay.rs
@@ -73,7 +73,7 @@
         let collecting = connection.collect(body, max_bytes);
         let collected =
             with_request_deadline(&self.core, self.context.answer_deadline, collecting).await;
-        let id = self.context.facts.id.as_deref();
+        let id = self.context.request_headers.id.as_deref();
         match collected {
             Some(Ok(text)) => {
                 self.finish();
@@ -252,7 +252,7 @@
     /// Asks a runner to resume the stream. `None` if the time limit of the request expires first.
     async fn attempt(&self, target: &RunnerTarget) -> Option<AttemptResult> {
         let last_event =
-            self.splitter.last_id().or(self.current.context.facts.last_event.as_deref());
+            self.splitter.last_id().or(self.current.context.request_headers.last_event.as_deref());
         let attempt = Attempt {
             core: &self.current.core,
             context: &self.current.context,
--- a/components/edge/src/gateway/request.rs
+++ b/components/edge/src/gateway/request.rs
@@ -35,8 +35,8 @@
 
 /// What every attempt of a request needs.
 pub struct RequestContext {
-    /// The facts in its head.
-    pub facts: RequestHeaders,
+    /// The headers that the gateway interprets.
+    pub request_headers: RequestHeaders,
     /// The log of the decisions on it.
     pub trace: Trace,
     /// The method.
@@ -107,13 +107,13 @@
 ) -> Response<AnswerBody> {
     let arrived = core.clock.now();
     let (head, body) = request.into_parts();
-    let facts = headers::read_request(&head.headers);
-    let id = facts.id.clone();
+    let request_headers = headers::read_request(&head.headers);
+    let id = request_headers.id.clone();
     let trace = Trace::new(&core, id.as_deref());
     let Some(catalog) = core.catalog() else {
         return not_ready(&trace, id.as_deref());
     };
-    let routed = match route(&catalog, &head.headers, &head.uri, &facts) {
+    let routed = match route(&catalog, &head.headers, &head.uri, &request_headers) {
         Ok(routed) => routed,
         Err((status, code)) => {
             trace.add(Decision::Unrouted {
@@ -128,7 +128,8 @@
             return error_answer(status, id.as_deref(), code);
         }
     };
-    let timeout_ms = routed.timeout_ms.min(facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+    let timeout_ms =
+        routed.timeout_ms.min(request_headers.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
     let answer_deadline = arrived.plus(timeout_ms);
     caller.set_read_timeout(Duration::from_millis(routed.timeout_ms));
     let reading = read_body(&caller, body, catalog.limits.body_bytes);
@@ -163,11 +164,11 @@
         kind: routed.kind,
         prompt_tokens: routed.prompt_tokens,
         workspace: routed.workspace,
-        deadline: facts.deadline_ms.map(|it| arrived.plus(it)),
+        deadline: request_headers.deadline_ms.map(|it| arrived.plus(it)),
         answer_deadline,
         target_latency_ms: routed.target_latency_ms,
         max_event_gap_ms: routed.max_event_gap_ms,
-        facts,
+        request_headers,
     };
     let handle = core.register_request(|key| Arrival {
         key,
@@ -181,7 +182,7 @@
         model: routed.model,
         prompt_tokens: context.prompt_tokens,
         target_latency_ms: context.target_latency_ms,
-        deadline_ms: context.facts.deadline_ms,
+        deadline_ms: context.request_headers.deadline_ms,
         deadline: context.answer_deadline,
         attempts: routed.attempts,
     });
@@ -247,24 +248,25 @@
     catalog: &Catalog,
     headers: &HeaderMap,
     uri: &Uri,
-    facts: &RequestHeaders,
+    request_headers: &RequestHeaders,
 ) -> Result<ResolvedRoute, (StatusCode, Code)> {
     let host = headers.get(http::header::HOST).and_then(|it| it.to_str().ok()).unwrap_or("");
     let route =
         catalog.route(host, uri.path()).ok_or((StatusCode::NOT_FOUND, Code::UnknownTarget))?;
     let service =
         route.service(rand::random()).ok_or((StatusCode::SERVICE_UNAVAILABLE, Code::NoUpstream))?;
-    let workspace = facts.key.as_deref().and_then(|key| catalog.workspace(key));
+    let workspace = request_headers.key.as_deref().and_then(|key| catalog.workspace(key));
     if catalog.needs_keys() && workspace.is_none() && !route.open {
         return Err((StatusCode::UNAUTHORIZED, Code::Unauthorized));
     }
     // A model named by the caller is used only if the service runs one.
     let engine = catalog.service(service).and_then(|it| it.engine.as_ref());
-    let model = engine.map(|it| facts.model.clone().unwrap_or_else(|| it.model.clone()));
+    let model = engine.map(|it| request_headers.model.clone().unwrap_or_else(|| it.model.clone()));
     Ok(ResolvedRoute {
         route: route.name.clone(),
         service: service.clone(),
-        prompt_tokens: engine.map_or(0, |it| facts.prompt_tokens.unwrap_or(it.usual_prompt_tokens)),
+        prompt_tokens: engine
+            .map_or(0, |it| request_headers.prompt_tokens.unwrap_or(it.usual_prompt_tokens)),
         model,
         kind: route.kind,
         workspace: workspace.map(|it| it.name.clone()),
@@ -287,7 +289,7 @@
     let mut last_error_answer = None;
     let mut sent = false;
     let mut attempts = 0;
-    let id = context.facts.id.clone();
+    let id = context.request_headers.id.clone();
     loop {
         let Some(step) = with_request_deadline(&core, context.answer_deadline, handle.next_step())
             .await
@@ -335,7 +337,7 @@
 ) -> Response<AnswerBody> {
     let Some(runner_answer) = runner_answer else {
         context.trace.end(RequestEnd::Unknown, 502, Some(code));
-        return error_answer(StatusCode::BAD_GATEWAY, context.facts.id.as_deref(), code);
+        return error_answer(StatusCode::BAD_GATEWAY, context.request_headers.id.as_deref(), code);
     };
     context.trace.end(RequestEnd::Failed, runner_answer.status().as_u16(), Some(code));
     runner_answer
@@ -343,7 +345,7 @@
 
 /// The final answer if the time limit of the request has expired.
 fn deadline_expired(context: &RequestContext, sent: bool) -> Response<AnswerBody> {
-    let id = context.facts.id.as_deref();
+    let id = context.request_headers.id.as_deref();
     if sent {
         context.trace.end(RequestEnd::Unknown, 504, Some(Code::TimedOut));
         error_answer(StatusCode::GATEWAY_TIMEOUT, id, Code::TimedOut)
--- a/components/edge/src/gateway/reservations.rs
+++ b/components/edge/src/gateway/reservations.rs
@@ -52,7 +52,7 @@
 /// Reservations that wait for their replies.
 #[derive(Default)]
 struct PendingReservations {
-    last_question: u64,
+    last_request_number: u64,
     /// The runner of each reservation, and the channel for its replies.
     waiting: HashMap<u64, (SocketAddr, Sender<Reply>)>,
 }
@@ -74,18 +74,25 @@
         let SlotRequest { prompt_tokens, rank, left_ms, wait_ms, limit } = slot_request;
         let left_ms = u32::try_from(left_ms).unwrap_or(u32::MAX);
         let (sender, answers) = async_channel::bounded(2);
-        let question = {
+        let request_number = {
             let mut pending = self.pending.borrow_mut();
-            pending.last_question += 1;
-            let question = pending.last_question;
-            pending.waiting.insert(question, (runner, sender));
-            question
+            pending.last_request_number += 1;
+            let request_number = pending.last_request_number;
+            pending.waiting.insert(request_number, (runner, sender));
+            request_number
         };
-        let _guard = PendingGuard { pending: &self.pending, question };
+        let _guard = PendingGuard { pending: &self.pending, request_number };
         let sidecar = SocketAddr::new(runner.ip(), self.port);
         let request = request.to_owned();
-        let reserve =
-            Datagram::Reserve { question, request, prompt_tokens, rank, left_ms, wait_ms, limit };
+        let reserve = Datagram::Reserve {
+            question: request_number,
+            request,
+            prompt_tokens,
+            rank,
+            left_ms,
+            wait_ms,
+            limit,
+        };
         self.socket.send(sidecar, &reserve).await;
         let mut reply = next_reply(&answers, ANSWER_TIMEOUT).await;
         if reply == Some(Reply::Queued) {
@@ -102,26 +109,26 @@
     }
 
     /// Passes on a reply.
-    pub fn deliver_reply(&self, question: u64, reply: Reply) {
-        if let Some((_, waiting)) = self.pending.borrow().waiting.get(&question) {
+    pub fn deliver_reply(&self, request_number: u64, reply: Reply) {
+        if let Some((_, waiting)) = self.pending.borrow().waiting.get(&request_number) {
             let _ = waiting.try_send(reply);
         }
     }
 
     /// The runner of a reservation that waits for its reply.
-    pub fn runner(&self, question: u64) -> Option<SocketAddr> {
-        self.pending.borrow().waiting.get(&question).map(|(runner, _)| *runner)
+    pub fn runner(&self, request_number: u64) -> Option<SocketAddr> {
+        self.pending.borrow().waiting.get(&request_number).map(|(runner, _)| *runner)
     }
 }
 
 /// Removes a reservation when its request is dropped.
 struct PendingGuard<'a> {
     pending: &'a Rc<RefCell<PendingReservations>>,
-    question: u64,
+    request_number: u64,
 }
 
 impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.pending.borrow_mut().waiting.remove(&self.question);
+        self.pending.borrow_mut().waiting.remove(&self.request_number);
     }
 }
--- a/components/edge/src/gateway/sidecar_datagrams.rs
+++ b/components/edge/src/gateway/sidecar_datagrams.rs
@@ -68,10 +68,12 @@
     loop {
         let (sender, datagram) = socket.receive().await;
         match datagram {
-            Datagram::WantSidecars { question, service } if runners.is_complete() => {
+            Datagram::WantSidecars { question: request_number, service }
+                if runners.is_complete() =>
+            {
                 let fresh = !runners.is_lost.get();
                 let answer =
-                    core.read(|it| sidecar_list::sidecar_list(it, &service, question, fresh));
+                    core.read(|it| sidecar_list::sidecar_list(it, &service, request_number, fresh));
                 for part in answer {
                     socket.send(sender, &part).await;
                 }
@@ -80,9 +82,9 @@
                     socket.send(sender, &Subscription::new(&core).for_sidecar(sender, false)).await;
                 }
             }
-            Datagram::WantSidecars { question, .. } => {
+            Datagram::WantSidecars { question: request_number, .. } => {
                 let hall = core.read(|gateway| gateway.hall().clone());
-                let pending = SidecarsPart::pending(question, hall);
+                let pending = SidecarsPart::pending(request_number, hall);
                 socket.send(sender, &Datagram::Sidecars(pending)).await;
             }
             Datagram::Load { runner, mut load, evacuations, crashes, clock_ms } => {
@@ -94,16 +96,16 @@
                 core.dispatch(Event::Crashes(crashes));
                 core.dispatch(Event::Load(runner, load));
             }
-            Datagram::Reserved { question, reply, load, evacuations, limit } => {
+            Datagram::Reserved { question: request_number, reply, load, evacuations, limit } => {
                 core.dispatch(Event::Evacuations(evacuations));
-                let runner = core.reservations.runner(question);
+                let runner = core.reservations.runner(request_number);
                 if let Some((runner, load)) = runner.zip(load) {
                     core.dispatch(Event::Load(runner, load));
                 }
                 if let Some(runner) = runner {
                     core.dispatch(Event::LimitReported(runner, limit));
                 }
-                core.reservations.deliver_reply(question, reply);
+                core.reservations.deliver_reply(request_number, reply);
             }
             Datagram::Gateways(list) => core.dispatch(Event::Gateways(list)),
             Datagram::Crashes { crashes, limits } => {
--- a/components/edge/src/gateway/sidecar_list.rs
+++ b/components/edge/src/gateway/sidecar_list.rs
@@ -15,7 +15,7 @@
 pub fn sidecar_list(
     gateway: &Gateway,
     service: &ServiceName,
-    question: u64,
+    request_number: u64,
     fresh: bool,
 ) -> Vec<Datagram> {
     let mut halls: BTreeMap<Hall, Vec<ListedSidecar>> = BTreeMap::new();
@@ -33,7 +33,7 @@
     let count = parts.len() as u32;
     let datagram = |(part, (hall, sidecars)): (usize, &(&Hall, &[ListedSidecar]))| {
         Datagram::Sidecars(SidecarsPart {
-            question,
+            question: request_number,
             part: part as u32,
             parts: count,
             fresh,
--- a/components/edge/src/sidecar/directory.rs
+++ b/components/edge/src/sidecar/directory.rs
@@ -158,11 +158,13 @@
         let mut best = DirectoryAnswer::Silent;
         for gateway in asked {
             self.requests += 1;
-            let question = self.requests;
+            let request_number = self.requests;
             let service = self.core.settings.service.clone();
-            self.socket.send(gateway, &Datagram::WantSidecars { question, service }).await;
+            self.socket
+                .send(gateway, &Datagram::WantSidecars { question: request_number, service })
+                .await;
             let until = Instant::now() + ANSWER_TIMEOUT;
-            match with_deadline(until, self.collect(question)).await {
+            match with_deadline(until, self.collect(request_number)).await {
                 Some(CollectedAnswer::List(peers)) => {
                     self.apply_list(peers);
                     return DirectoryAnswer::List;
@@ -178,14 +180,14 @@
     }
 
     /// Waits for all parts of an answer.
-    async fn collect(&self, question: u64) -> CollectedAnswer {
+    async fn collect(&self, request_number: u64) -> CollectedAnswer {
         let mut seen = BTreeSet::new();
         let mut peers = Vec::new();
         loop {
             let Ok(part) = self.parts.recv().await else {
                 return CollectedAnswer::Pending;
             };
-            if part.question != question {
+            if part.question != request_number {
                 continue;
             }
             if part.is_pending() {
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -63,10 +63,10 @@
             log::info!(heard = is_answering; "runner");
         }
         match report {
-            Ok((report, facts)) => {
+            Ok((report, response_headers)) => {
                 core.dispatch(Event::Status(report.status));
-                record_leaving(&core, &mut is_leaving, facts.is_leaving);
-                core.dispatch(Event::LimitAdvertised(sent_at, facts.limit));
+                record_leaving(&core, &mut is_leaving, response_headers.is_leaving);
+                core.dispatch(Event::LimitAdvertised(sent_at, response_headers.limit));
                 *core.load.borrow_mut() = Some(report.load);
                 if let Some(load) = core.current_load() {
                     send_due_report(&core, &socket, &mut reports, &mut last_sent, load).await;
@@ -125,15 +125,15 @@
     }
 }
 
-/// Reads the runner's report and the facts in the headers of its answer.
+/// Reads the runner's report and the response_headers in the headers of its answer.
 async fn read_report(
     core: &Core,
     client: &mut HttpClient,
 ) -> Result<(runner::Report, ResponseHeaders)> {
     let answer = client.call(runner::report(), CALL_TIMEOUT).await?;
-    let facts = headers::read_response(&answer.headers);
+    let response_headers = headers::read_response(&answer.headers);
     let report = runner::read_report(&answer.success()?, *core.layers.borrow())?;
-    Ok((report, facts))
+    Ok((report, response_headers))
 }
 
 /// Records whether the runner is leaving. `known` is its previous statement.
