--- a/components/account/src/cause.rs
+++ b/components/account/src/cause.rs
@@ -97,7 +97,7 @@
     })
 }
 
-/// The distinct reasons why sidecars did not reserve a place, separated by commas.
+/// The distinct reasons why sidecars did not reserve a slot, separated by commas.
 fn denial_reasons(lines: &[RequestLine]) -> String {
     let mut reasons: Vec<&str> = Vec::new();
     for line in lines {
--- a/components/account/src/decision.rs
+++ b/components/account/src/decision.rs
@@ -52,7 +52,7 @@
         #[serde(default)]
         left_ms: Option<u64>,
     },
-    /// The sidecar of a runner did not reserve a place for the request.
+    /// The sidecar of a runner did not reserve a slot for the request.
     NoPlace {
         /// The runner.
         runner: String,
--- a/components/externals/src/http_upstream.rs
+++ b/components/externals/src/http_upstream.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Returns the pause that an upstream requests with a 503 response, in milliseconds. A `Retry-After` value that
-/// cannot be parsed still requests a pause, of `UNREADABLE_BACKOFF_MS`.
+/// Returns the backoff that an upstream requests with a 503 response, in milliseconds. A `Retry-After` value that
+/// cannot be parsed still requests a backoff, of `UNREADABLE_BACKOFF_MS`.
 fn retry_after_ms(response: &Response) -> Option<u64> {
     let text = response.header("retry-after")?.last().as_str();
     if response.status() != StatusCode::ServiceUnavailable {
--- a/components/gateway/src/catalog.rs
+++ b/components/gateway/src/catalog.rs
@@ -92,7 +92,7 @@
     pub usual_prompt_tokens: u32,
 }
 
-/// The origin server from which weights are first downloaded.
+/// The origin server from which weights are first fetched.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Origin {
     /// The address that it listens on.
--- a/components/gateway/src/pool.rs
+++ b/components/gateway/src/pool.rs
@@ -199,7 +199,7 @@
         load: RunnerLoad,
     ) -> Option<IncarnationEvent> {
         let runner = self.runners.get_mut(&id)?;
-        self.silent.note_heard(&runner.record.hall);
+        self.silent.note_contact(&runner.record.hall);
         let event = incarnation_event(runner, load.life, false);
         match event.as_ref().map(|it| it.change) {
             None | Some(IncarnationChange::Same) => runner.apply_load(now, load),
@@ -225,7 +225,7 @@
     pub fn note_answered(&mut self, now: Millis, id: &InstanceId, incarnation: RunnerIncarnation) {
         if let Some(runner) = self.runners.get_mut(id).filter(|it| it.incarnation == incarnation) {
             runner.last_alive_at = now;
-            self.silent.note_heard(&runner.record.hall);
+            self.silent.note_contact(&runner.record.hall);
         }
     }
 
--- a/components/gateway/src/reducer/crashes.rs
+++ b/components/gateway/src/reducer/crashes.rs
@@ -109,7 +109,7 @@
     }
 
     /// The crashes to report to other processes. `draw` selects what is reported in addition to
-    /// news.
+    /// new crashes.
     pub fn crash_list(&self, now: Millis, draw: u64) -> CrashList {
         self.crashes.ledger.list(now, ListScope::Fresh, draw)
     }
--- a/components/gateway/src/silent_halls.rs
+++ b/components/gateway/src/silent_halls.rs
@@ -32,7 +32,7 @@
 
 impl SilentHalls {
     /// Records a report or a response from a runner of a data hall.
-    pub(crate) fn note_heard(&mut self, hall: &Hall) {
+    pub(crate) fn note_contact(&mut self, hall: &Hall) {
         self.unanswered.remove(hall);
     }
 
--- a/components/gateway/tests/crashes.rs
+++ b/components/gateway/tests/crashes.rs
@@ -272,14 +272,14 @@
     CrashEvent::Changed { change: CrashChange::Quarantined(REQUEST), is_own }
 }
 
-fn lives(_: RequestDigest, _: bool) -> Option<Vec<IncarnationDigest>> {
+fn crashed_incarnations(_: RequestDigest, _: bool) -> Option<Vec<IncarnationDigest>> {
     Some(vec![IncarnationDigest::of(&"r1".into(), None)])
 }
 
 /// A quarantine record that has been read from the store.
 fn record() -> QuarantineRecord {
     let mut record = QuarantineRecord::new(Millis(0));
-    let next_call = record.due(Millis(0), lives).unwrap();
+    let next_call = record.due(Millis(0), crashed_incarnations).unwrap();
     assert_eq!(next_call, QuarantineCall::Read);
     record.handle_answer(Millis(0), 0, &next_call, &QuarantineAnswer::Rows(Default::default()));
     assert_eq!(record.next_at(), None);
@@ -290,7 +290,7 @@
 fn the_gateway_that_finds_the_quarantine_writes_at_once_and_others_only_if_it_does_not() {
     let mut own = record();
     own.handle_change(Millis(0), 900, &quarantined(true));
-    let next_call = own.due(Millis(0), lives).unwrap();
+    let next_call = own.due(Millis(0), crashed_incarnations).unwrap();
     assert_eq!(own.handle_answer(Millis(5), 0, &next_call, &QuarantineAnswer::Done), Some(REQUEST));
     assert_eq!(own.next_at(), None);
     let mut other = record();
@@ -319,14 +319,14 @@
     record.handle_change(Millis(0), 0, &quarantined(true));
     let (mut now, mut pauses) = (Millis(0), Vec::new());
     for _ in 0..6 {
-        let next_call = record.due(now, lives).unwrap();
+        let next_call = record.due(now, crashed_incarnations).unwrap();
         record.handle_answer(now, 0, &next_call, &QuarantineAnswer::Failed);
         let next = record.next_at().unwrap();
         pauses.push(next.since(now).0);
         now = next;
     }
     assert_eq!(pauses, [125, 250, 500, 1000, 2000, 2000]);
-    let next_call = record.due(now, lives).unwrap();
+    let next_call = record.due(now, crashed_incarnations).unwrap();
     assert_eq!(record.handle_answer(now, 0, &next_call, &QuarantineAnswer::Done), Some(REQUEST));
 }
 
@@ -345,7 +345,7 @@
 
 /// The incarnations ended by a request whose row is known to be written.
 fn recorded(digest: RequestDigest, unrecorded: bool) -> Option<Vec<IncarnationDigest>> {
-    lives(digest, unrecorded).filter(|_| !unrecorded)
+    crashed_incarnations(digest, unrecorded).filter(|_| !unrecorded)
 }
 
 #[test]
--- a/components/gateway/tests/fuzz.rs
+++ b/components/gateway/tests/fuzz.rs
@@ -91,7 +91,7 @@
     may_have_run: bool,
     current: Option<InstanceId>,
     /// The incarnation of the current runner that the request was sent to.
-    life: u64,
+    incarnation: u64,
     /// Whether the response of the current attempt has begun.
     answered: bool,
     ended: bool,
@@ -105,7 +105,7 @@
     /// incarnation, whatever the list says.
     leaving: BTreeSet<InstanceId>,
     /// Number of restarts of each runner.
-    lives: BTreeMap<InstanceId, u64>,
+    restarts: BTreeMap<InstanceId, u64>,
     homes: HomeRegions,
     /// Data halls that are evacuated and to which nothing is sent any more.
     evacuated: Vec<Hall>,
@@ -136,7 +136,7 @@
                     request_model.sends += 1;
                     prop_assert!(request_model.sends <= 2, "more attempts than the route allows");
                     request_model.current = Some(target.id.clone());
-                    request_model.life = self.lives.get(&target.id).copied().unwrap_or(0);
+                    request_model.incarnation = self.restarts.get(&target.id).copied().unwrap_or(0);
                 }
                 NextStep::Refuse { .. } => {
                     prop_assert!(
@@ -169,8 +169,8 @@
 impl Model {
     /// The list entry of a runner in its current incarnation.
     fn listed(&self, runner: u8) -> RunnerRecord {
-        let lives = self.lives.get(&id(runner)).copied().unwrap_or(0);
-        let incarnation = IncarnationReport { born: Some(lives), sequence: 0 };
+        let restarts = self.restarts.get(&id(runner)).copied().unwrap_or(0);
+        let incarnation = IncarnationReport { born: Some(restarts), sequence: 0 };
         RunnerRecord { incarnation, ..listed(runner) }
     }
 
@@ -183,8 +183,9 @@
             };
             let region = if hall(id) == "a" { "north" } else { "south" };
             let is_open = self.usable.contains(id) && !self.evacuated.contains(&hall(id).into());
-            let is_its_life = self.lives.get(id).copied().unwrap_or(0) == request_model.life;
-            let is_fit = is_open && is_its_life && self.homes.allow(&region.into());
+            let is_its_incarnation =
+                self.restarts.get(id).copied().unwrap_or(0) == request_model.incarnation;
+            let is_fit = is_open && is_its_incarnation && self.homes.allow(&region.into());
             let may_send = fixture.gateway.may_send(Millis(fixture.now), RequestKey(*key));
             prop_assert_eq!(may_send, is_fit, "to {:?}, homes {:?}", id, self.homes);
         }
@@ -223,7 +224,7 @@
                 fixture.feed(Event::Listed(model.listed(runner)))
             }
             Action::Restart(runner) => {
-                *model.lives.entry(id(runner)).or_default() += 1;
+                *model.restarts.entry(id(runner)).or_default() += 1;
                 model.leaving.remove(&id(runner));
                 model.usable.insert(id(runner));
                 fixture.feed(Event::Listed(model.listed(runner)))
@@ -269,7 +270,7 @@
                     sends: 0,
                     may_have_run: false,
                     current: None,
-                    life: 0,
+                    incarnation: 0,
                     answered: false,
                     ended: false,
                     arrived: fixture.now,
--- a/components/gateway/tests/notices.rs
+++ b/components/gateway/tests/notices.rs
@@ -130,7 +130,7 @@
     let effects = fixture.feed(Event::NoticeReceived(RequestKey(key), notice));
     fixture.outcome(key, AttemptOutcome::Finished);
     effects.into_iter().find_map(|effect| match effect {
-        Effect::Notice(news) => news.notice.limit,
+        Effect::Notice(change) => change.notice.limit,
         _ => None,
     })
 }
@@ -139,18 +139,18 @@
 fn a_rate_limit_is_reported_when_it_begins_changes_and_ends() {
     let mut fixture = fixture(1);
     let limited = |per_s| AdvertisedLimit::Limited(Rate::from_per_s(per_s).unwrap());
-    let words = [
+    let limits = [
         limited(1.6),
         limited(1.6),
         limited(4.0),
         AdvertisedLimit::Unlimited,
         AdvertisedLimit::Unlimited,
     ];
-    let reject_with: Vec<_> =
-        (0..).zip(words).map(|(key, word)| receive_limit(&mut fixture, key, word)).collect();
-    let news =
+    let reported: Vec<_> =
+        (0..).zip(limits).map(|(key, limit)| receive_limit(&mut fixture, key, limit)).collect();
+    let expected =
         [Some(limited(1.6)), None, Some(limited(4.0)), Some(AdvertisedLimit::Unlimited), None];
-    assert_eq!(reject_with, news);
+    assert_eq!(reported, expected);
     assert!(!fixture.gateway.is_limited(&"r1".into()));
 }
 
--- a/components/node/src/agent/mod.rs
+++ b/components/node/src/agent/mod.rs
@@ -76,7 +76,7 @@
 pub struct AgentConfig {
     /// The services that the agent uses.
     pub services: DaemonServices,
-    /// The name, the place and the addresses of the agent.
+    /// The name, the location and the addresses of the agent.
     pub identity: Identity,
     /// The upstream that the agent serves.
     pub upstream: Upstream,
--- a/components/node/src/clock.rs
+++ b/components/node/src/clock.rs
@@ -24,7 +24,7 @@
         Millis((self.unix_at_start + self.started_at.elapsed()).as_millis() as u64)
     }
 
-    /// The start time, which distinguishes this run of the daemon from other runs with the same name.
+    /// The start time, which distinguishes this incarnation of the daemon from others with the same name.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation(self.unix_at_start.as_micros() as u64)
     }
--- a/components/node/src/entry/mod.rs
+++ b/components/node/src/entry/mod.rs
@@ -32,7 +32,7 @@
 pub struct EntryConfig {
     /// The services that the entry uses.
     pub services: DaemonServices,
-    /// The name, the place and the addresses of the entry.
+    /// The name, the location and the addresses of the entry.
     pub identity: Identity,
     /// The address for callers; port 0 selects a free port.
     pub callers: SocketAddr,
--- a/components/node/src/services.rs
+++ b/components/node/src/services.rs
@@ -13,7 +13,7 @@
 use crate::peers::PeerPool;
 use crate::tokens::TokenRing;
 
-/// The name, the place and the addresses of a daemon.
+/// The name, the location and the addresses of a daemon.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The name of the instance.
--- a/components/reducer/src/spread/version/strategy.rs
+++ b/components/reducer/src/spread/version/strategy.rs
@@ -100,14 +100,14 @@
         let wanted = self.have.missing().filter(|index| {
             neighbour.have.contains(*index)
                 && !self.in_flight.contains_key(index)
-                && (neighbour.distance == 0 || self.may_draw_from_other_hall(now, *index))
+                && (neighbour.distance == 0 || self.may_fetch_from_other_hall(now, *index))
         });
         wanted.min_by_key(|index| (counts[*index as usize], (index + chunks - start) % chunks))
     }
 
     /// Whether a chunk may be fetched from another hall: by its owner in this hall, or by the next in rank
     /// once the owner has had time to fetch it since a neighbour first offered it.
-    fn may_draw_from_other_hall(&self, now: Millis, index: u32) -> bool {
+    fn may_fetch_from_other_hall(&self, now: Millis, index: u32) -> bool {
         let Some(gate) = &self.hall_gate else {
             return true;
         };
--- a/components/settings/src/deployment.rs
+++ b/components/settings/src/deployment.rs
@@ -77,7 +77,7 @@
     pub drain_ms: u64,
     /// Milliseconds within which a new configuration takes effect.
     pub configuration_ms: u64,
-    /// Milliseconds within which a newly named version is served.
+    /// Milliseconds within which a newly announced version is served.
     pub version_ms: u64,
     /// Maximum number of retries per request in each window.
     pub retry_ratio: f64,
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -23,8 +23,8 @@
 pub struct Service {
     work: Duration,
     runs: Mutex<HashMap<String, u64>>,
-    /// While the service rejects all requests: the pause that it asks callers for.
-    shedding_pause: Mutex<Option<Duration>>,
+    /// While the service rejects all requests: the backoff that it asks callers for.
+    shedding_backoff: Mutex<Option<Duration>>,
     rejected_at: Mutex<Vec<Instant>>,
 }
 
@@ -34,14 +34,14 @@
         Self {
             work,
             runs: Mutex::default(),
-            shedding_pause: Mutex::default(),
+            shedding_backoff: Mutex::default(),
             rejected_at: Mutex::default(),
         }
     }
 
-    /// Starts or stops rejecting all requests. A rejection asks the caller to pause for the given time.
-    pub fn set_shedding(&self, pause: Option<Duration>) {
-        *self.shedding_pause.lock().expect("the lock is never poisoned") = pause;
+    /// Starts or stops rejecting all requests. A rejection asks the caller for this backoff.
+    pub fn set_shedding(&self, backoff: Option<Duration>) {
+        *self.shedding_backoff.lock().expect("the lock is never poisoned") = backoff;
     }
 
     /// Returns the times at which requests were rejected, oldest first.
@@ -51,10 +51,10 @@
 
     /// Returns the response that rejects a request, if the service currently rejects requests.
     fn rejection(&self) -> Option<Reply> {
-        let pause = (*self.shedding_pause.lock().expect("the lock is never poisoned"))?;
+        let backoff = (*self.shedding_backoff.lock().expect("the lock is never poisoned"))?;
         self.rejected_at.lock().expect("the lock is never poisoned").push(Instant::now());
         let mut answer = Response::new(StatusCode::ServiceUnavailable);
-        answer.insert_header("retry-after", format!("{:.3}", pause.as_secs_f64()));
+        answer.insert_header("retry-after", format!("{:.3}", backoff.as_secs_f64()));
         Some(Reply::Answer(answer))
     }
 
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -232,7 +232,7 @@
 pub struct MemberRecord {
     /// The id of the instance.
     pub id: InstanceId,
-    /// Identifies the run of the daemon; it changes with each start.
+    /// Identifies the incarnation of the daemon; it changes with each start.
     pub incarnation: Incarnation,
     /// Increases with every change that the daemon makes to its own record.
     pub serial: u64,
@@ -255,7 +255,7 @@
     Listed {
         /// The first bytes of the digest of the name of the instance.
         tag: [u8; 8],
-        /// Identifies the run of the daemon.
+        /// Identifies the incarnation of the daemon.
         incarnation: Incarnation,
         /// Increases with every change of the record.
         serial: u64,
@@ -322,7 +322,7 @@
 pub struct Datagram {
     /// The id of the sender.
     pub from: InstanceId,
-    /// Identifies the run of the sender.
+    /// Identifies the incarnation of the sender.
     pub incarnation: Incarnation,
     /// The revision of the configuration that the sender has applied.
     pub revision: Revision,
--- a/daemon/tests/deployment/narrow_paths.rs
+++ b/daemon/tests/deployment/narrow_paths.rs
@@ -1,9 +1,9 @@
 //! Tests of requests that reach a runner late over a narrow link, after the gateway has given up on them.
 //!
-//! The failure: requests began on a version of the weights 0.15 to 0.48 s after its bound. The gateway had sent
-//! them 1.0 to 1.5 s before the bound to runners behind links that were full of weights. It got no answer, gave
+//! The failure: requests began on a version of the weights 0.15 to 0.48 s after its deadline. The gateway had sent
+//! them 1.0 to 1.5 s before the deadline to runners behind links that were full of weights. It got no answer, gave
 //! up after twice the target latency and used another runner. The queue of the link delivered the request after
-//! the bound, and the runner, which does not check the age of a version, began it.
+//! the deadline, and the runner, which does not check the age of a version, began it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -19,11 +19,11 @@
 
 /// How long requests may begin on an older version, by the settings of the deployment.
 const VERSION_BOUND: Duration = Duration::from_millis(8000);
-/// How long before the bound the request is sent. Gateways stop using the older version 1.2 s before its bound,
+/// How long before the deadline the request is sent. Gateways stop using the older version 1.2 s before its deadline,
 /// and may date the newer one up to half a second too early.
-const SENT_BEFORE_BOUND: Duration = Duration::from_millis(1900);
-/// How long after the bound the proxy delivers what it held.
-const DELIVERED_AFTER_BOUND: Duration = Duration::from_millis(150);
+const SENT_BEFORE_DEADLINE: Duration = Duration::from_millis(1900);
+/// How long after the deadline the proxy delivers what it held.
+const DELIVERED_AFTER_DEADLINE: Duration = Duration::from_millis(150);
 /// How long after its start a gateway dates new versions precisely.
 const SETTLE_TIME: Duration = Duration::from_millis(6000);
 /// Port of the proxy, on the runner's machine.
@@ -107,32 +107,32 @@
     // Changes after this wait are not taken for changes from before the start of the gateway.
     thread::sleep(SETTLE_TIME);
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
 
-    sleep_until(bound - SENT_BEFORE_BOUND);
+    sleep_until(deadline - SENT_BEFORE_DEADLINE);
     proxy.hold(true);
     let mut request = Caller::new(http::Method::POST, "/s/x", "late");
     request.deadline_ms = 1000;
     let answer = request.call(gateway);
     assert!(!answer.is_complete || answer.status != 200, "no runner could serve it: {answer:?}");
     assert!(proxy.has_held.load(Ordering::SeqCst), "the request was sent to the runner");
-    sleep_until(bound + DELIVERED_AFTER_BOUND);
+    sleep_until(deadline + DELIVERED_AFTER_DEADLINE);
     proxy.hold(false);
     // By then the held bytes have reached the runner.
     thread::sleep(Duration::from_millis(500));
     let runs = deployment.standin.runs("late");
     let begun: Vec<Duration> =
-        runs.iter().map(|it| it.at.saturating_duration_since(bound)).collect();
+        runs.iter().map(|it| it.at.saturating_duration_since(deadline)).collect();
     assert!(begun.is_empty(), "begun on version {} {begun:?} after its bound", runs[0].version);
 }
 
-/// How long before its bound a version that cannot be replaced is given up at the latest.
-const GIVEN_UP_BEFORE_BOUND: Duration = Duration::from_millis(120);
+/// How long before its deadline a version that cannot be replaced is given up at the latest.
+const GIVEN_UP_BEFORE_DEADLINE: Duration = Duration::from_millis(120);
 
 /// Guards against a failure in which a gateway dated a version by the time at which it learned of it. A gateway
 /// that pauses between two calls to the store learns of a version up to a quarter of a second late, so that
-/// every later bound was late by the same time: a version was logged 0.2 s after its acknowledgement, and the
-/// version before it was given up only 0.1 s before its bound.
+/// every later deadline was late by the same time: a version was logged 0.2 s after its acknowledgement, and the
+/// version before it was given up only 0.1 s before its deadline.
 #[test]
 fn a_version_set_while_a_gateway_pauses_is_dated_by_its_earliest_possible_time() {
     let mut deployment = Deployment::start();
@@ -146,9 +146,9 @@
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(4001));
     thread::sleep(Duration::from_millis(30));
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
 
-    sleep_until(bound - GIVEN_UP_BEFORE_BOUND);
+    sleep_until(deadline - GIVEN_UP_BEFORE_DEADLINE);
     let taken = deployment.standin.runner(runner).map(|it| it.sequence);
     assert_eq!(taken, Some(1), "the order to give up version 1 has been taken");
 }
--- a/daemon/tests/deployment/rests.rs
+++ b/daemon/tests/deployment/rests.rs
@@ -1,7 +1,7 @@
-//! Tests of runners that reject requests and ask for a rest period.
+//! Tests of runners that reject requests and ask for a backoff.
 //!
 //! The failure: four of twelve runners shed load for eight seconds. They answered 503 and asked each gateway
-//! for three seconds of rest, but each gateway went on sending them up to 37 requests a second, and one caller
+//! for a backoff of three seconds, but each gateway went on sending them up to 37 requests a second, and one caller
 //! in ten was refused although the other eight runners had free slots. The cause: a runner that rejects all
 //! requests is idle and so ranked best, and gateways paused only 60 ms after a refusal, whatever the runner
 //! asked for. Both attempts of a request could fail in this way, each about 3 ms after its start.
@@ -16,11 +16,11 @@
 use crate::support::{stream, wait_until, Deployment};
 
 /// Rest period that the runner asks for.
-const REST_PERIOD: Duration = Duration::from_millis(2000);
+const BACKOFF: Duration = Duration::from_millis(2000);
 /// How long after a rejection requests may still be in transit and are not counted.
 const TRANSIT_PERIOD: Duration = Duration::from_millis(500);
-/// Maximum number of requests that may reach the runner in one rest period.
-const MAX_DURING_REST: usize = 2;
+/// Maximum number of requests that may reach the runner in one backoff.
+const MAX_DURING_BACKOFF: usize = 2;
 /// Number of requests served first. Each one allows 0.15 retries, so that a gateway that has just started may
 /// retry some requests.
 const SERVED_BEFORE: usize = 30;
@@ -28,18 +28,18 @@
 const SHEDDING_PERIOD: Duration = Duration::from_millis(5000);
 /// Pause between two calls.
 const CALL_PAUSE: Duration = Duration::from_millis(10);
-/// Within what time after its last rest period the runner serves again.
+/// Within what time after its last backoff the runner serves again.
 const RECOVERY_BOUND: Duration = Duration::from_millis(1500);
 
-/// Counts the requests that reached the runner within the rest period of one rejection.
-fn count_during_rest(answer: &TurnedAway, all: &[TurnedAway]) -> usize {
-    let rest = answer.at + TRANSIT_PERIOD..answer.at + answer.rest;
-    all.iter().filter(|it| it.runner == answer.runner && rest.contains(&it.at)).count()
+/// Counts the requests that reached the runner within the backoff of one rejection.
+fn count_during_backoff(answer: &TurnedAway, all: &[TurnedAway]) -> usize {
+    let backoff = answer.at + TRANSIT_PERIOD..answer.at + answer.rest;
+    all.iter().filter(|it| it.runner == answer.runner && backoff.contains(&it.at)).count()
 }
 
 /// Makes a runner reject requests while callers go on. Checks that it receives almost no requests during rest
 /// periods, that callers are served, and that it is used again afterwards.
-fn expect_rest_is_respected(
+fn expect_backoff_is_respected(
     deployment: &Deployment,
     runner: SocketAddr,
     call: impl Fn(&str) -> u16,
@@ -49,7 +49,7 @@
         call(&format!("{id}-{number}"));
     }
     wait_for_run(deployment, &id, "before", &call);
-    deployment.standin.change_runner(runner, |it| it.reject_with_retry_after = Some(REST_PERIOD));
+    deployment.standin.change_runner(runner, |it| it.reject_with_retry_after = Some(BACKOFF));
     let begun = Instant::now();
     let mut refused = 0;
     for number in 0.. {
@@ -62,20 +62,20 @@
     let all: Vec<_> =
         deployment.standin.rejected_requests().into_iter().filter(|it| it.runner == id).collect();
     assert!(!all.is_empty(), "{id} was asked");
-    let max_requests = all.iter().map(|it| count_during_rest(it, &all)).max().unwrap_or(0);
+    let max_requests = all.iter().map(|it| count_during_backoff(it, &all)).max().unwrap_or(0);
     assert!(
-        max_requests <= MAX_DURING_REST,
-        "{max_requests} requests reached {id} within {REST_PERIOD:?} of rest"
+        max_requests <= MAX_DURING_BACKOFF,
+        "{max_requests} requests reached {id} within {BACKOFF:?} of rest"
     );
     assert_eq!(refused, 0, "the other runners serve all requests");
     deployment.standin.change_runner(runner, |it| it.reject_with_retry_after = None);
-    std::thread::sleep(REST_PERIOD);
-    let rest_ended_at = Instant::now();
+    std::thread::sleep(BACKOFF);
+    let backoff_ended_at = Instant::now();
     wait_for_run(deployment, &id, "afterwards", &call);
     assert!(
-        rest_ended_at.elapsed() < RECOVERY_BOUND,
+        backoff_ended_at.elapsed() < RECOVERY_BOUND,
         "{id} serves again after {:?}",
-        rest_ended_at.elapsed()
+        backoff_ended_at.elapsed()
     );
 }
 
@@ -97,9 +97,9 @@
     deployment.add_model_runner("e2", Some(1));
     let gateway = deployment.add_gateway();
     deployment.wait_until_ready(gateway);
-    expect_rest_is_respected(&deployment, model, |id| stream(gateway, id).status);
+    expect_backoff_is_respected(&deployment, model, |id| stream(gateway, id).status);
     let plain = SocketAddr::new(machine_address(gateway, 1), 8001);
-    expect_rest_is_respected(&deployment, plain, |id| {
+    expect_backoff_is_respected(&deployment, plain, |id| {
         Caller::new(Method::GET, "/get/x", id).call(gateway).status
     });
 }
--- a/daemon/tests/deployment/version_ages.rs
+++ b/daemon/tests/deployment/version_ages.rs
@@ -1,5 +1,5 @@
 //! Tests of how gateways and sidecars determine since when a version is the target version, and of requests in
-//! progress when the bound of an older version passes.
+//! progress when the deadline of an older version passes.
 
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,8 +14,8 @@
 
 /// How long requests may begin on an older version, by the settings of the deployment.
 const VERSION_BOUND: Duration = Duration::from_millis(8000);
-/// How long before its bound a version that cannot be replaced is given up at the latest.
-const GIVEN_UP_BEFORE_BOUND: Duration = Duration::from_millis(120);
+/// How long before its deadline a version that cannot be replaced is given up at the latest.
+const GIVEN_UP_BEFORE_DEADLINE: Duration = Duration::from_millis(120);
 /// How long after its start a gateway dates new versions precisely.
 const SETTLE_TIME: Duration = Duration::from_millis(6000);
 /// Port for datagrams on each machine.
@@ -44,9 +44,9 @@
     deployment.standin.reconfigure(|it| it["services"][2]["origin"] = json!("127.77.0.1:9"));
 }
 
-/// Checks that the order to give up version 1 was taken shortly before its bound.
-fn expect_given_up(deployment: &Deployment, runner: SocketAddr, bound: Instant) {
-    sleep_until(bound - GIVEN_UP_BEFORE_BOUND);
+/// Checks that the order to give up version 1 was taken shortly before its deadline.
+fn expect_given_up(deployment: &Deployment, runner: SocketAddr, deadline: Instant) {
+    sleep_until(deadline - GIVEN_UP_BEFORE_DEADLINE);
     let taken = deployment.standin.runner(runner).map(|it| it.sequence);
     assert_eq!(taken, Some(1), "the order to give up version 1 has been taken");
 }
@@ -60,11 +60,11 @@
     deployment.standin.reconfigure(|it| it["routes"][0]["timeoutMs"] = json!(4001));
     thread::sleep(Duration::from_millis(30));
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
     thread::sleep(Duration::from_millis(1000));
     deployment.standin.set_store_fault(StoreFault::None);
 
-    expect_given_up(&deployment, runner, bound);
+    expect_given_up(&deployment, runner, deadline);
 }
 
 /// A proxy between a gateway and a sidecar that can delay datagrams to the sidecar.
@@ -138,15 +138,15 @@
     thread::sleep(SETTLE_TIME);
     proxy.delay_ms.store(1000, Ordering::SeqCst);
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
 
-    expect_given_up(&deployment, runner, bound);
+    expect_given_up(&deployment, runner, deadline);
 }
 
-/// How long a runner reads a prompt, so that its request would begin after the bound.
+/// How long a runner reads a prompt, so that its request would begin after the deadline.
 const READING_TIME: Duration = Duration::from_millis(2150);
-/// How long before the bound that request is sent: earlier than a gateway stops using the version.
-const SENT_BEFORE_BOUND: Duration = Duration::from_millis(2000);
+/// How long before the deadline that request is sent: earlier than a gateway stops using the version.
+const SENT_BEFORE_DEADLINE: Duration = Duration::from_millis(2000);
 
 #[test]
 fn a_request_that_a_runner_still_reads_does_not_begin_on_a_version_after_its_bound() {
@@ -154,9 +154,9 @@
     deployment.standin.reconfigure(|it| it["routes"][0]["targetLatencyMs"] = json!(1500));
     thread::sleep(SETTLE_TIME);
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
 
-    sleep_until(bound - SENT_BEFORE_BOUND);
+    sleep_until(deadline - SENT_BEFORE_DEADLINE);
     deployment.standin.change_runner(runner, |it| it.prompt_read_time = READING_TIME);
     let caller = thread::spawn(move || {
         let mut request = Caller::new(http::Method::POST, "/s/x", "late");
@@ -166,16 +166,16 @@
     thread::sleep(Duration::from_millis(300));
     let running = deployment.standin.runner(runner).map(|it| it.running);
     assert_eq!(running, Some(1), "the runner reads the request");
-    sleep_until(bound + Duration::from_millis(500));
+    sleep_until(deadline + Duration::from_millis(500));
     let runs = deployment.standin.runs("late");
     let begun: Vec<Duration> =
-        runs.iter().map(|it| it.at.saturating_duration_since(bound)).collect();
+        runs.iter().map(|it| it.at.saturating_duration_since(deadline)).collect();
     assert!(begun.is_empty(), "begun on version {} {begun:?} after its bound", runs[0].version);
     caller.join().unwrap();
 }
 
-/// How long before its bound an old version is still kept, if the newer one was set while nothing else changed.
-const KEPT_BEFORE_BOUND: Duration = Duration::from_millis(1000);
+/// How long before its deadline an old version is still kept, if the newer one was set while nothing else changed.
+const KEPT_BEFORE_DEADLINE: Duration = Duration::from_millis(1000);
 /// How long nothing changes before the target version changes: a little less than feeds wait.
 const IDLE_TIME: Duration = Duration::from_millis(1900);
 
@@ -188,12 +188,12 @@
     deployment.standin.change_runner(runner, |_| {});
     thread::sleep(IDLE_TIME);
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
 
-    sleep_until(bound - KEPT_BEFORE_BOUND);
+    sleep_until(deadline - KEPT_BEFORE_DEADLINE);
     let taken = deployment.standin.runner(runner).map(|it| it.sequence);
     assert_eq!(taken, Some(0), "version 1 is still kept");
-    expect_given_up(&deployment, runner, bound);
+    expect_given_up(&deployment, runner, deadline);
 }
 
 /// How long after a change of the target version its row is written again.
@@ -204,9 +204,9 @@
     let (deployment, runner, _) = start_on_version_one();
     thread::sleep(SETTLE_TIME);
     deployment.standin.announce_version(2);
-    let bound = Instant::now() + VERSION_BOUND;
+    let deadline = Instant::now() + VERSION_BOUND;
     thread::sleep(REWRITE_DELAY);
     deployment.standin.announce_version(2);
 
-    expect_given_up(&deployment, runner, bound);
+    expect_given_up(&deployment, runner, deadline);
 }
--- a/examples/soak/checker/configuration.rs
+++ b/examples/soak/checker/configuration.rs
@@ -30,7 +30,7 @@
     })
 }
 
-/// Within one run of a process, an older configuration never replaces a newer one.
+/// Within one incarnation of a process, an older configuration never replaces a newer one.
 pub(super) fn check_configuration(history: &History) -> Vec<Violation> {
     let mut newest: BTreeMap<(usize, u32), (u64, Duration)> = BTreeMap::new();
     let mut requests: Vec<&Request> = history.requests.iter().collect();
--- a/examples/soak/checker/runners.rs
+++ b/examples/soak/checker/runners.rs
@@ -1,4 +1,4 @@
-//! Checks what runners receive while they leave, rest or are cold.
+//! Checks what runners receive while they leave, are backed off from or are cold.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 const COLD_LIMIT: usize = 14;
 /// How long after a rejection requests may still be in transit and are not counted.
 const TRANSIT_PERIOD: Duration = Duration::from_millis(500);
-/// Maximum number of requests that a runner may receive from one gateway during a rest period.
-const MAX_DURING_REST: usize = 2;
+/// Maximum number of requests that a runner may receive from one gateway during a backoff.
+const MAX_DURING_BACKOFF: usize = 2;
 
 /// A leaving runner receives no new requests once its leave must be known.
 pub(super) fn check_leaving(
@@ -67,7 +67,7 @@
 /// Id and incarnation of a runner, and the gateway process that sends to it.
 type Path<'a> = (&'a str, u64, (usize, u32));
 
-/// During a rest period that a runner asks a gateway for, it receives at most two requests from that gateway,
+/// During a backoff that a runner asks a gateway for, it receives at most two requests from that gateway,
 /// unless the gateway was disrupted.
 pub(super) fn check_rest_periods(history: &History) -> Vec<Violation> {
     let requests: BTreeMap<&str, &Request> =
@@ -92,15 +92,17 @@
             return false;
         };
         let key = (it.runner.as_str(), it.life, request.gateway);
-        let rest = it.at + TRANSIT_PERIOD..it.at + it.rest;
+        let backoff = it.at + TRANSIT_PERIOD..it.at + it.rest;
         let during =
-            arrivals.get(&key).map_or(0, |at| at.iter().filter(|at| rest.contains(at)).count());
+            arrivals.get(&key).map_or(0, |at| at.iter().filter(|at| backoff.contains(at)).count());
         let was_disrupted = history.disruptions.iter().any(|disruption| {
             disruption.target == Target::Gateway(request.gateway.0)
                 && disruption.from <= it.at + it.rest
                 && disruption.until + UNDISTURBED_PERIOD >= it.at
         });
-        during > MAX_DURING_REST && !was_disrupted && !history.old_builds.contains(&request.gateway)
+        during > MAX_DURING_BACKOFF
+            && !was_disrupted
+            && !history.old_builds.contains(&request.gateway)
     };
     let violated = history.turned_away.iter().filter(is_violated);
     violated
--- a/examples/soak/checker/versions.rs
+++ b/examples/soak/checker/versions.rs
@@ -30,7 +30,7 @@
     Some(broken("requests begin on a version that is new enough", request, &detail))
 }
 
-/// By how much a run that began at `begun` exceeds the bound of a target version.
+/// By how much a run that began at `begun` exceeds the deadline of a target version.
 fn lateness_after(history: &History, target: &TargetVersion, begun: Moment) -> Option<Duration> {
     let outages =
         history.disruptions.iter().filter(|it| it.target == Target::Store && it.from <= begun);
--- a/examples/soak/fault_injector.rs
+++ b/examples/soak/fault_injector.rs
@@ -22,7 +22,7 @@
 const RESTART_DELAY: Duration = Duration::from_millis(600);
 /// Bytes of padding in a large plain answer, and in each event of a stream.
 const LARGE_PADDING_BYTES: usize = 60_000;
-/// Minimum time that a runner reads slowly: until the bound of a target version set before has passed.
+/// Minimum time that a runner reads slowly: until the deadline of a target version set before has passed.
 const MIN_SLOW_READING: Duration = Duration::from_millis(9000);
 /// Interval at which due actions are run.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -195,8 +195,8 @@
             }
             Fault::CrashRequests => self.send_crash_requests(until),
             Fault::ForeignRows(number) => self.write_foreign_rows(number, until),
-            Fault::Shed(number, rest_ms) => {
-                self.shed_load(number, Duration::from_millis(rest_ms), until);
+            Fault::Shed(number, backoff_ms) => {
+                self.shed_load(number, Duration::from_millis(backoff_ms), until);
             }
             Fault::RateLimit(number, limit, reported) => {
                 self.state_limit(number, limit, reported, until);
--- a/examples/soak/fault_injector/runners.rs
+++ b/examples/soak/fault_injector/runners.rs
@@ -92,9 +92,9 @@
             .for_each(|it| it.until = Some(now));
     }
 
-    /// Has a runner reject all requests until `until` and ask for a rest period each time.
-    pub(super) fn shed_load(&mut self, number: usize, rest: Duration, until: Duration) {
-        self.change_runner(number, |it| it.reject_with_retry_after = Some(rest));
+    /// Has a runner reject all requests until `until` and ask for a backoff each time.
+    pub(super) fn shed_load(&mut self, number: usize, backoff: Duration, until: Duration) {
+        self.change_runner(number, |it| it.reject_with_retry_after = Some(backoff));
         self.record_disruption(Target::Runner(number), until);
         self.schedule(until, DelayedAction::EndShedding(number));
     }
--- a/examples/soak/faults.rs
+++ b/examples/soak/faults.rs
@@ -125,7 +125,7 @@
     /// A foreign writer writes rows to the list of runners, one of them in place of a runner's entry, for a
     /// while.
     ForeignRows(usize),
-    /// A runner rejects all requests for a while and asks for this many milliseconds of rest each time.
+    /// A runner rejects all requests for a while and asks for this many milliseconds of backoff each time.
     Shed(usize, u64),
     /// A runner states a rate limit for a while, in its answers to requests and, if the flag is set, also in
     /// its reports to the sidecar.
--- a/examples/soak/history.rs
+++ b/examples/soak/history.rs
@@ -87,7 +87,7 @@
     pub at: Moment,
 }
 
-/// A request that a runner rejected with a rest period.
+/// A request that a runner rejected with a backoff.
 #[derive(Clone, Debug)]
 pub struct TurnedAway {
     /// Id of the runner.
@@ -235,7 +235,7 @@
     pub pauses: Vec<Stop>,
     /// Gateway processes that ran an earlier build, as in `Request::gateway`.
     pub old_builds: BTreeSet<(usize, u32)>,
-    /// Requests that runners rejected with a rest period.
+    /// Requests that runners rejected with a backoff.
     pub turned_away: Vec<TurnedAway>,
     /// Requests that reached runners while they stated a rate limit, each with the id of the request.
     pub limited_requests: Vec<(String, LimitNotice)>,
--- a/tests/upstream_rest.rs
+++ b/tests/upstream_rest.rs
@@ -1,7 +1,7 @@
 //! Test of an upstream that rejects requests with 503 and `Retry-After`.
 //!
 //! The failure: an agent forwarded the 503 of its upstream and sent the next request at once, ignoring
-//! `Retry-After`. Upstreams received up to 37 requests a second each during the rest period that they had asked
+//! `Retry-After`. Upstreams received up to 37 requests a second each during the backoff that they had asked
 //! for.
 
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,11 +17,11 @@
 /// Timeout of any single wait; a test that exceeds it fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// Rest period that the upstream asks for in `Retry-After`.
-const REST: Duration = Duration::from_millis(1500);
+const BACKOFF: Duration = Duration::from_millis(1500);
 /// How long after a rejection requests may still be in transit and are not counted.
 const TRANSIT: Duration = Duration::from_millis(500);
-/// Maximum number of requests that may reach the upstream in one rest period.
-const MAX_DURING_REST: usize = 2;
+/// Maximum number of requests that may reach the upstream in one backoff.
+const MAX_DURING_BACKOFF: usize = 2;
 /// How long the upstream rejects requests.
 const SHEDDING_PERIOD: Duration = Duration::from_millis(4000);
 /// Number of concurrent callers, enough to use both upstreams.
@@ -59,7 +59,7 @@
         let entry = lab.entries[number as usize % lab.entries.len()].callers();
         block_on(lab::post(entry, "/till/x", &[], number.to_le_bytes().to_vec(), TEST_TIMEOUT))
     };
-    shedding.set_shedding(Some(REST));
+    shedding.set_shedding(Some(BACKOFF));
     let begun = Instant::now();
     let number = AtomicU32::new(0);
     let call_repeatedly = || {
@@ -71,15 +71,16 @@
     std::thread::scope(|scope| (0..CALLER_COUNT).for_each(|_| drop(scope.spawn(call_repeatedly))));
     let rejected = shedding.rejected_at();
     assert!(!rejected.is_empty(), "it was asked");
-    let count_during_rest =
-        |at: Instant| rejected.iter().filter(|it| (at + TRANSIT..at + REST).contains(it)).count();
+    let count_during_rest = |at: Instant| {
+        rejected.iter().filter(|it| (at + TRANSIT..at + BACKOFF).contains(it)).count()
+    };
     let max_requests = rejected.iter().map(|at| count_during_rest(*at)).max().unwrap_or(0);
     assert!(
-        max_requests <= MAX_DURING_REST,
-        "{max_requests} requests reached it within {REST:?} of rest"
+        max_requests <= MAX_DURING_BACKOFF,
+        "{max_requests} requests reached it within {BACKOFF:?} of rest"
     );
     shedding.set_shedding(None);
-    std::thread::sleep(REST);
+    std::thread::sleep(BACKOFF);
     let before = shedding.runs().len();
     std::thread::scope(|scope| {
         for _ in 0..CALLER_COUNT {
