--- a/components/gateway/tests/shortage.rs
+++ b/components/gateway/tests/shortage.rs
@@ -230,7 +230,7 @@
         for effect in self.gateways[gateway].reduce(Millis(self.now), self.now, event) {
             match effect {
                 Effect::Proceed(key, NextStep::Send(target)) => {
-                    let question = ReservationRequest {
+                    let reservation_request = ReservationRequest {
                         asker: ([127, 0, 0, 1], gateway as u16).into(),
                         number: key.0,
                         request: String::new(),
@@ -240,7 +240,10 @@
                         max_wait_ms: target.wait_ms,
                     };
                     let runner = usize::from(target.address.port());
-                    self.pass_to_sidecar(runner, rollout::Event::ReservationRequested(question));
+                    self.pass_to_sidecar(
+                        runner,
+                        rollout::Event::ReservationRequested(reservation_request),
+                    );
                     self.report_to_gateway(gateway, runner);
                 }
                 Effect::Proceed(key, NextStep::Refuse { retry_after_ms, .. }) => {
@@ -253,10 +256,11 @@
 
     fn pass_to_sidecar(&mut self, runner: usize, event: rollout::Event) {
         for effect in self.sidecars[runner].reduce(Millis(self.now), event) {
-            let rollout::Effect::Answer(question, reply) = effect else {
+            let rollout::Effect::Answer(reservation_request, reply) = effect else {
                 continue;
             };
-            let (gateway, key) = (usize::from(question.asker.port()), question.number);
+            let (gateway, key) =
+                (usize::from(reservation_request.asker.port()), reservation_request.number);
             let outcome = match reply {
                 ReservationReply::Queued => continue,
                 ReservationReply::Denied { retry_after_ms, shortage_ms, .. } => {
--- a/components/node/src/agent/calls.rs
+++ b/components/node/src/agent/calls.rs
@@ -100,7 +100,7 @@
 ) -> Result<()> {
     let request = call.request;
     let mut answer = call_upstream(&shared.upstream, call, body).await?;
-    // The reducer is informed before the answer is relayed, so that it takes the pause into account for every call that
+    // The reducer is informed before the answer is relayed, so that it takes the backoff into account for every call that
     // the entry sends after the answer.
     let upstream_backoff_ms = answer.retry_after_ms.unwrap_or(0);
     let answered = AgentEvent::UpstreamAnswered { request, backoff_ms: upstream_backoff_ms };
