--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -121,17 +121,17 @@
                 }
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
                 Effect::ReportHomeFaults(faults) => home_fault_log::log_home_faults(&faults),
-                Effect::LogIncarnationChange(event) => {
-                    log_incarnation_change(&self.metrics, &event)
+                Effect::LogIncarnationChange(change) => {
+                    log_incarnation_change(&self.metrics, &change)
                 }
                 Effect::Notice(change) => log_notice(&change),
-                Effect::Crash(event) => {
-                    record_crash(&self.metrics, &event);
-                    if event.is_own() {
+                Effect::Crash(crash) => {
+                    record_crash(&self.metrics, &crash);
+                    if crash.is_own() {
                         self.notify_sidecars();
                     }
                     // The receiver exists until the process ends.
-                    let _ = self.crash_changes.try_send(event);
+                    let _ = self.crash_changes.try_send(crash);
                 }
                 Effect::Evacuation(change) => {
                     record_evacuation(&self.metrics, &change);
