--- a/components/account/src/decision.rs
+++ b/components/account/src/decision.rs
@@ -52,7 +52,7 @@
         #[serde(default)]
         left_ms: Option<u64>,
     },
-    /// The sidecar of a runner did not reserve a place for the request.
+    /// The sidecar of a runner did not reserve a slot for the request.
     NoPlace {
         /// The runner.
         runner: String,
@@ -153,7 +153,7 @@
 
 /// A decision and its time, before it is logged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct TimedDecision {
     /// The Unix time, in milliseconds.
     pub ts_ms: u64,
     /// The decision.
--- a/components/edge/src/gateway/core.rs
+++ b/components/edge/src/gateway/core.rs
@@ -10,8 +10,8 @@
 use gateway::{
     Arrival, Catalog, Certainty, Effect, Event, Gateway, GatewayOptions, NextStep, RequestKey,
 };
-use quarantine::CrashNews;
-use telemetry::{note_crash, Metrics};
+use quarantine::CrashEvent;
+use telemetry::{record_crash, Metrics};
 
 use super::home_fault_log;
 use super::notice_log::log_notice;
@@ -43,8 +43,8 @@
     pub sidecar_updates: Receiver<()>,
     notify_sidecar_update: Sender<()>,
     /// Receives the requests that crash runners.
-    pub crashes: Receiver<CrashNews>,
-    crash_changes: Sender<CrashNews>,
+    pub crashes: Receiver<CrashEvent>,
+    crash_changes: Sender<CrashEvent>,
     /// Receives a message when the store was restored from an older copy.
     pub store_restored: Receiver<()>,
     notify_store_restored: Sender<()>,
@@ -121,15 +121,17 @@
                 }
                 Effect::CountRetry(code) => self.metrics.count_retry(code),
                 Effect::ReportHomeFaults(faults) => home_fault_log::log_home_faults(&faults),
-                Effect::Life(news) => log_incarnation_change(&self.metrics, &news),
-                Effect::Notice(news) => log_notice(&news),
-                Effect::Crash(news) => {
-                    note_crash(&self.metrics, &news);
-                    if news.is_own() {
+                Effect::LogIncarnationChange(change) => {
+                    log_incarnation_change(&self.metrics, &change)
+                }
+                Effect::Notice(change) => log_notice(&change),
+                Effect::Crash(crash) => {
+                    record_crash(&self.metrics, &crash);
+                    if crash.is_own() {
                         self.notify_sidecars();
                     }
                     // The receiver exists until the process ends.
-                    let _ = self.crash_changes.try_send(news);
+                    let _ = self.crash_changes.try_send(crash);
                 }
                 Effect::Evacuation(change) => {
                     record_evacuation(&self.metrics, &change);
--- a/components/edge/src/gateway/relay.rs
+++ b/components/edge/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body::Frame;
 use http_body_util::StreamBody;
-use telemetry::Span;
+use telemetry::MeasuredDuration;
 
 use super::answer::{error_answer, full_body, AnswerBody};
 use super::attempt::{Attempt, AttemptResult, RunnerAnswer};
@@ -52,7 +52,7 @@
     /// Records that a runner started to answer.
     fn record_start(&self) {
         let after_ms = self.context.trace.age_ms();
-        self.core.metrics.note_span(Span::First, after_ms);
+        self.core.metrics.record_duration(MeasuredDuration::FirstByte, after_ms);
         let (runner, status) = (self.target.id.0.clone(), self.answer.status.as_u16());
         self.context.trace.add(Decision::Answered { runner, status, after_ms });
     }
@@ -60,7 +60,9 @@
     /// Records that the answer is complete.
     fn finish(&self) {
         self.core.dispatch(Event::Attempt(self.handle.key, AttemptOutcome::Finished));
-        self.core.metrics.note_span(Span::Whole, self.context.trace.age_ms());
+        self.core
+            .metrics
+            .record_duration(MeasuredDuration::FullResponse, self.context.trace.age_ms());
         self.context.trace.end(RequestEnd::Complete, self.answer.status.as_u16(), None);
     }
 
@@ -71,7 +73,7 @@
         let collecting = connection.collect(body, max_bytes);
         let collected =
             with_request_deadline(&self.core, self.context.answer_deadline, collecting).await;
-        let id = self.context.facts.id.as_deref();
+        let id = self.context.request_headers.id.as_deref();
         match collected {
             Some(Ok(text)) => {
                 self.finish();
@@ -250,7 +252,7 @@
     /// Asks a runner to resume the stream. `None` if the time limit of the request expires first.
     async fn attempt(&self, target: &RunnerTarget) -> Option<AttemptResult> {
         let last_event =
-            self.splitter.last_id().or(self.current.context.facts.last_event.as_deref());
+            self.splitter.last_id().or(self.current.context.request_headers.last_event.as_deref());
         let attempt = Attempt {
             core: &self.current.core,
             context: &self.current.context,
--- a/components/edge/src/sidecar/core.rs
+++ b/components/edge/src/sidecar/core.rs
@@ -8,15 +8,15 @@
 
 use async_channel::{Receiver, Sender};
 use fleet::{
-    AnnouncedVersion, Announcement, Announcements, Bitmap, EvacuationList, InstanceId, Millis,
-    ModelName, Place,
+    AnnouncedVersion, Announcement, Announcements, Bitmap, EvacuationList, InstanceId, Location,
+    Millis, ModelName,
 };
 use gateway::{KnownGateways, KnownLimits, RunnerLoad};
 use quarantine::{CrashLedger, CrashList, ListScope};
 use rand::seq::IteratorRandom;
 use rollout::{Effect, Event, Rollout, RolloutOptions};
 use settings::SidecarSettings;
-use telemetry::{note_crash_change, Metrics};
+use telemetry::{record_crash_change, Metrics};
 
 use super::chunk_store::ChunkStore;
 use super::peer_connections::IdleConnections;
@@ -79,7 +79,7 @@
     /// The name of this process in logs.
     pub name: String,
     /// The location of this sidecar.
-    pub place: Place,
+    pub place: Location,
     /// The settings of the sidecar and its runner.
     pub settings: SidecarSettings,
     /// Whether no gateway of this data hall answers, so that the store has to be read.
@@ -113,7 +113,7 @@
         port: u16,
         metrics: Rc<Metrics>,
         effects: Sender<Effect>,
-        repeat_window_ms: u64,
+        retry_window_ms: u64,
     ) -> Self {
         let (request_report, report_requested) = async_channel::bounded(1);
         let (request_list, list_requested) = async_channel::bounded(1);
@@ -129,7 +129,7 @@
             chunks: Rc::default(),
             announced_versions: Rc::default(),
             subscribers: Rc::default(),
-            gateways: Rc::new(RefCell::new(KnownGateways::new(repeat_window_ms))),
+            gateways: Rc::new(RefCell::new(KnownGateways::new(retry_window_ms))),
             crashes: Rc::default(),
             limits: Rc::default(),
             load: Rc::default(),
@@ -255,7 +255,7 @@
     /// Applies a gateway's report of requests that crashed runners.
     pub fn apply_crashes(&self, list: &CrashList) {
         for change in self.crashes.borrow_mut().merge(self.clock.now(), list) {
-            note_crash_change(&self.metrics, &change, false);
+            record_crash_change(&self.metrics, &change, false);
         }
     }
 
--- a/components/edge/src/sidecar/node.rs
+++ b/components/edge/src/sidecar/node.rs
@@ -75,7 +75,7 @@
             settings.node.first_port,
             metrics.clone(),
             effects,
-            settings.bounds.repeat_window_s * 1000,
+            settings.bounds.retry_window_s * 1000,
         );
         let socket = DatagramSocket::bind(listen_at, metrics).await?;
         let listener = listen(listen_at).await?;
@@ -115,10 +115,10 @@
     /// Applies changed settings.
     pub fn apply(&self, settings: &DeploymentSettings) {
         let bounds = &settings.bounds;
-        self.core.gateways.borrow_mut().set_window(bounds.repeat_window_s * 1000);
+        self.core.gateways.borrow_mut().set_window(bounds.retry_window_s * 1000);
         self.core.dispatch(Event::DeadlinesChanged {
             version_ms: bounds.version_ms,
-            evacuate_ms: bounds.leave_ms(),
+            evacuate_ms: bounds.evacuation_limit_ms(),
         });
         self.core.dispatch(Event::ColdLimitChanged(cold_limit(bounds)));
     }
@@ -131,7 +131,7 @@
         link_bytes_per_s: settings.node.link_bytes_per_s,
         control_bytes_per_s: CONTROL_BYTES_PER_S,
         version_ms: settings.bounds.version_ms,
-        evacuate_ms: settings.bounds.leave_ms(),
+        evacuate_ms: settings.bounds.evacuation_limit_ms(),
         cold: cold_limit(&settings.bounds),
         ablation: settings.ablation.clone(),
     }
@@ -154,8 +154,8 @@
             Effect::FetchManifest(version, source) => {
                 spawner.detach(fetches::fetch_manifest(core.clone(), version, source));
             }
-            Effect::FetchChunk(version, draw) => {
-                spawner.detach(fetches::fetch_chunk(core.clone(), version, draw));
+            Effect::FetchChunk(version, fetch) => {
+                spawner.detach(fetches::fetch_chunk(core.clone(), version, fetch));
             }
             Effect::Summarize { to, version, have } => {
                 let (from, place) = (core.me.clone(), core.place.clone());
@@ -321,15 +321,15 @@
     let refresh = move || {
         let rollout = core.rollout.borrow();
         let held = rollout.status().and_then(|it| it.version).unwrap_or(0);
-        core.metrics.set("version_wanted", rollout.target_version().unwrap_or(0));
-        core.metrics.set("version_held", held);
-        core.metrics.set("sidecars_known", rollout.peer_addresses().len() as u64);
-        core.metrics.set("halls_evacuated", rollout.evacuations().len() as u64);
-        core.metrics.set("runner_cold_ms", rollout.cold().left_ms(core.clock.now()));
+        core.metrics.set_gauge("version_wanted", rollout.target_version().unwrap_or(0));
+        core.metrics.set_gauge("version_held", held);
+        core.metrics.set_gauge("sidecars_known", rollout.peer_addresses().len() as u64);
+        core.metrics.set_gauge("halls_evacuated", rollout.evacuations().len() as u64);
+        core.metrics.set_gauge("runner_cold_ms", rollout.cold().left_ms(core.clock.now()));
         let (suspects, quarantined) = core.crashes.borrow().count();
-        core.metrics.set("requests_suspected", suspects as u64);
-        core.metrics.set("requests_quarantined", quarantined as u64);
-        core.metrics.set("places_taken", u64::from(rollout.slots().used()));
+        core.metrics.set_gauge("requests_suspected", suspects as u64);
+        core.metrics.set_gauge("requests_quarantined", quarantined as u64);
+        core.metrics.set_gauge("places_taken", u64::from(rollout.slots().used()));
     };
     serve_metrics(spawner, address, stopping, metrics, callers, refresh).await
 }
--- a/components/gateway/src/event.rs
+++ b/components/gateway/src/event.rs
@@ -10,7 +10,7 @@
     IncarnationChange, IncarnationReport, InstanceId, Millis, ModelName, Region, ReportedLimit,
     ServiceName, WorkspaceId,
 };
-use quarantine::{CrashList, CrashNews, RequestDigest};
+use quarantine::{CrashEvent, CrashList, RequestDigest};
 
 use crate::catalog::{Catalog, RouteKind};
 use crate::home_faults::HomeFault;
@@ -357,10 +357,10 @@
     Evacuation(EvacuationChange),
     /// Log that a runner has restarted, or that a report about it is not from its known
     /// incarnation.
-    Life(IncarnationEvent),
+    LogIncarnationChange(IncarnationEvent),
     /// Log that a runner is draining, asks for a backoff or changed its rate limit, according to
     /// its own response.
     Notice(NoticeChange),
     /// Log the state of a request that crashed runners, and report it to sidecars.
-    Crash(CrashNews),
+    Crash(CrashEvent),
 }
--- a/components/gateway/src/reducer/queue.rs
+++ b/components/gateway/src/reducer/queue.rs
@@ -171,8 +171,8 @@
         let Some(progress) = self.requests.remove(&key) else {
             return Vec::new();
         };
-        self.crashes.end(key, progress.arrival.digest);
-        let admission = self.crashes.admits(now, key, progress.arrival.digest);
+        self.crashes.remove(key, progress.arrival.digest);
+        let admission = self.crashes.still_admits(now, key, progress.arrival.digest);
         let step = if progress.may_have_run {
             NextStep::GiveUp(progress.reason)
         } else {
@@ -191,7 +191,7 @@
             };
             let is_estimated = self.is_enabled(Mechanism::ReturnEstimate);
             let shortage = self.shortages.entry(progress.scope).or_default();
-            let retry_after_ms = if let Admission::Barred { retry_after_ms } = admission {
+            let retry_after_ms = if let Admission::Refused { retry_after_ms } = admission {
                 retry_after_ms
             } else if is_estimated {
                 shortage.note_refusal(now, random, availability, progress.short_ms)
@@ -212,7 +212,7 @@
     ) -> Option<RunnerTarget> {
         let progress = self.requests.get(&key)?;
         let (arrival, tried) = (&progress.arrival, &progress.tried);
-        let admission = self.crashes.admits(now, key, arrival.digest);
+        let admission = self.crashes.still_admits(now, key, arrival.digest);
         let is_suspect = admission == Admission::Admitted { is_suspect: true };
         let (id, selection) = self.chooser().choose(now, random, arrival, tried, is_suspect)?;
         let reserve = self.asks_sidecars(arrival);
@@ -225,7 +225,8 @@
         runner.notices.backoff.note_sent(key);
         let address = runner.record.address;
         let limit = runner.limit_to_report(now);
-        let selected = SelectedRunner { id: id.clone(), life: runner.life, has_token };
+        let selected =
+            SelectedRunner { id: id.clone(), incarnation: runner.incarnation, has_token };
         progress.tried.push(id.clone());
         progress.current = Some(selected);
         progress.is_suspect = is_suspect;
@@ -233,11 +234,12 @@
         progress.queries += 1;
         // While other runners may have a slot at once, the query does not wait at this one.
         let others_available = progress.queries < FIRST_WAITING_QUERY && selection.candidates > 1;
-        let others_available = others_available || !ablation.keeps(Mechanism::QueuedReservations);
+        let others_available =
+            others_available || !ablation.is_enabled(Mechanism::QueuedReservations);
         let wait_ms = if others_available { 0 } else { progress.wait_until.since(now).0 };
         let left_ms = progress.left_ms(now);
         // A request that may have run already has precedence over new ones.
-        let ignores_priority = progress.may_have_run || !ablation.keeps(Mechanism::Ranks);
+        let ignores_priority = progress.may_have_run || !ablation.is_enabled(Mechanism::Ranks);
         let rank = if ignores_priority { 0 } else { progress.arrival.priority };
         Some(RunnerTarget { id, address, reserve, rank, left_ms, wait_ms, limit, selection })
     }
--- a/components/lab/src/fleet.rs
+++ b/components/lab/src/fleet.rs
@@ -6,15 +6,17 @@
 
 use async_executor::Executor;
 use async_io::Timer;
-use client::Operator;
+use client::OperatorClient;
 use errors::{Code, Error, Result};
 use externals::{HttpUpstream, Platform};
 use fleet::{
-    Hall, Instance, InstanceId, Intent, ListedState, Manifest, ModelName, Place, Process, Region,
-    Revision, Role, ServiceName, VersionId,
+    Hall, Instance, InstanceId, Intent, ListedState, Location, Manifest, ModelName, Process,
+    Region, Revision, Role, ServiceName, VersionId,
+};
+use net::{Handler, Server, ServerLimits, Tasks};
+use node::{
+    AgentConfig, AgentNode, DaemonServices, EntryConfig, EntryNode, Identity, TokenRing, Upstream,
 };
-use net::{Bounds, Handler, Server, Tasks};
-use node::{AgentNode, AgentSetup, EntryNode, EntrySetup, Host, Identity, TokenRing, Upstream};
 use reducer::Control;
 use standins::{Engine, PlatformOptions, PlatformStandIn, Service};
 use telemetry::Metrics;
@@ -142,46 +144,46 @@
     ) -> Result<Agent> {
         let id = InstanceId(name.to_owned());
         let link = Arc::new(LinkFaults::default());
-        let host = self.host()?;
-        let metrics = host.metrics.clone();
-        let setup = AgentSetup {
-            host,
+        let services = self.services()?;
+        let metrics = services.metrics.clone();
+        let config = AgentConfig {
+            services,
             identity: self.identity(&id, self.agents.len()),
             upstream: upstream_client,
             weights_listen: loopback(),
             upstream_checks_fence: self.options.engine.checks_fence,
             options: self.options.agent(),
-            interference: Some(link.clone()),
+            fault_injection: Some(link.clone()),
         };
-        let place = setup.identity.place.clone();
-        let node = AgentNode::start(setup).await?;
+        let place = config.identity.place.clone();
+        let node = AgentNode::start(config).await?;
         self.add_to_instance_list(&id, place, process, node.address());
         Ok(Agent { id, node, engine: None, service: None, link, metrics, upstream })
     }
 
     async fn add_entry(&mut self, number: usize) -> Result<()> {
         let id = InstanceId(format!("entry-{number}"));
-        let host = self.host()?;
-        self.entry_metrics.push(host.metrics.clone());
-        let setup = EntrySetup {
-            host,
+        let services = self.services()?;
+        self.entry_metrics.push(services.metrics.clone());
+        let config = EntryConfig {
+            services,
             identity: self.identity(&id, number),
             callers: loopback(),
             kinds: self.options.kinds.clone(),
-            deadline: Duration::from_secs(60),
+            request_timeout: Duration::from_secs(60),
             body_bytes: MAX_BODY_BYTES,
             options: self.options.entry(),
         };
-        let place = setup.identity.place.clone();
-        let node = EntryNode::start(setup).await?;
+        let place = config.identity.place.clone();
+        let node = EntryNode::start(config).await?;
         self.add_to_instance_list(&id, place, Process::Entry, node.address());
         self.entries.push(node);
         Ok(())
     }
 
     /// Returns a client for the operator API of an entry.
-    pub fn operator(&self, entry: usize) -> Operator {
-        Operator::new(self.entries[entry].operators(), OPERATOR_TOKEN)
+    pub fn operator(&self, entry: usize) -> OperatorClient {
+        OperatorClient::new(self.entries[entry].operators(), OPERATOR_TOKEN)
     }
 
     /// Returns the clients of the platform's services that the daemons use.
@@ -220,8 +222,9 @@
         self.wait(timeout, || {
             let mut entries = self.entries.iter();
             let mut agents = self.agents.iter();
-            entries.all(|it| it.inspect(|state| is_ready(&state.control, expected)))
-                && agents.all(|it| it.node.inspect(|state| is_ready(&state.control, expected - 1)))
+            entries.all(|it| it.with_state(|state| is_ready(&state.control, expected)))
+                && agents
+                    .all(|it| it.node.with_state(|state| is_ready(&state.control, expected - 1)))
         })
         .await
     }
@@ -240,7 +243,7 @@
     pub async fn wait_routed(&self, version: VersionId, count: usize) -> Result<()> {
         self.wait(Duration::from_secs(20), || {
             self.entries.iter().all(|entry| {
-                entry.inspect(|state| {
+                entry.with_state(|state| {
                     let members = state.control.members.others();
                     let serving = members
                         .filter(|it| it.record.serving.iter().any(|tag| tag.is_version(version)));
@@ -254,7 +257,7 @@
     /// Returns the agents that serve a version.
     pub fn live(&self, version: VersionId) -> Vec<&Agent> {
         let serves = |it: &&Agent| {
-            it.node.inspect(|agent| agent.serving().iter().any(|it| it.version == version))
+            it.node.with_state(|agent| agent.serving().iter().any(|it| it.version == version))
         };
         self.agents.iter().filter(serves).collect()
     }
@@ -280,8 +283,8 @@
         self.entries.iter().for_each(EntryNode::kill);
     }
 
-    fn host(&self) -> Result<Host> {
-        Ok(Host {
+    fn services(&self) -> Result<DaemonServices> {
+        Ok(DaemonServices {
             tasks: self.tasks.group(),
             platform: self.platform.connect(),
             keys: self.keys.clone(),
@@ -292,14 +295,14 @@
 
     fn identity(&self, id: &InstanceId, number: usize) -> Identity {
         let hall = Hall(format!("hall-{}", number % self.options.halls));
-        let place = Place { region: Region("region-0".to_owned()), hall };
+        let place = Location { region: Region("region-0".to_owned()), hall };
         Identity { id: id.clone(), place, listen: loopback(), operators: loopback() }
     }
 
     fn add_to_instance_list(
         &self,
         id: &InstanceId,
-        place: Place,
+        place: Location,
         process: Process,
         address: SocketAddr,
     ) {
@@ -314,8 +317,8 @@
     }
 
     async fn serve(&self, handler: Arc<dyn Handler>) -> Result<Server> {
-        let bounds = Bounds { body_bytes: MAX_BODY_BYTES, ..Bounds::default() };
-        Server::start(&self.tasks.group(), loopback(), bounds, handler).await
+        let limits = ServerLimits { body_bytes: MAX_BODY_BYTES, ..ServerLimits::default() };
+        Server::start(&self.tasks.group(), loopback(), limits, handler).await
     }
 }
 
--- a/components/lab/src/link_faults.rs
+++ b/components/lab/src/link_faults.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use node::Interference;
+use node::FaultInjection;
 use standins::PercentSampler;
 
 /// Corrupts and delays configurable percentages of the chunks that an agent sends.
@@ -21,18 +21,18 @@
     }
 
     /// Delays this percentage of the chunks.
-    pub fn set_stall(&self, percent: u64, delay: Duration) {
+    pub fn set_chunk_delay(&self, percent: u64, delay: Duration) {
         self.stalls.set_percent(percent);
         self.stall_ms.store(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
     /// Returns the number of corrupted chunks.
-    pub fn corrupted(&self) -> u64 {
+    pub fn corrupted_chunks(&self) -> u64 {
         self.corruption.picked()
     }
 }
 
-impl Interference for LinkFaults {
+impl FaultInjection for LinkFaults {
     fn on_upload(&self, chunk: &mut Vec<u8>) -> Duration {
         if self.corruption.pick() {
             let middle = chunk.len() / 2;
--- a/components/lab/src/options.rs
+++ b/components/lab/src/options.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use reducer::{AgentOptions, Choice, EntryOptions, Estimate, RouteChoice, SpreadOptions};
-use settings::Kind;
+use reducer::{
+    AgentOptions, EntryOptions, Estimate, FetchStrategy, RoutingStrategy, SpreadOptions,
+};
+use settings::RequestKind;
 use standins::EngineOptions;
 
 /// Size, bandwidths and policies of a lab.
@@ -32,13 +34,13 @@
     /// Maximum number of requests that wait at an entry.
     pub queue_limit: u32,
     /// Kinds of requests in addition to chat completions.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// Bandwidth limit for messages between daemons, in bytes per second.
     pub control_bytes_per_s: u64,
     /// How agents choose chunks and sources.
-    pub choice: Choice,
+    pub choice: FetchStrategy,
     /// How entries choose upstreams.
-    pub route_choice: RouteChoice,
+    pub route_choice: RoutingStrategy,
 }
 
 impl Default for LabOptions {
@@ -57,8 +59,8 @@
             queue_limit: 256,
             kinds: Vec::new(),
             control_bytes_per_s: 3000,
-            choice: Choice::default(),
-            route_choice: RouteChoice::default(),
+            choice: FetchStrategy::default(),
+            route_choice: RoutingStrategy::default(),
         }
     }
 }
@@ -71,8 +73,8 @@
             memory_bytes: u64::MAX / 2,
             upload_bytes_per_s: self.link_bytes_per_s,
             spread: SpreadOptions {
-                patience_ms: None,
-                reach: reducer::Reach::default(),
+                timeout_ms: None,
+                reach: reducer::NeighbourLimits::default(),
                 copies: self.copies,
                 origin_bytes_per_s: self.origin_bytes_per_s,
                 download_bytes_per_s: self.link_bytes_per_s,
--- a/components/node/src/entry/callers.rs
+++ b/components/node/src/entry/callers.rs
@@ -8,11 +8,11 @@
 use fleet::{Millis, ModelName, RequestId, WorkspaceId};
 use futures_lite::FutureExt;
 use http_types::{Request, Response, StatusCode};
-use net::{refuse, Caller, Handler, Reply};
+use net::{error_response, Caller, Handler, Reply};
 use quarantine::RequestDigest;
 use reducer::{Arrival, EntryEvent, SavedAnswer, Target};
 use serde::Deserialize;
-use settings::Kind;
+use settings::RequestKind;
 use wire::Call;
 
 use super::attempts::{self, Attempt, AttemptAnswer};
@@ -63,15 +63,15 @@
         let parsed = match parse_request(shared, id, &mut request).await {
             Ok(parsed) => parsed,
             Err(error) => {
-                shared.context.host.metrics.count_refusal(error.code);
-                return Reply::Answer(with_request_id(refuse(&error), id));
+                shared.context.services.metrics.count_refusal(error.code);
+                return Reply::Answer(with_request_id(error_response(&error), id));
             }
         };
         let serving = async { Reply::Answer(with_request_id(serve(shared, parsed).await, id)) };
         let disconnected = async {
             caller.disconnected().await;
-            shared.inbox.send(EntryEvent::CallerGone(id)).await;
-            Reply::HangUp
+            shared.inbox.send(EntryEvent::CallerDisconnected(id)).await;
+            Reply::CloseConnection
         };
         let reply = serving.or(disconnected).await;
         shared.requests.remove(id);
@@ -109,7 +109,7 @@
         workspace,
         prefix,
         deadline: shared.now().plus(budget.as_millis() as u64),
-        max_wait: kind.map_or(Kind::USUAL_WAIT_MS, |it| it.max_wait_ms),
+        max_wait_ms: kind.map_or(RequestKind::DEFAULT_MAX_WAIT_MS, |it| it.max_wait_ms),
         // A completion has no side effects, so it may run twice unless its kind is configured otherwise.
         repeatable: kind.is_none_or(|it| it.repeatable),
         priority: kind.map_or(CHAT_PRIORITY, |it| it.priority),
@@ -136,7 +136,7 @@
 }
 
 /// The kind whose path is the longest prefix of the path of the request.
-fn find_kind<'a>(kinds: &'a [Kind], path: &str) -> Option<&'a Kind> {
+fn find_kind<'a>(kinds: &'a [RequestKind], path: &str) -> Option<&'a RequestKind> {
     let matching = kinds.iter().filter(|kind| path.starts_with(&kind.path));
     matching.max_by_key(|kind| kind.path.len())
 }
@@ -160,7 +160,7 @@
 
 fn read_budget(shared: &Shared, request: &Request) -> Result<Duration> {
     let Some(text) = header(request, "silverdock-deadline-ms") else {
-        return Ok(shared.deadline);
+        return Ok(shared.request_timeout);
     };
     let millis: u64 = text.parse().map_err(|_| {
         Error::new(
@@ -168,7 +168,7 @@
             "the header silverdock-deadline-ms must be a whole number of milliseconds",
         )
     })?;
-    Ok(Duration::from_millis(millis).min(shared.deadline))
+    Ok(Duration::from_millis(millis).min(shared.request_timeout))
 }
 
 fn header(request: &Request, name: &str) -> Option<String> {
@@ -218,7 +218,7 @@
     count_outcome(shared, kind, error.code.name());
     let code = error.code.number();
     log::info!(request:display, kind, code; "request refused: {error}");
-    refuse(error)
+    error_response(error)
 }
 
 /// The response for a request whose idempotency key was answered before.
@@ -232,7 +232,7 @@
 }
 
 fn count_outcome(shared: &Shared, kind: &str, outcome: &str) {
-    shared.context.host.metrics.count_request(kind, outcome);
+    shared.context.services.metrics.count_request(kind, outcome);
 }
 
 fn with_request_id(mut response: Response, id: RequestId) -> Response {
--- a/components/node/src/host.rs
+++ b/components/node/src/services.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use externals::Platform;
-use fleet::{InstanceId, Place, Process};
+use fleet::{InstanceId, Location, Process};
 use net::Tasks;
 use telemetry::Metrics;
 use wire::{KeyRing, MemberRecord, MemberState};
@@ -13,13 +13,13 @@
 use crate::peers::PeerPool;
 use crate::tokens::TokenRing;
 
-/// The name, the place and the addresses of a daemon.
+/// The name, the location and the addresses of a daemon.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The name of the instance.
     pub id: InstanceId,
     /// The region and data hall of the instance.
-    pub place: Place,
+    pub place: Location,
     /// The address for other daemons; port 0 selects a free port.
     pub listen: SocketAddr,
     /// The address for operators; port 0 selects a free port.
@@ -28,7 +28,7 @@
 
 /// The services of a process that a daemon uses.
 #[derive(Clone)]
-pub struct Host {
+pub struct DaemonServices {
     /// The tasks of the daemon.
     pub tasks: Tasks,
     /// The services of the platform.
@@ -41,18 +41,18 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// A host with the identity, the clock and the connections of one daemon.
+/// The services with the identity, the clock and the connections of one daemon.
 pub(crate) struct DaemonContext {
-    pub(crate) host: Host,
+    pub(crate) services: DaemonServices,
     pub(crate) identity: Identity,
     pub(crate) clock: Clock,
     pub(crate) peers: PeerPool,
 }
 
 impl DaemonContext {
-    pub(crate) fn new(host: Host, identity: Identity) -> Self {
-        let peers = PeerPool::new(host.keys.clone(), identity.id.clone());
-        Self { host, identity, clock: Clock::start(), peers }
+    pub(crate) fn new(services: DaemonServices, identity: Identity) -> Self {
+        let peers = PeerPool::new(services.keys.clone(), identity.id.clone());
+        Self { services, identity, clock: Clock::start(), peers }
     }
 
     /// The membership record that the daemon starts with.
--- a/components/reducer/src/routing.rs
+++ b/components/reducer/src/routing.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use errors::Code;
-use fleet::{InstanceId, Millis, Place, Process, Revision};
+use fleet::{InstanceId, Location, Millis, Process, Revision};
 use wire::Load;
 
 use crate::control::Control;
@@ -43,13 +43,13 @@
     excluded_until: Millis,
 }
 
-/// How an upstream is selected. Only `Weighed` is meant for production; the others are baselines for
+/// How an upstream is selected. Only `Weighted` is meant for production; the others are baselines for
 /// comparison and ignore limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RouteChoice {
+pub enum RoutingStrategy {
     /// By load, distance and prompt cache. Upstreams at their limit are excluded.
     #[default]
-    Weighed,
+    Weighted,
     /// In turn.
     RoundRobin,
     /// The upstream with the fewest requests of this entry.
@@ -58,7 +58,7 @@
 
 /// Selects upstreams for the requests of an entry.
 pub struct Router {
-    choice: RouteChoice,
+    choice: RoutingStrategy,
     upstreams: BTreeMap<InstanceId, Upstream>,
     /// Number of selections, for `RoundRobin`.
     selections: usize,
@@ -76,7 +76,7 @@
 
 impl Router {
     /// Creates a router without any load reports.
-    pub fn new(choice: RouteChoice) -> Self {
+    pub fn new(choice: RoutingStrategy) -> Self {
         Self {
             choice,
             upstreams: BTreeMap::new(),
@@ -97,7 +97,7 @@
         tried: &[InstanceId],
     ) -> Option<(InstanceId, SocketAddr)> {
         let candidates = self.candidates(control, target).to_vec();
-        if self.choice != RouteChoice::Weighed {
+        if self.choice != RoutingStrategy::Weighted {
             return self.choose_baseline(candidates, tried);
         }
         let cache_holder =
@@ -127,7 +127,7 @@
         let index = self.selections % usable.len().max(1);
         let in_flight = |id: &InstanceId| self.upstreams.get(id).map_or(0, |it| it.in_flight);
         let (id, address, _) = match self.choice {
-            RouteChoice::RoundRobin => usable.into_iter().nth(index)?,
+            RoutingStrategy::RoundRobin => usable.into_iter().nth(index)?,
             _ => usable.into_iter().min_by_key(|it| in_flight(&it.0))?,
         };
         self.upstreams.entry(id.clone()).or_default().in_flight += 1;
@@ -214,7 +214,7 @@
     }
 }
 
-type Candidate = (InstanceId, SocketAddr, Place);
+type Candidate = (InstanceId, SocketAddr, Location);
 
 /// The upstreams that serve a target and take new work, or this entry's subset of them.
 fn candidates(control: &Control, target: &Target) -> Vec<Candidate> {
@@ -239,7 +239,7 @@
     shared_hash(&[&prefix.to_le_bytes(), id.0.as_bytes()])
 }
 
-fn distance(a: &Place, b: &Place) -> f64 {
+fn distance(a: &Location, b: &Location) -> f64 {
     if a == b {
         0.0
     } else if a.region == b.region {
--- a/components/reducer/src/spread/version/neighbours.rs
+++ b/components/reducer/src/spread/version/neighbours.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use fleet::{Bitmap, InstanceId, Millis, Place};
+use fleet::{Bitmap, InstanceId, Location, Millis};
 
 use super::{Participant, Spread};
 use crate::seed::shared_hash;
@@ -51,12 +51,12 @@
     }
 
     /// Handles a report of the chunks that a daemon holds. The daemon becomes a neighbour if there is room.
-    pub fn take_summary(
+    pub fn handle_summary(
         &mut self,
         now: Millis,
         id: &InstanceId,
         address: SocketAddr,
-        place: &Place,
+        place: &Location,
         have: Bitmap,
     ) {
         if !have.is_well_formed(self.manifest.chunks()) {
@@ -76,7 +76,7 @@
     }
 
     /// Handles a report of the chunks that a known neighbour holds.
-    pub fn take_holdings(&mut self, now: Millis, id: &InstanceId, have: Bitmap) {
+    pub fn set_holdings(&mut self, now: Millis, id: &InstanceId, have: Bitmap) {
         if !have.is_well_formed(self.manifest.chunks()) {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// Adds a participant as a neighbour, or updates its address.
-    fn add_neighbour(&mut self, id: &InstanceId, address: SocketAddr, place: &Place) {
+    fn add_neighbour(&mut self, id: &InstanceId, address: SocketAddr, place: &Location) {
         if id == &self.me {
             return;
         }
@@ -103,7 +103,7 @@
             known.address = address;
             return;
         }
-        if self.neighbours.len() < self.options.reach.most {
+        if self.neighbours.len() < self.options.reach.max {
             let distance = distance(&self.place, place);
             let in_group = self.gate.is_in_group(id);
             let neighbour = Neighbour::new(address, distance, in_group, self.manifest.chunks());
@@ -127,7 +127,7 @@
 }
 
 /// 0 in the same hall, 1 in the same region, 2 elsewhere.
-fn distance(a: &Place, b: &Place) -> u32 {
+fn distance(a: &Location, b: &Location) -> u32 {
     if a == b {
         0
     } else if a.region == b.region {
--- a/components/settings/src/deployment.rs
+++ b/components/settings/src/deployment.rs
@@ -4,7 +4,7 @@
 use std::net::{AddrParseError, IpAddr, Ipv4Addr, SocketAddr};
 use std::str::FromStr;
 
-use fleet::{Ablation, Evacuations, Hall, InstanceId, Place, Region, ServiceName};
+use fleet::{Ablation, Evacuations, Hall, InstanceId, Location, Region, ServiceName};
 
 use crate::file::IniFile;
 use crate::Faults;
@@ -35,7 +35,7 @@
     /// The unique name of the process.
     pub name: InstanceId,
     /// The region and data hall of the process.
-    pub place: Place,
+    pub place: Location,
     /// Every data hall with its region.
     pub halls: BTreeMap<Hall, Region>,
     /// The IP address of the machine.
@@ -77,14 +77,14 @@
     pub drain_ms: u64,
     /// Milliseconds within which a new configuration takes effect.
     pub configuration_ms: u64,
-    /// Milliseconds within which a newly named version is served.
+    /// Milliseconds within which a newly announced version is served.
     pub version_ms: u64,
     /// Maximum number of retries per request in each window.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Length of the window over which retries are counted, in seconds.
-    pub repeat_window_s: u64,
+    pub retry_window_s: u64,
     /// Additional retries that all gateways together may send in each window.
-    pub repeat_allowance: f64,
+    pub retry_allowance: f64,
     /// Milliseconds after which no more requests are sent to a data hall that is being evacuated. `None` if the
     /// platform evacuates no data halls.
     pub evacuate_ms: Option<u64>,
@@ -97,9 +97,9 @@
     ///
     /// A process that was suspended treats an evacuation that it reads after it resumes as new, and the bounds apply to
     /// it again `contact_ms` later. It must have left the hall by then, so the result is at most `contact_ms` plus
-    /// `Evacuations::NEWS_MARGIN`, the margin that is subtracted from the result before it is used.
-    pub fn leave_ms(&self) -> Option<u64> {
-        self.evacuate_ms.map(|it| it.min(self.contact_ms + Evacuations::NEWS_MARGIN))
+    /// `Evacuations::PROPAGATION_MARGIN_MS`, the margin that is subtracted from the result before it is used.
+    pub fn evacuation_limit_ms(&self) -> Option<u64> {
+        self.evacuate_ms.map(|it| it.min(self.contact_ms + Evacuations::PROPAGATION_MARGIN_MS))
     }
 }
 
@@ -142,7 +142,7 @@
 
 impl DeploymentSettings {
     /// Returns whether a text has a `[gateway]` or `[sidecar]` section.
-    pub fn is_meant(text: &str) -> bool {
+    pub fn has_deployment_section(text: &str) -> bool {
         text.lines().map(str::trim).any(|line| line == "[gateway]" || line == "[sidecar]")
     }
 
@@ -207,7 +207,7 @@
     let log_level = read_log_level(file, section);
     DeploymentNode {
         name: InstanceId(name),
-        place: Place { region: Region(region), hall: Hall(hall) },
+        place: Location { region: Region(region), hall: Hall(hall) },
         halls: parse_halls(&halls),
         address,
         first_port,
@@ -252,13 +252,9 @@
         drain_ms: to_integer(file.require_bounded(section, "drain_ms", (0.0, 1e7))),
         configuration_ms: to_integer(file.require_bounded(section, "configuration_ms", (0.0, 1e7))),
         version_ms: to_integer(file.require_bounded(section, "version_ms", (0.0, 1e7))),
-        repeat_ratio: file.require_bounded(section, "repeat_ratio", (0.0, 100.0)),
-        repeat_window_s: to_integer(file.require_bounded(
-            section,
-            "repeat_window_s",
-            (1.0, 3600.0),
-        )),
-        repeat_allowance: file.require_bounded(section, "repeat_allowance", (0.0, 1e9)),
+        retry_ratio: file.require_bounded(section, "repeat_ratio", (0.0, 100.0)),
+        retry_window_s: to_integer(file.require_bounded(section, "repeat_window_s", (1.0, 3600.0))),
+        retry_allowance: file.require_bounded(section, "repeat_allowance", (0.0, 1e9)),
         evacuate_ms: file.optional_bounded(section, "evacuate_ms", (0.0, 1e7)).map(to_integer),
         cold: read_cold(file, section),
     }
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_trait::async_trait;
 use http_types::{Request, Response, StatusCode};
-use net::{json, Caller, Handler, Reply};
+use net::{json_response, Caller, Handler, Reply};
 use serde::Serialize;
 
 /// The response to a request.
@@ -23,8 +23,8 @@
 pub struct Service {
     work: Duration,
     runs: Mutex<HashMap<String, u64>>,
-    /// While the service rejects all requests: the pause that it asks callers for.
-    shedding_pause: Mutex<Option<Duration>>,
+    /// While the service rejects all requests: the backoff that it asks callers for.
+    shedding_backoff: Mutex<Option<Duration>>,
     rejected_at: Mutex<Vec<Instant>>,
 }
 
@@ -34,27 +34,27 @@
         Self {
             work,
             runs: Mutex::default(),
-            shedding_pause: Mutex::default(),
+            shedding_backoff: Mutex::default(),
             rejected_at: Mutex::default(),
         }
     }
 
-    /// Starts or stops rejecting all requests. A rejection asks the caller to pause for the given time.
-    pub fn set_shedding(&self, pause: Option<Duration>) {
-        *self.shedding_pause.lock().expect("the lock is never poisoned") = pause;
+    /// Starts or stops rejecting all requests. A rejection asks the caller for this backoff.
+    pub fn set_shedding(&self, backoff: Option<Duration>) {
+        *self.shedding_backoff.lock().expect("the lock is never poisoned") = backoff;
     }
 
     /// Returns the times at which requests were rejected, oldest first.
-    pub fn turned_away(&self) -> Vec<Instant> {
+    pub fn rejected_at(&self) -> Vec<Instant> {
         self.rejected_at.lock().expect("the lock is never poisoned").clone()
     }
 
     /// Returns the response that rejects a request, if the service currently rejects requests.
     fn rejection(&self) -> Option<Reply> {
-        let pause = (*self.shedding_pause.lock().expect("the lock is never poisoned"))?;
+        let backoff = (*self.shedding_backoff.lock().expect("the lock is never poisoned"))?;
         self.rejected_at.lock().expect("the lock is never poisoned").push(Instant::now());
         let mut answer = Response::new(StatusCode::ServiceUnavailable);
-        answer.insert_header("retry-after", format!("{:.3}", pause.as_secs_f64()));
+        answer.insert_header("retry-after", format!("{:.3}", backoff.as_secs_f64()));
         Some(Reply::Answer(answer))
     }
 
@@ -68,7 +68,7 @@
 impl Handler for Service {
     async fn handle(&self, mut request: Request, _caller: Caller) -> Reply {
         let Ok(body) = request.body_bytes().await else {
-            return Reply::HangUp;
+            return Reply::CloseConnection;
         };
         if let Some(answer) = self.rejection() {
             return answer;
@@ -81,6 +81,6 @@
             *runs
         };
         Timer::after(self.work).await;
-        Reply::Answer(json(200, &Receipt { body, runs }))
+        Reply::Answer(json_response(200, &Receipt { body, runs }))
     }
 }
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -4,7 +4,7 @@
 
 use errors::Code;
 use fleet::{
-    Bitmap, Incarnation, InstanceId, ModelName, Place, Process, RequestId, Revision, Role,
+    Bitmap, Incarnation, InstanceId, Location, ModelName, Process, RequestId, Revision, Role,
     VersionId, WorkspaceId,
 };
 use quarantine::CrashList;
@@ -70,12 +70,12 @@
     },
     /// A manifest, in the payload.
     Manifest,
-    /// Requests the download progress of a version.
+    /// Requests the fetch progress of a version.
     GetProgress {
         /// The version.
         version: VersionId,
     },
-    /// The download progress of a version.
+    /// The fetch progress of a version.
     Progress {
         /// The number of chunks that the sender holds.
         held: u32,
@@ -232,14 +232,14 @@
 pub struct MemberRecord {
     /// The id of the instance.
     pub id: InstanceId,
-    /// Identifies the run of the daemon; it changes with each start.
+    /// Identifies the incarnation of the daemon; it changes with each start.
     pub incarnation: Incarnation,
     /// Increases with every change that the daemon makes to its own record.
     pub serial: u64,
     /// The state of the daemon.
     pub state: MemberState,
     /// The region and data hall of the instance.
-    pub place: Place,
+    pub place: Location,
     /// The kind of process that runs on the instance.
     pub process: Process,
     /// The address on which it accepts messages from other daemons.
@@ -255,7 +255,7 @@
     Listed {
         /// The first bytes of the digest of the name of the instance.
         tag: [u8; 8],
-        /// Identifies the run of the daemon.
+        /// Identifies the incarnation of the daemon.
         incarnation: Incarnation,
         /// Increases with every change of the record.
         serial: u64,
@@ -322,7 +322,7 @@
 pub struct Datagram {
     /// The id of the sender.
     pub from: InstanceId,
-    /// Identifies the run of the sender.
+    /// Identifies the incarnation of the sender.
     pub incarnation: Incarnation,
     /// The revision of the configuration that the sender has applied.
     pub revision: Revision,
--- a/daemon/src/setup.rs
+++ b/daemon/src/setup.rs
@@ -6,8 +6,10 @@
 use errors::Result;
 use externals::{HttpInstances, HttpObjects, HttpTable, HttpUpstream, HttpWeights, Platform};
 use net::Tasks;
-use node::{AgentNode, AgentSetup, EntryNode, EntrySetup, Host, Identity, Upstream};
-use reducer::{AgentOptions, Choice, EntryOptions, Estimate, RouteChoice, SpreadOptions};
+use node::{AgentConfig, AgentNode, DaemonServices, EntryConfig, EntryNode, Identity, Upstream};
+use reducer::{
+    AgentOptions, EntryOptions, Estimate, FetchStrategy, RoutingStrategy, SpreadOptions,
+};
 use settings::{AgentSettings, EntrySettings, RoleSettings, Settings};
 use telemetry::Metrics;
 
@@ -24,7 +26,7 @@
 impl Daemon {
     /// Starts the daemon that the settings describe.
     pub async fn start(tasks: &Tasks, settings: &Settings, secrets: &Secrets) -> Result<Self> {
-        let host = Host {
+        let services = DaemonServices {
             tasks: tasks.group(),
             platform: connect_platform(settings),
             keys: secrets.keys.clone(),
@@ -39,12 +41,12 @@
         };
         match &settings.role {
             RoleSettings::Entry(entry) => {
-                let setup = entry_setup(host, identity, settings, entry);
-                EntryNode::start(setup).await.map(Self::Entry)
+                let config = entry_config(services, identity, settings, entry);
+                EntryNode::start(config).await.map(Self::Entry)
             }
             RoleSettings::Agent(agent) => {
-                let setup = agent_setup(host, identity, settings, agent);
-                AgentNode::start(setup).await.map(Self::Agent)
+                let config = agent_config(services, identity, settings, agent);
+                AgentNode::start(config).await.map(Self::Agent)
             }
         }
     }
@@ -59,10 +61,10 @@
 
     /// Waits until the planned stop has finished or `grace` has passed. Returns `true` if no request was cut
     /// off.
-    pub async fn stopped(&self, grace: Duration) -> bool {
+    pub async fn wait_stopped(&self, grace: Duration) -> bool {
         match self {
-            Self::Entry(node) => node.stopped(grace).await,
-            Self::Agent(node) => node.stopped(grace).await,
+            Self::Entry(node) => node.wait_stopped(grace).await,
+            Self::Agent(node) => node.wait_stopped(grace).await,
         }
     }
 }
@@ -77,19 +79,19 @@
     }
 }
 
-fn entry_setup(
-    host: Host,
+fn entry_config(
+    services: DaemonServices,
     identity: Identity,
     settings: &Settings,
     entry: &EntrySettings,
-) -> EntrySetup {
+) -> EntryConfig {
     let origin_rate = settings.profile.origin_bytes_per_s as f64;
-    EntrySetup {
-        host,
+    EntryConfig {
+        services,
         identity,
         callers: entry.callers,
         kinds: entry.kinds.clone(),
-        deadline: Duration::from_secs(entry.deadline_s),
+        request_timeout: Duration::from_secs(entry.deadline_s),
         body_bytes: entry.body_limit_bytes,
         options: EntryOptions {
             queue_limit: entry.queue_limit,
@@ -100,24 +102,24 @@
                 link_bytes_per_s: settings.profile.link_bytes_per_s as f64,
                 copies: settings.profile.origin_copies(),
             },
-            choice: RouteChoice::default(),
+            choice: RoutingStrategy::default(),
         },
     }
 }
 
-fn agent_setup(
-    host: Host,
+fn agent_config(
+    services: DaemonServices,
     identity: Identity,
     settings: &Settings,
     agent: &AgentSettings,
-) -> AgentSetup {
+) -> AgentConfig {
     let upstream = Arc::new(HttpUpstream(agent.upstream));
     let upstream = match &agent.service {
         Some(name) => Upstream::Service(name.clone(), upstream),
         None => Upstream::Engine(upstream),
     };
-    AgentSetup {
-        host,
+    AgentConfig {
+        services,
         identity,
         upstream,
         weights_listen: agent.weights_listen,
@@ -125,17 +127,17 @@
         options: AgentOptions {
             concurrency: agent.concurrency,
             memory_bytes: agent.memory_bytes,
-            upload_bytes_per_s: agent.link.for_weights(agent.link.upload_bytes_per_s),
+            upload_bytes_per_s: agent.link.weights_bandwidth(agent.link.upload_bytes_per_s),
             spread: SpreadOptions {
-                patience_ms: None,
-                reach: reducer::Reach::default(),
+                timeout_ms: None,
+                reach: reducer::NeighbourLimits::default(),
                 copies: settings.profile.origin_copies(),
                 origin_bytes_per_s: settings.profile.origin_bytes_per_s,
-                download_bytes_per_s: agent.link.for_weights(agent.link.download_bytes_per_s),
+                download_bytes_per_s: agent.link.weights_bandwidth(agent.link.download_bytes_per_s),
                 control_bytes_per_s: settings.node.control_bytes_per_s,
-                choice: Choice::default(),
+                choice: FetchStrategy::default(),
             },
         },
-        interference: None,
+        fault_injection: None,
     }
 }
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 use async_executor::Executor;
-use client::Operator;
-use fleet::{Hall, Instance, InstanceId, ListedState, Manifest, Place, Process, Region};
+use client::OperatorClient;
+use fleet::{Hall, Instance, InstanceId, ListedState, Location, Manifest, Process, Region};
 use lab::Lab;
-use net::{Bounds, Server, Tasks};
+use net::{Server, ServerLimits, Tasks};
 use rustix::process::{kill_process, Pid, Signal};
 use standins::{Engine, EngineOptions, PlatformOptions, PlatformStandIn};
 
@@ -94,7 +94,7 @@
     pub fn engine(&self, name: &str, options: EngineOptions) -> Daemon {
         let engine = Arc::new(Engine::new(&self.tasks, options));
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        let serving = Server::start(&self.tasks, any_port, Bounds::default(), engine.clone());
+        let serving = Server::start(&self.tasks, any_port, ServerLimits::default(), engine.clone());
         let server = async_io::block_on(serving).unwrap();
         let machine = self.new_machine();
         let weights = SocketAddr::new(machine, WEIGHTS_PORT);
@@ -130,7 +130,7 @@
         std::fs::write(&path, text).unwrap();
         self.platform.instances.add(Instance {
             id: InstanceId::from(name),
-            place: Place { region: Region("r".into()), hall: Hall("h".into()) },
+            place: Location { region: Region("r".into()), hall: Hall("h".into()) },
             process,
             address: listen,
             memory_bytes: 1 << 40,
@@ -174,8 +174,8 @@
 
 impl Daemon {
     /// A client for the operator address.
-    pub fn operator(&self, token: &str) -> Operator {
-        Operator::new(self.operators, token)
+    pub fn operator(&self, token: &str) -> OperatorClient {
+        OperatorClient::new(self.operators, token)
     }
 
     /// Sends a signal to the process.
--- a/examples/burst/run.rs
+++ b/examples/burst/run.rs
@@ -11,7 +11,7 @@
 use lab::{Lab, LabOptions};
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
-use reducer::Choice;
+use reducer::FetchStrategy;
 
 use crate::args::{Args, Fault, Weights};
 use crate::callers::Callers;
@@ -49,7 +49,7 @@
 pub async fn run(
     executor: &Arc<Executor<'static>>,
     args: &Args,
-    choice: Choice,
+    choice: FetchStrategy,
 ) -> eyre::Result<Run> {
     let contents = [load_weights(args, args.seed)?, load_weights(args, args.seed + 1)?];
     let options = LabOptions { choice, ..options(args, contents[0].len()) };
@@ -187,7 +187,7 @@
 /// Percentage of chunks held, over all agents.
 fn staged_percent(lab: &Lab, version: VersionId) -> f64 {
     let held_fraction = |agent: &lab::Agent| {
-        agent.node.inspect(|state| {
+        agent.node.with_state(|state| {
             let spread = state.spreads().find(|it| it.version == version);
             spread.map_or(0.0, |it| f64::from(it.have().count()) / f64::from(it.have().capacity()))
         })
