--- a/components/edge/src/gateway/notice_log.rs
+++ b/components/edge/src/gateway/notice_log.rs
@@ -11,7 +11,7 @@
         log::info!(runner = runner; "the runner says that it leaves");
     }
     if let Some(backoff_ms) = notice.backoff_ms {
-        log::warn!(runner = runner, rest_ms = backoff_ms; "the runner refuses requests and asks for a pause");
+        log::warn!(runner = runner, rest_ms = backoff_ms; "the runner turns requests away and wants to be left alone");
     }
     match notice.limit {
         Some(AdvertisedLimit::Limited(rate)) => {
--- a/components/edge/src/sidecar/runner.rs
+++ b/components/edge/src/sidecar/runner.rs
@@ -139,7 +139,7 @@
 /// Records whether the runner is leaving. `known` is its previous statement.
 fn record_leaving(core: &Core, known: &mut bool, is_leaving: bool) {
     if std::mem::replace(known, is_leaving) != is_leaving {
-        log::info!(leaves = is_leaving; "the runner reports that it leaves, or no longer does");
+        log::info!(leaves = is_leaving; "the runner says whether it leaves");
         core.dispatch(Event::RunnerLeaves(is_leaving));
     }
 }
@@ -173,7 +173,7 @@
     let mut client = HttpClient::new(core.settings.runner);
     let outcome = send_order(&mut client, runner::retire(&model, version, sequence, layers)).await;
     let outcome_text = format!("{outcome:?}");
-    log::warn!(version = version, sequence = sequence, outcome = outcome_text.as_str(); "version retired at its deadline");
+    log::warn!(version = version, sequence = sequence, outcome = outcome_text.as_str(); "version given up at its bound");
 }
 
 /// Sends an order to the runner.
