--- a/components/edge/src/gateway/version_record.rs
+++ b/components/edge/src/gateway/version_record.rs
@@ -128,7 +128,7 @@
 fn log_outcome(call: &RecordCall, answer: &RecordAnswer) {
     let outcome = outcome_name(answer);
     match call {
-        RecordCall::Read => log::info!(outcome = outcome; "version record read"),
+        RecordCall::Read => log::info!(outcome = outcome; "record of versions read"),
         RecordCall::Write(first_seen, revision) => log::info!(
             model = first_seen.model.0.as_str(),
             version = first_seen.version,
